--- a/test/admission-slices.test.ts
+++ b/test/admission-slices.test.ts
@@ -8,7 +8,7 @@
 import { Context } from "../src/core/context.js";
 import { Directory } from "../src/core/names.js";
 import { int, seeded } from "../src/core/random.js";
-import { deployment, NODES } from "./deployment.js";
+import { deployment, NODES } from "./support/deployment.js";
 
 const BEAT_MS = 1000;
 
--- a/test/admission-world.test.ts
+++ b/test/admission-world.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { job } from "./bench.js";
-import type { Job } from "./model.js";
-import { NO_TROUBLE } from "./troubles.js";
-import { type Trouble, World } from "./world.js";
+import { NO_TROUBLE } from "./model/troubles.js";
+import type { Job } from "./model/truth.js";
+import { type Trouble, World } from "./model/world.js";
+import { job } from "./support/controller-harness.js";
 
 const QUIET_S = 20;
 const BURST_S = 60;
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -5,10 +5,10 @@
 import type { UserAnswer } from "../src/core/types.js";
 import { renderMetrics } from "../src/shell/metrics.js";
 import { readPeerMessage } from "../src/shell/peer-messages.js";
-import { Bench, job, type Said } from "./bench.js";
-import { productionHears } from "./production.js";
-import { beat, live } from "./scripted-workers.js";
-import { StateService } from "./state-service.js";
+import { Bench, job, type Said } from "./support/controller-harness.js";
+import { StateService } from "./support/fake-store.js";
+import { productionHears } from "./support/production-readers.js";
+import { beat, live } from "./support/scripted-agents.js";
 
 /** A leader that admits by shares. */
 function leading(state = new StateService()): Bench {
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -10,7 +10,7 @@
 import { createServer, type RequestHandler } from "../src/shell/api.js";
 import { Peers } from "../src/shell/peers.js";
 import { shareSockets } from "../src/shell/sockets.js";
-import { SETTINGS } from "./settings.js";
+import { SETTINGS } from "./support/settings.js";
 
 const LOOPBACK = "127.0.0.1";
 const MB = 1024 * 1024;
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -3,8 +3,8 @@
 import { tokenOf } from "../src/core/attempts.js";
 import { Estimates } from "../src/core/estimates.js";
 import { isAged } from "../src/core/order.js";
-import { Bench, job, type Said } from "./bench.js";
-import { beat, live, settle } from "./scripted-workers.js";
+import { Bench, job, type Said } from "./support/controller-harness.js";
+import { beat, live, settle } from "./support/scripted-agents.js";
 
 const GPU = { type: "gpu" } as const;
 
--- a/test/many-machines.test.ts
+++ b/test/many-machines.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { readChunks } from "../src/core/stored-chunks.js";
 import type { CloudCall, ListedMachine } from "../src/core/types.js";
-import { Bench, job } from "./bench.js";
+import { Bench, job } from "./support/controller-harness.js";
 
 const MACHINES = 6000;
 const PAGE = 500;
--- a/test/left-waiting.ts
+++ b/test/model/left-waiting.ts
@@ -1,5 +1,5 @@
-import type { Amount, Deployment, JobSpec } from "../src/core/types.js";
-import type { Job, Worker } from "./model.js";
+import type { Amount, Deployment, JobSpec } from "../../src/core/types.js";
+import type { Job, Worker } from "./truth.js";
 
 export interface LeftWaitingWorld {
   readonly workers: ReadonlyMap<string, Worker>;
--- a/test/on-machines.ts
+++ b/test/model/on-machines.ts
@@ -1,5 +1,5 @@
-import type { JobSpec } from "../src/core/types.js";
-import type { Worker, WorkerTask } from "./model.js";
+import type { JobSpec } from "../../src/core/types.js";
+import type { Worker, WorkerTask } from "./truth.js";
 
 /** What is on which machine at this moment, by job and team: the truth that starts are checked against. */
 export class OnMachines {
--- a/test/model.ts
+++ b/test/model/truth.ts
@@ -1,4 +1,4 @@
-import type { JobSpec, MachineType, Report, TaskState } from "../src/core/types.js";
+import type { JobSpec, MachineType, Report, TaskState } from "../../src/core/types.js";
 
 /** What the model world knows of workers and jobs: the truth that the service is checked against. */
 
--- a/test/world.ts
+++ b/test/model/world.ts
@@ -1,5 +1,5 @@
-import { Controller } from "../src/core/controller.js";
-import { int, seeded } from "../src/core/random.js";
+import { Controller } from "../../src/core/controller.js";
+import { int, seeded } from "../../src/core/random.js";
 import type {
   Amount,
   CloudAnswer,
@@ -15,15 +15,15 @@
   StateAnswer,
   StateCall,
   UserAnswer,
-} from "../src/core/types.js";
-import { deployment, NODES, TYPES } from "./deployment.js";
+} from "../../src/core/types.js";
+import { deployment, NODES, TYPES } from "../support/deployment.js";
+import { StateService } from "../support/fake-store.js";
+import { productionReads } from "../support/production-readers.js";
 import { LeftWaiting } from "./left-waiting.js";
 import { Meter } from "./meter.js";
-import type { Job, Worker, WorkerTask } from "./model.js";
 import { OnMachines } from "./on-machines.js";
-import { productionReads } from "./production.js";
-import { StateService } from "./state-service.js";
 import { Timeline } from "./timeline.js";
+import type { Job, Worker, WorkerTask } from "./truth.js";
 
 /**
  * A model of everything outside the core: state service, cloud, workers, users, network. It plays in
@@ -63,6 +63,9 @@
   readonly unsent: Effect[];
 }
 
+/** Told of everything that leaves a node, in order, with the node and the model's clock. */
+export type EffectObserver = (core: Controller, node: string, now: number, effect: Effect) => void;
+
 export interface Violation {
   readonly rule: string;
   readonly text: string;
@@ -146,7 +149,17 @@
   /** Whether submissions are admitted by the teams' shares. */
   readonly #admission: boolean;
 
-  constructor(seed: number, trouble: Trouble, scale = 1, standby = false, admission = false) {
+  readonly #observer: EffectObserver | null;
+
+  constructor(
+    seed: number,
+    trouble: Trouble,
+    scale = 1,
+    standby = false,
+    admission = false,
+    observer: EffectObserver | null = null,
+  ) {
+    this.#observer = observer;
     this.#standby = standby;
     this.#admission = admission;
     this.#random = seeded(seed);
@@ -343,6 +356,7 @@
   }
 
   #effect(node: Node, epoch: number, effect: Effect): void {
+    if (node.core) this.#observer?.(node.core, node.name, this.now, effect);
     switch (effect.t) {
       case "answer":
         this.#answers.get(effect.req)?.(effect.answer);
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -7,7 +7,7 @@
 import { parseSettings, type Settings } from "../src/config/settings.js";
 import type { PeerMessage } from "../src/core/types.js";
 import { Peers } from "../src/shell/peers.js";
-import { SETTINGS } from "./settings.js";
+import { SETTINGS } from "./support/settings.js";
 
 const LOOPBACK = "127.0.0.1";
 
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -4,8 +4,8 @@
 import { readFinal } from "../src/core/records.js";
 import type { JobSpec, PeerMessage, StateCall, UserAnswer } from "../src/core/types.js";
 import { encodeView, parseJob } from "../src/protocol/jobs.js";
-import { Bench, job, type Said } from "./bench.js";
-import { StateService } from "./state-service.js";
+import { Bench, job, type Said } from "./support/controller-harness.js";
+import { StateService } from "./support/fake-store.js";
 
 const UNHEARD = { t: "refused", why: "outage" } as const;
 const NEW_BEAT = { t: "beat", token: 0, leader: null, stateOk: true, workersHeard: 0, protocol: 2 } as const;
--- a/test/record-cache.test.ts
+++ b/test/record-cache.test.ts
@@ -9,8 +9,8 @@
 import { CacheFeed } from "../src/standby/cache-feed.js";
 import { RecordCache } from "../src/standby/record-cache.js";
 import { WarmStart } from "../src/standby/warm-start.js";
-import { deployment } from "./deployment.js";
-import { StateService } from "./state-service.js";
+import { deployment } from "./support/deployment.js";
+import { StateService } from "./support/fake-store.js";
 
 /** Few keys, so that they are often written, removed and written again. */
 const KEYS = ["m/0", "m/1", "m/10", "p/j-1/0", "p/j-1/1", "p/j-2/0.32", "j/j-1", "j/j-2", "j/j-3", "f/j-1"];
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { tokenOf } from "../src/core/attempts.js";
 import type { StateCall } from "../src/core/types.js";
-import { Bench, job, type Said } from "./bench.js";
-import { StateService } from "./state-service.js";
+import { Bench, job, type Said } from "./support/controller-harness.js";
+import { StateService } from "./support/fake-store.js";
 
 function only<T>(list: readonly T[]): T {
   assert.equal(list.length, 1, `one expected, not ${JSON.stringify(list)}`);
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { FailedFits } from "../src/core/failed-fits.js";
 import { Job } from "../src/core/job.js";
-import { Bench, job, type Said } from "./bench.js";
-import { StateService } from "./state-service.js";
+import { Bench, job, type Said } from "./support/controller-harness.js";
+import { StateService } from "./support/fake-store.js";
 
 /** Lets workers do what they are told at once; reports every other second; tasks of an array take `runS`. */
 class Fleet {
--- a/test/standby-world.test.ts
+++ b/test/standby-world.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { job } from "./bench.js";
-import { NO_TROUBLE } from "./troubles.js";
-import { World } from "./world.js";
+import { NO_TROUBLE } from "./model/troubles.js";
+import { World } from "./model/world.js";
+import { job } from "./support/controller-harness.js";
 
 const STEP_MS = 10;
 
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -3,8 +3,8 @@
 import type { StateAnswer, StateCall } from "../src/core/types.js";
 import { renderMetrics } from "../src/shell/metrics.js";
 import { standsBy } from "../src/standby/role.js";
-import { Bench, job } from "./bench.js";
-import { StateService } from "./state-service.js";
+import { Bench, job } from "./support/controller-harness.js";
+import { StateService } from "./support/fake-store.js";
 
 const MOST_BYTES = 8 * 1024 * 1024;
 const MACHINES = ["M0", "M1"];
--- a/test/bench.ts
+++ b/test/support/controller-harness.ts
@@ -1,4 +1,4 @@
-import { Controller } from "../src/core/controller.js";
+import { Controller } from "../../src/core/controller.js";
 import type {
   AdminAnswer,
   AdminAsk,
@@ -17,9 +17,9 @@
   StateAnswer,
   StateCall,
   UserAnswer,
-} from "../src/core/types.js";
+} from "../../src/core/types.js";
 import { deployment, TYPES } from "./deployment.js";
-import { StateService } from "./state-service.js";
+import { StateService } from "./fake-store.js";
 
 export interface SentOrders {
   readonly machine: string;
--- a/test/deployment.ts
+++ b/test/support/deployment.ts
@@ -1,4 +1,4 @@
-import type { Deployment, MachineType } from "../src/core/types.js";
+import type { Deployment, MachineType } from "../../src/core/types.js";
 
 /** The small deployment that most tests play: two zones, two teams, three nodes. */
 
--- a/test/state-service.ts
+++ b/test/support/fake-store.ts
@@ -1,4 +1,4 @@
-import type { StateAnswer, StateCall, StateItem } from "../src/core/types.js";
+import type { StateAnswer, StateCall, StateItem } from "../../src/core/types.js";
 
 export interface Limits {
   readonly valueBytes: number;
--- a/test/scripted-workers.ts
+++ b/test/support/scripted-agents.ts
@@ -1,5 +1,5 @@
 import assert from "node:assert/strict";
-import type { Bench, Said } from "./bench.js";
+import type { Bench, Said } from "./controller-harness.js";
 
 /** Workers that do at once what they are told, by machine: what each reports. */
 
--- /dev/null
+++ b/test/trace-digest.test.ts
@@ -0,0 +1,91 @@
+import assert from "node:assert/strict";
+import { readFileSync, writeFileSync } from "node:fs";
+import { test } from "node:test";
+import { play, TROUBLES } from "./model/days.js";
+import { NO_TROUBLE } from "./model/troubles.js";
+import type { World } from "./model/world.js";
+import { TraceDigest } from "./support/trace-digest.js";
+
+/**
+ * Days of the model cluster, played from fixed seeds, send exactly the bytes that they sent when the fixture was
+ * written. A change of behaviour that is meant writes it anew: `TRACE_DIGESTS=write npm test`, and says so in its commit.
+ */
+const FIXTURE = "test/fixtures/trace-digests.json";
+const SEED = 101;
+const LARGE_SCALE = 20;
+
+interface Day {
+  readonly trouble: string;
+  readonly scale?: number;
+  readonly standby?: boolean;
+  readonly admission?: boolean;
+}
+
+const DAYS: readonly Day[] = [
+  ...Object.keys(TROUBLES).map((trouble) => ({ trouble })),
+  ...["many machines together", "down, ended and rolled", "everything"].map((trouble) => ({
+    trouble,
+    scale: LARGE_SCALE,
+  })),
+  ...["crashing controllers", "two troubles that meet", "an upgrade among troubles", "everything"].flatMap(
+    (trouble) => [
+      { trouble, standby: true },
+      { trouble, admission: true },
+      { trouble, standby: true, admission: true },
+    ],
+  ),
+];
+
+function nameOf({ trouble, scale, standby, admission }: Day): string {
+  return [trouble, scale && `x${scale}`, standby && "standby", admission && "admission"]
+    .filter(Boolean)
+    .join(", ");
+}
+
+function digestOf({ trouble, scale = 1, standby = false, admission = false }: Day): {
+  digest: string;
+  effects: number;
+  world: World;
+} {
+  const trace = new TraceDigest();
+  const world = play(
+    SEED,
+    TROUBLES[trouble] ?? NO_TROUBLE,
+    scale,
+    standby,
+    admission,
+    (core, node, now, effect) => trace.observe(core, node, now, effect),
+  );
+  for (const { core } of world.nodes) if (core) trace.observeStatus(core, world.now);
+  return { digest: trace.digest(), effects: trace.effects, world };
+}
+
+const known = JSON.parse(readFileSync(FIXTURE, "utf8")) as Record<string, string>;
+const written: Record<string, string> = {};
+
+for (const day of DAYS) {
+  const name = nameOf(day);
+  test(`the trace of a day is as recorded: ${name}`, () => {
+    const { digest, effects, world } = digestOf(day);
+    assert.deepEqual(world.violations, []);
+    assert.ok(effects > 1000, `${effects} effects`);
+    if (process.env.TRACE_DIGESTS === "write") {
+      written[name] = digest;
+      writeFileSync(FIXTURE, `${JSON.stringify(written, null, 2)}\n`);
+    } else assert.equal(digest, known[name]);
+  });
+}
+
+test("the digest notices a byte that differs", () => {
+  const [first, second] = [new TraceDigest(), new TraceDigest()];
+  const day = (seed: number, trace: TraceDigest) =>
+    play(seed, NO_TROUBLE, 1, false, false, (core, node, now, effect) => {
+      // One call to the store, a millisecond more patient.
+      const changed = trace === second && trace.effects === 500 && effect.t === "state";
+      trace.observe(core, node, now, changed ? { ...effect, timeoutMs: effect.timeoutMs + 1 } : effect);
+    });
+  day(SEED, first);
+  day(SEED, second);
+  assert.equal(first.effects, second.effects);
+  assert.notEqual(first.digest(), second.digest());
+});
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -8,10 +8,10 @@
 import { readChunks } from "../src/core/stored-chunks.js";
 import { Tables } from "../src/core/tables.js";
 import type { Effect, StateCall, StateItem } from "../src/core/types.js";
-import { Bench, job } from "./bench.js";
-import { productionHears, productionReads } from "./production.js";
-import { SETTINGS } from "./settings.js";
-import { StateService } from "./state-service.js";
+import { Bench, job } from "./support/controller-harness.js";
+import { StateService } from "./support/fake-store.js";
+import { productionHears, productionReads } from "./support/production-readers.js";
+import { SETTINGS } from "./support/settings.js";
 
 const FIXTURE = new URL("../../../test/fixtures/production-state.json", import.meta.url);
 const SMALL = { valueBytes: 2048, txnOps: 10, writeRps: 28 };
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -12,7 +12,7 @@
 import { createServer, type RequestHandler } from "../src/shell/api.js";
 import { openFilesProblem } from "../src/shell/open-files.js";
 import { shareSockets } from "../src/shell/sockets.js";
-import { SETTINGS } from "./settings.js";
+import { SETTINGS } from "./support/settings.js";
 
 const JOB = {
   uid: "j-000412",
--- a/tools/loopback/state-server.ts
+++ b/tools/loopback/state-server.ts
@@ -1,6 +1,6 @@
 import http from "node:http";
 import type { StateCall } from "../../src/core/types.js";
-import { StateService } from "../../test/state-service.js";
+import { StateService } from "../../test/support/fake-store.js";
 import { readBody, reply } from "./http.js";
 
 const SWEEP_MS = 25;
