--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,9 +1,9 @@
 import type { Context } from "../core/context.js";
 import type { AdmissionNote, AdmissionReport, AdmissionSlice } from "./messages.js";
+import { SliceIssuer, targetOf } from "./permit-issuer.js";
 import { Permits } from "./permits.js";
 import { type AdmissionPolicy, policyOf, type TeamPolicy } from "./policy.js";
-import { Promises } from "./promises.js";
-import { SliceIssuer, targetOf } from "./slice-issuer.js";
+import { Promises } from "./retry-reservations.js";
 
 /** Where there is room only when other jobs end, nothing can be promised: it is worth asking again after this. */
 const ROOM_WAIT_S = 10;
--- a/src/admission/slice-issuer.ts
+++ b/src/admission/permit-issuer.ts
@@ -1,7 +1,7 @@
-import { Holder } from "./holder.js";
 import type { AdmissionReport, AdmissionSlice } from "./messages.js";
+import { Holder } from "./permit-holder.js";
 import type { AdmissionPolicy, TeamPolicy } from "./policy.js";
-import { LONGEST_PROMISE_S } from "./promises.js";
+import { LONGEST_PROMISE_S } from "./retry-reservations.js";
 import { allocate } from "./shares.js";
 
 /** How long a node may spend what it holds, from the sending of the report that the slice answers. */
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from "node:fs";
 import { parse } from "smol-toml";
 import * as v from "valibot";
-import { needOf, offerOf } from "../core/amount.js";
+import { needOf, offerOf } from "../core/model/resources.js";
 import type { Deployment, StateLimits } from "../core/types.js";
 
 const text = v.pipe(v.string(), v.nonEmpty());
--- a/src/core/administration.ts
+++ b/src/core/administration.ts
@@ -1,10 +1,10 @@
 import { changeOperator, readOperator } from "../config/operator.js";
 import type { Context } from "./context.js";
-import { later } from "./intake.js";
-import { bytesOf } from "./limits.js";
-import { KEYS } from "./records.js";
+import { later } from "./jobs/submissions.js";
+import type { ConfigView } from "./store/config-watch.js";
+import { KEYS } from "./store/records.js";
+import { bytesOf } from "./store/store-limits.js";
 import type { AdminAnswer, AdminAsk } from "./types.js";
-import type { ConfigView } from "./view.js";
 
 const CALL_MS = 1500;
 
--- a/src/core/worker-orders.ts
+++ b/src/core/agents/command-planner.ts
@@ -1,12 +1,12 @@
-import { tokenOf } from "./attempts.js";
-import type { Context } from "./context.js";
-import type { Leadership } from "./leadership.js";
-import type { Machine } from "./machine.js";
-import type { Placement } from "./placement.js";
-import type { Recorder } from "./recorder.js";
-import type { Tables } from "./tables.js";
-import type { Term } from "./term.js";
-import type { Order, Report } from "./types.js";
+import type { Context } from "../context.js";
+import type { Leadership } from "../election/election.js";
+import type { Term } from "../election/leader-lease.js";
+import { tokenOf } from "../model/attempt-number.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Machine } from "../model/machine.js";
+import type { Placement } from "../model/placement.js";
+import type { Recorder } from "../store/record-writer.js";
+import type { Order, Report } from "../types.js";
 
 const RESEND_MS = 1000;
 /** Starts are sent on knowledge of the job's key no older than this: a few rounds of following it. */
--- a/src/core/failures.ts
+++ b/src/core/agents/failure-tracking.ts
@@ -1,6 +1,6 @@
-import type { Context } from "./context.js";
-import type { Machine } from "./machine.js";
-import type { Placement } from "./placement.js";
+import type { Context } from "../context.js";
+import type { Machine } from "../model/machine.js";
+import type { Placement } from "../model/placement.js";
 
 const JOB_BACKOFF_MS = 2000;
 const JOB_BACKOFF_MAX_MS = 60_000;
--- a/src/core/fencing.ts
+++ b/src/core/agents/fencing-queue.ts
@@ -1,6 +1,6 @@
-import type { Context } from "./context.js";
-import type { Machine } from "./machine.js";
-import type { Term } from "./term.js";
+import type { Context } from "../context.js";
+import type { Term } from "../election/leader-lease.js";
+import type { Machine } from "../model/machine.js";
 
 /** Workers report by themselves; those that have not after so many intervals are shown the token. */
 const GRACE_REPORTS = 1.5;
--- a/src/core/report-router.ts
+++ b/src/core/agents/heartbeat-router.ts
@@ -1,5 +1,5 @@
-import type { Context } from "./context.js";
-import type { Report, ReportAnswer } from "./types.js";
+import type { Context } from "../context.js";
+import type { Report, ReportAnswer } from "../types.js";
 
 /** Without a leader a report waits this long for one: workers give up after 4 s. */
 const HOLD_REPORT_MS = 2000;
--- a/src/core/machine-modes.ts
+++ b/src/core/agents/machine-modes.ts
@@ -1,9 +1,9 @@
-import type { Context } from "./context.js";
-import { isFaulty } from "./failures.js";
-import type { Fleet } from "./fleet.js";
-import type { Scheduler } from "./scheduler.js";
-import type { Tables } from "./tables.js";
-import type { ConfigView } from "./view.js";
+import type { Context } from "../context.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Scheduler } from "../scheduling/scheduler.js";
+import type { ConfigView } from "../store/config-watch.js";
+import type { Fleet } from "./agent-manager.js";
+import { isFaulty } from "./failure-tracking.js";
 
 /** Carries out what operators, failures and notices have set machines to. */
 export class MachineModes {
--- a/src/core/contact.ts
+++ b/src/core/agents/reachability-tracker.ts
@@ -1,8 +1,8 @@
-import type { Context } from "./context.js";
-import type { Fencing } from "./fencing.js";
-import type { Machine } from "./machine.js";
-import type { Term } from "./term.js";
-import type { Report } from "./types.js";
+import type { Context } from "../context.js";
+import type { Term } from "../election/leader-lease.js";
+import type { Machine } from "../model/machine.js";
+import type { Report } from "../types.js";
+import type { Fencing } from "./fencing-queue.js";
 
 /** What was sent is given this long to show, and at least so many report intervals. */
 const OWED_MS = 4000;
--- a/src/core/task-outcome.ts
+++ b/src/core/agents/task-outcome.ts
@@ -1,8 +1,8 @@
-import type { Context } from "./context.js";
-import { noteFailure } from "./failures.js";
-import type { Placement } from "./placement.js";
-import type { Recorder } from "./recorder.js";
-import type { Cause } from "./types.js";
+import type { Context } from "../context.js";
+import type { Placement } from "../model/placement.js";
+import type { Recorder } from "../store/record-writer.js";
+import type { Cause } from "../types.js";
+import { noteFailure } from "./failure-tracking.js";
 
 /** A machine that refused a start for want of room, or for its former copy, gets nothing for so long. */
 const REFUSED_MS = 2000;
--- a/src/core/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -1,7 +1,7 @@
-import type { Context } from "./context.js";
-import type { Machine } from "./machine.js";
-import type { Tables } from "./tables.js";
-import type { ListedMachine, MachineType } from "./types.js";
+import type { Context } from "../context.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Machine } from "../model/machine.js";
+import type { ListedMachine, MachineType } from "../types.js";
 
 const LIST_MS = 4000;
 const TYPES_MS = 60_000;
--- a/src/core/gpu-reserve.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -1,11 +1,11 @@
-import { times } from "./amount.js";
-import type { Context } from "./context.js";
-import type { Job } from "./job.js";
-import { type Machine, suitsType } from "./machine.js";
-import { hasAim } from "./order.js";
-import type { Scheduler } from "./scheduler.js";
-import type { Tables } from "./tables.js";
-import type { Amount, MachineType } from "./types.js";
+import type { Context } from "../context.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import { type Machine, suitsType } from "../model/machine.js";
+import { times } from "../model/resources.js";
+import { hasAim } from "../scheduling/queue-order.js";
+import type { Scheduler } from "../scheduling/scheduler.js";
+import type { Amount, MachineType } from "../types.js";
 
 interface Kind {
   /** The largest GPU task seen that goes on this type: what small work must leave room for. */
--- a/src/core/machine-watch.ts
+++ b/src/core/autoscaling/machine-reaper.ts
@@ -1,8 +1,8 @@
-import type { Context } from "./context.js";
-import type { Machine } from "./machine.js";
-import type { Scheduler } from "./scheduler.js";
-import type { Tables } from "./tables.js";
-import type { Term } from "./term.js";
+import type { Context } from "../context.js";
+import type { Term } from "../election/leader-lease.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Machine } from "../model/machine.js";
+import type { Scheduler } from "../scheduling/scheduler.js";
 
 /** Machines of a zone that is cut off are kept so long. */
 const CUT_PATIENCE_MS = 300_000;
--- a/src/core/provisioner.ts
+++ b/src/core/autoscaling/provisioner.ts
@@ -1,16 +1,16 @@
-import { fits, times } from "./amount.js";
+import type { Fleet } from "../agents/agent-manager.js";
+import type { Context } from "../context.js";
+import type { Term } from "../election/leader-lease.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import { type Machine, suitsType } from "../model/machine.js";
+import { fits, times } from "../model/resources.js";
+import type { Blocked, Scheduler } from "../scheduling/scheduler.js";
+import type { Recorder } from "../store/record-writer.js";
+import type { MachineType } from "../types.js";
 import { CloudInventory } from "./cloud-inventory.js";
-import type { Context } from "./context.js";
-import type { Fleet } from "./fleet.js";
-import { GpuReserve } from "./gpu-reserve.js";
-import type { Job } from "./job.js";
-import { type Machine, suitsType } from "./machine.js";
-import { MachineWatch } from "./machine-watch.js";
-import type { Recorder } from "./recorder.js";
-import type { Blocked, Scheduler } from "./scheduler.js";
-import type { Tables } from "./tables.js";
-import type { Term } from "./term.js";
-import type { MachineType } from "./types.js";
+import { GpuReserve } from "./gpu-headroom.js";
+import { MachineWatch } from "./machine-reaper.js";
 
 const REFUSED_MS = 8000;
 const REFUSED_MAX_MS = 60_000;
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -1,8 +1,8 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import { defaultOperator, type OperatorSettings } from "../config/operator.js";
-import { Estimates } from "./estimates.js";
-import { Limits } from "./limits.js";
-import type { Directory } from "./names.js";
+import type { Directory } from "./model/interner.js";
+import { Estimates } from "./scheduling/runtime-estimates.js";
+import { Limits } from "./store/store-limits.js";
 import type {
   CloudAnswer,
   CloudCall,
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,23 +1,23 @@
 import { Admission, type AdmissionStatus } from "../admission/admission.js";
+import { Succession } from "../standby/failover.js";
+import type { Takeover } from "../standby/failover-timeline.js";
 import type { StandbyReport } from "../standby/standby.js";
-import { Succession } from "../standby/succession.js";
-import type { Takeover } from "../standby/takeover.js";
 import { Administration } from "./administration.js";
+import { ReportRouter } from "./agents/heartbeat-router.js";
 import { type Budget, Context } from "./context.js";
-import { FeatureGate } from "./feature-gate.js";
-import { Intake } from "./intake.js";
+import { Leadership } from "./election/election.js";
+import { ProgressCounts } from "./jobs/progress-counts.js";
+import { Intake } from "./jobs/submissions.js";
 import { leaderStatus } from "./leader-status.js";
 import { LeaderTerm } from "./leader-term.js";
-import { Leadership } from "./leadership.js";
-import { Directory } from "./names.js";
+import { Directory } from "./model/interner.js";
 import { PeerTable } from "./peer-table.js";
-import { ProgressCounts } from "./progress-counts.js";
 import { seeded } from "./random.js";
-import { KEYS, PROTOCOL } from "./records.js";
-import { ReportRouter } from "./report-router.js";
-import { openJobsByTeam } from "./team-load.js";
+import { openJobsByTeam } from "./scheduling/team-load.js";
+import { ConfigView } from "./store/config-watch.js";
+import { FeatureGate } from "./store/feature-gate.js";
+import { KEYS, PROTOCOL } from "./store/records.js";
 import type { Command, Deployment, Effect, PeerMessage, Report, ReportAnswer, StateItem } from "./types.js";
-import { ConfigView } from "./view.js";
 
 const HEARTBEAT_MS = 1000;
 /** A leader that has heard none of at least so many machines for so many report intervals is cut off from them. */
--- a/src/core/leadership.ts
+++ b/src/core/election/election.ts
@@ -1,9 +1,9 @@
-import { AnswerWindow, DRIFT } from "./answer-window.js";
-import type { Context } from "./context.js";
-import { int } from "./random.js";
-import { KEYS, type LeaderRecord } from "./records.js";
-import type { LeadershipEvents, LeadershipState, Term } from "./term.js";
-import type { ConfigView } from "./view.js";
+import type { Context } from "../context.js";
+import { int } from "../random.js";
+import type { ConfigView } from "../store/config-watch.js";
+import { KEYS, type LeaderRecord } from "../store/records.js";
+import type { LeadershipEvents, LeadershipState, Term } from "./leader-lease.js";
+import { AnswerWindow, DRIFT } from "./lease-renewal-policy.js";
 
 const MARGIN_MS = 250;
 const CALL_MS = 900;
--- a/src/core/term.ts
+++ b/src/core/election/leader-lease.ts
@@ -1,4 +1,4 @@
-import type { WindowFacts } from "./answer-window.js";
+import type { WindowFacts } from "./lease-renewal-policy.js";
 
 export type LeadershipState =
   | { readonly t: "follower" }
--- a/src/core/answer-window.ts
+++ b/src/core/election/lease-renewal-policy.ts
@@ -1,4 +1,4 @@
-import type { Context } from "./context.js";
+import type { Context } from "../context.js";
 
 /** Clocks may differ by 0.05%; whatever is waited out is stretched by twice that. */
 export const DRIFT = 1.001;
--- a/src/core/pipelines.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -1,7 +1,7 @@
-import type { Context } from "./context.js";
-import type { Job } from "./job.js";
-import { type FinalRecord, KEYS, readFinal } from "./records.js";
-import type { Tables } from "./tables.js";
+import type { Context } from "../context.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import { type FinalRecord, KEYS, readFinal } from "../store/records.js";
 
 const CALL_MS = 2000;
 /** Final records that are read at a time, and how soon one that could not be read, or isn't there yet, is asked for again. */
--- a/src/core/job-lookup.ts
+++ b/src/core/jobs/job-lookup.ts
@@ -1,6 +1,6 @@
-import type { Context } from "./context.js";
-import { type JobRecord, KEYS, readFinal, readJob } from "./records.js";
-import type { JobView, StateCondition, StateItem } from "./types.js";
+import type { Context } from "../context.js";
+import { type JobRecord, KEYS, readFinal, readJob } from "../store/records.js";
+import type { JobView, StateCondition, StateItem } from "../types.js";
 
 const CALL_MS = 1500;
 const FINALS_KEPT = 20_000;
--- a/src/core/progress-reports.ts
+++ b/src/core/jobs/progress-publisher.ts
@@ -1,6 +1,6 @@
-import type { Context } from "./context.js";
-import type { Job } from "./job.js";
-import type { Tables } from "./tables.js";
+import type { Context } from "../context.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
 
 const INTERVAL_MS = 1000;
 
--- a/src/core/refusals.ts
+++ b/src/core/jobs/rejection-batch.ts
@@ -1,6 +1,6 @@
-import type { Context } from "./context.js";
-import { KEYS } from "./records.js";
-import type { UserAnswer } from "./types.js";
+import type { Context } from "../context.js";
+import { KEYS } from "../store/records.js";
+import type { UserAnswer } from "../types.js";
 
 const CALL_MS = 1500;
 /** That a job is unknown takes two conditions. */
--- a/src/core/intake.ts
+++ b/src/core/jobs/submissions.ts
@@ -1,12 +1,12 @@
-import type { Admission, Decision } from "../admission/admission.js";
-import { times } from "./amount.js";
-import type { Context } from "./context.js";
+import type { Admission, Decision } from "../../admission/admission.js";
+import type { Context } from "../context.js";
+import { suitsType } from "../model/machine.js";
+import { times } from "../model/resources.js";
+import type { ConfigView } from "../store/config-watch.js";
+import { cancelledRecord, fitsRecord, type JobRecord, KEYS, newJobRecord } from "../store/records.js";
+import type { JobSpec, JobView, StateCondition, StateItem, UserAnswer } from "../types.js";
 import { type Found, JobLookup, viewOfEnd } from "./job-lookup.js";
-import { suitsType } from "./machine.js";
-import { cancelledRecord, fitsRecord, type JobRecord, KEYS, newJobRecord } from "./records.js";
-import { Refusals } from "./refusals.js";
-import type { JobSpec, JobView, StateCondition, StateItem, UserAnswer } from "./types.js";
-import type { ConfigView } from "./view.js";
+import { Refusals } from "./rejection-batch.js";
 
 const CALL_MS = 1500;
 const TRIES = 4;
--- a/src/core/rebalancer.ts
+++ b/src/core/migration/replica-migration.ts
@@ -1,15 +1,15 @@
-import { add, fits, ZERO } from "./amount.js";
-import type { Context } from "./context.js";
-import type { Fleet } from "./fleet.js";
-import type { Job } from "./job.js";
-import type { Machine } from "./machine.js";
-import type { Placement } from "./placement.js";
-import { weighted } from "./random.js";
-import type { Recorder } from "./recorder.js";
-import { type MoveRecord, readMove } from "./records.js";
-import type { Scheduler } from "./scheduler.js";
-import type { Tables } from "./tables.js";
-import type { StateItem } from "./types.js";
+import type { Fleet } from "../agents/agent-manager.js";
+import type { Context } from "../context.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import type { Machine } from "../model/machine.js";
+import type { Placement } from "../model/placement.js";
+import { add, fits, ZERO } from "../model/resources.js";
+import { weighted } from "../random.js";
+import type { Scheduler } from "../scheduling/scheduler.js";
+import type { Recorder } from "../store/record-writer.js";
+import { type MoveRecord, readMove } from "../store/records.js";
+import type { StateItem } from "../types.js";
 
 type Phase = "recording" | "draining" | "stopping" | "starting";
 
--- a/src/core/tables.ts
+++ b/src/core/model/cluster-state.ts
@@ -1,9 +1,9 @@
-import { add, ZERO } from "./amount.js";
+import type { Amount, JobSpec, MachineType } from "../types.js";
+import type { Directory } from "./interner.js";
 import { Job } from "./job.js";
 import { Machine } from "./machine.js";
-import type { Directory } from "./names.js";
 import type { Placement } from "./placement.js";
-import type { Amount, JobSpec, MachineType } from "./types.js";
+import { add, ZERO } from "./resources.js";
 
 /** All that is placed, by job, machine and team: the one place where placements come and go. */
 export class Tables {
--- a/src/core/job.ts
+++ b/src/core/model/job.ts
@@ -1,5 +1,5 @@
+import type { JobSpec, Priority } from "../types.js";
 import type { Placement } from "./placement.js";
-import type { JobSpec, Priority } from "./types.js";
 
 export type JobState = "active" | "cancelled" | "done";
 
--- a/src/core/machine.ts
+++ b/src/core/model/machine.ts
@@ -1,6 +1,6 @@
-import { fits, ZERO } from "./amount.js";
+import type { Amount, JobSpec, MachineType, Report } from "../types.js";
 import type { Placement, Reservation } from "./placement.js";
-import type { Amount, JobSpec, MachineType, Report } from "./types.js";
+import { fits, ZERO } from "./resources.js";
 
 /** Can a task of this job be put on machines of this type at all? */
 export function suitsType(spec: JobSpec, type: MachineType): boolean {
--- a/src/core/placement.ts
+++ b/src/core/model/placement.ts
@@ -1,6 +1,6 @@
+import type { Priority, TaskState } from "../types.js";
 import type { Job } from "./job.js";
 import type { Machine } from "./machine.js";
-import type { Priority, TaskState } from "./types.js";
 
 /** Keeps a machine's room for a job until it is used, or for so long. */
 export interface Reservation {
--- a/src/core/amount.ts
+++ b/src/core/model/resources.ts
@@ -1,4 +1,4 @@
-import type { Amount } from "./types.js";
+import type { Amount } from "../types.js";
 
 export const ZERO: Amount = { cpu: 0, gpu: 0, ram: 0 };
 
--- a/src/core/candidates.ts
+++ b/src/core/scheduling/feasible-machines.ts
@@ -1,10 +1,10 @@
-import { add, fits } from "./amount.js";
-import type { Context } from "./context.js";
-import type { Job } from "./job.js";
-import { type Machine, suitsType } from "./machine.js";
-import { isAged } from "./order.js";
-import type { Tables } from "./tables.js";
-import type { Amount } from "./types.js";
+import type { Context } from "../context.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import { type Machine, suitsType } from "../model/machine.js";
+import { add, fits } from "../model/resources.js";
+import type { Amount } from "../types.js";
+import { isAged } from "./queue-order.js";
 
 /** Boots take up to half as long again as the catalogue says. */
 const BOOT_PATIENCE = 1.5;
--- a/src/core/guarantees.ts
+++ b/src/core/scheduling/guaranteed-quota.ts
@@ -1,5 +1,5 @@
-import type { Job } from "./job.js";
-import type { Team } from "./types.js";
+import type { Job } from "../model/job.js";
+import type { Team } from "../types.js";
 
 /**
  * Of jobs in the order of their acceptance, those within their teams' guarantees: a job is if it fits there along with
--- a/src/core/image-caches.ts
+++ b/src/core/scheduling/image-caches.ts
@@ -1,6 +1,6 @@
-import type { Context } from "./context.js";
-import type { Job } from "./job.js";
-import type { Machine } from "./machine.js";
+import type { Context } from "../context.js";
+import type { Job } from "../model/job.js";
+import type { Machine } from "../model/machine.js";
 
 /** What a fetch is taken to last where the machine's type is not known. */
 const UNKNOWN_FETCH_S = 30;
--- a/src/core/failed-fits.ts
+++ b/src/core/scheduling/negative-fit-cache.ts
@@ -1,7 +1,7 @@
-import { fits } from "./amount.js";
-import type { Context } from "./context.js";
-import type { Job } from "./job.js";
-import type { Amount } from "./types.js";
+import type { Context } from "../context.js";
+import type { Job } from "../model/job.js";
+import { fits } from "../model/resources.js";
+import type { Amount } from "../types.js";
 
 /** Demands that found no place in this call: what asks for as much or more need not look again. */
 export class FailedFits {
--- a/src/core/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,12 +1,12 @@
-import { fits, times } from "./amount.js";
-import type { Context } from "./context.js";
-import type { Fleet } from "./fleet.js";
-import type { Job } from "./job.js";
-import type { Machine } from "./machine.js";
-import { guaranteeAimS, stoppingPriority, waitAimS } from "./order.js";
-import type { Placement } from "./placement.js";
-import type { Tables } from "./tables.js";
-import type { Amount } from "./types.js";
+import type { Fleet } from "../agents/agent-manager.js";
+import type { Context } from "../context.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import type { Machine } from "../model/machine.js";
+import type { Placement } from "../model/placement.js";
+import { fits, times } from "../model/resources.js";
+import type { Amount } from "../types.js";
+import { guaranteeAimS, stoppingPriority, waitAimS } from "./queue-order.js";
 
 const RESERVE_MS = 15_000;
 /** How long a job for which nothing could be stopped waits before that is looked into again. */
--- a/src/core/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -1,10 +1,10 @@
-import { add, ZERO } from "./amount.js";
-import type { Context } from "./context.js";
-import type { Job } from "./job.js";
-import type { Machine } from "./machine.js";
-import { isTooLate } from "./order.js";
-import type { Reservation } from "./placement.js";
-import type { Amount } from "./types.js";
+import type { Context } from "../context.js";
+import type { Job } from "../model/job.js";
+import type { Machine } from "../model/machine.js";
+import type { Reservation } from "../model/placement.js";
+import { add, ZERO } from "../model/resources.js";
+import type { Amount } from "../types.js";
+import { isTooLate } from "./queue-order.js";
 
 /** Renewed in each round for as long as the gang waits. */
 const HOLD_MS = 2000;
--- a/src/core/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -1,21 +1,21 @@
-import { Turns } from "../admission/turns.js";
-import { add, times, ZERO } from "./amount.js";
-import { attemptOf, countersLeft } from "./attempts.js";
-import { Candidates } from "./candidates.js";
-import type { Budget, Context } from "./context.js";
-import { FailedFits } from "./failed-fits.js";
-import type { Fleet } from "./fleet.js";
-import { guaranteedJobs } from "./guarantees.js";
+import { Turns } from "../../admission/round-robin-turns.js";
+import type { Fleet } from "../agents/agent-manager.js";
+import type { Budget, Context } from "../context.js";
+import type { Term } from "../election/leader-lease.js";
+import { attemptOf, countersLeft } from "../model/attempt-number.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import type { Machine } from "../model/machine.js";
+import type { Placement } from "../model/placement.js";
+import { add, times, ZERO } from "../model/resources.js";
+import type { Recorder } from "../store/record-writer.js";
+import { Candidates } from "./feasible-machines.js";
+import { guaranteedJobs } from "./guaranteed-quota.js";
 import { noteFetch } from "./image-caches.js";
-import type { Job } from "./job.js";
-import type { Machine } from "./machine.js";
-import { inOrder, isAged, isPatient, isPressed, mayStopLesser, waitAimS } from "./order.js";
-import type { Placement } from "./placement.js";
+import { FailedFits } from "./negative-fit-cache.js";
 import { Preemption } from "./preemption.js";
-import type { Recorder } from "./recorder.js";
+import { inOrder, isAged, isPatient, isPressed, mayStopLesser, waitAimS } from "./queue-order.js";
 import { Reservations } from "./reservations.js";
-import type { Tables } from "./tables.js";
-import type { Term } from "./term.js";
 
 /** Fetches may take a third longer than the catalogue says. */
 const FETCH_SPREAD = 1.35;
--- a/src/core/team-load.ts
+++ b/src/core/scheduling/team-load.ts
@@ -1,5 +1,5 @@
-import type { Turns } from "../admission/turns.js";
-import type { Job } from "./job.js";
+import type { Turns } from "../../admission/round-robin-turns.js";
+import type { Job } from "../model/job.js";
 
 /** How many jobs of each team are not over, those of teams that are no longer in the settings among them. */
 export function openJobsByTeam(jobs: Iterable<Job>): Map<string, number> {
--- a/src/core/view.ts
+++ b/src/core/store/config-watch.ts
@@ -1,5 +1,6 @@
-import { defaultOperator, readOperator } from "../config/operator.js";
-import type { Context } from "./context.js";
+import { defaultOperator, readOperator } from "../../config/operator.js";
+import type { Context } from "../context.js";
+import type { MachineType, StateItem } from "../types.js";
 import {
   KEYS,
   type LeaderRecord,
@@ -9,7 +10,6 @@
   readModes,
   readTypes,
 } from "./records.js";
-import type { MachineType, StateItem } from "./types.js";
 
 const FOLLOW_MS = 5000;
 const RETRY_MS = 500;
--- a/src/core/dirty-chunks.ts
+++ b/src/core/store/dirty-chunks.ts
@@ -1,5 +1,5 @@
-import type { Job } from "./job.js";
-import type { Placement } from "./placement.js";
+import type { Job } from "../model/job.js";
+import type { Placement } from "../model/placement.js";
 import { KEYS, type TaskRange } from "./records.js";
 
 /** Consecutive tasks of a job whose record is yet to be written. */
--- a/src/core/feature-gate.ts
+++ b/src/core/store/feature-gate.ts
@@ -1,7 +1,7 @@
-import type { Context } from "./context.js";
+import type { Context } from "../context.js";
+import type { Term } from "../election/leader-lease.js";
+import type { ConfigView } from "./config-watch.js";
 import { KEYS, PROTOCOL } from "./records.js";
-import type { Term } from "./term.js";
-import type { ConfigView } from "./view.js";
 
 const CALL_MS = 1500;
 const RETRY_MS = 1000;
--- a/src/core/state-feed.ts
+++ b/src/core/store/job-watch.ts
@@ -1,8 +1,8 @@
-import type { Context } from "./context.js";
-import type { Leadership } from "./leadership.js";
+import type { Context } from "../context.js";
+import type { Leadership } from "../election/election.js";
+import type { StateItem } from "../types.js";
 import { type LoadedRecords, RecordReader, type RecordSource, type StoredRecords } from "./record-reader.js";
 import { KEYS } from "./records.js";
-import type { StateItem } from "./types.js";
 
 const RETRY_MS = 300;
 const FOLLOW_PAUSE_MS = 200;
--- a/src/core/machine-records.ts
+++ b/src/core/store/machine-records.ts
@@ -1,7 +1,7 @@
-import { bytesOf } from "./limits.js";
-import type { Machine } from "./machine.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Machine } from "../model/machine.js";
 import { BUCKET_MACHINES, type BucketRecord } from "./records.js";
-import type { Tables } from "./tables.js";
+import { bytesOf } from "./store-limits.js";
 
 /** The machines that share a record. */
 export interface Bucket {
--- a/src/core/types-record.ts
+++ b/src/core/store/machine-types-record.ts
@@ -1,9 +1,9 @@
-import type { Context } from "./context.js";
-import { bytesOf } from "./limits.js";
+import type { Context } from "../context.js";
+import type { Term } from "../election/leader-lease.js";
+import type { MachineType } from "../types.js";
+import type { ConfigView } from "./config-watch.js";
 import { KEYS } from "./records.js";
-import type { Term } from "./term.js";
-import type { MachineType } from "./types.js";
-import type { ConfigView } from "./view.js";
+import { bytesOf } from "./store-limits.js";
 
 const CALL_MS = 3000;
 
--- a/src/core/set-aside.ts
+++ b/src/core/store/quarantined-keys.ts
@@ -1,4 +1,4 @@
-import type { Context } from "./context.js";
+import type { Context } from "../context.js";
 
 /** What a record that the state service takes in no form waits before it is tried again, by itself. */
 const SET_ASIDE_MS = 10_000;
--- a/src/core/record-reader.ts
+++ b/src/core/store/record-reader.ts
@@ -1,6 +1,6 @@
-import type { Context } from "./context.js";
+import type { Context } from "../context.js";
+import type { StateItem } from "../types.js";
 import { KEYS } from "./records.js";
-import type { StateItem } from "./types.js";
 
 /**
  * How long a page is waited for, at the first try and at the next ones. Until all is read no report is answered: a lost
--- a/src/core/record-restore.ts
+++ b/src/core/store/record-restore.ts
@@ -1,12 +1,12 @@
-import type { Context } from "./context.js";
-import type { Job } from "./job.js";
-import type { Machine } from "./machine.js";
-import type { Pipelines } from "./pipelines.js";
-import type { Recorder } from "./recorder.js";
+import type { Context } from "../context.js";
+import type { Pipelines } from "../jobs/dependency-graph.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import type { Machine } from "../model/machine.js";
+import type { StateItem } from "../types.js";
+import type { Recorder } from "./record-writer.js";
 import { KEYS, readBucket } from "./records.js";
 import { readChunks, type StoredChunk } from "./stored-chunks.js";
-import type { Tables } from "./tables.js";
-import type { StateItem } from "./types.js";
 
 /** Puts what earlier leaders left on record into the tables of a new one. */
 export class RecordRestore {
--- a/src/core/recorder.ts
+++ b/src/core/store/record-writer.ts
@@ -1,8 +1,11 @@
-import type { Context } from "./context.js";
+import type { Context } from "../context.js";
+import type { Term } from "../election/leader-lease.js";
+import type { Tables } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import type { Placement } from "../model/placement.js";
 import { contentOf, type DirtyChunk, DirtyChunks } from "./dirty-chunks.js";
-import type { Job } from "./job.js";
 import { type Bucket, MachineRecords } from "./machine-records.js";
-import type { Placement } from "./placement.js";
+import { SetAside } from "./quarantined-keys.js";
 import {
   type ChunkRecord,
   chunkTasks,
@@ -12,9 +15,6 @@
   NO_MOVE,
   toRanges,
 } from "./records.js";
-import { SetAside } from "./set-aside.js";
-import type { Tables } from "./tables.js";
-import type { Term } from "./term.js";
 import { type Batch, emptyBatch, itemsOf, WriteAllowance } from "./write-batch.js";
 
 const CALL_MS = 1500;
--- a/src/core/records.ts
+++ b/src/core/store/records.ts
@@ -1,6 +1,6 @@
 import * as v from "valibot";
-import { bytesOf } from "./limits.js";
-import type { JobSpec, MachineType } from "./types.js";
+import type { JobSpec, MachineType } from "../types.js";
+import { bytesOf } from "./store-limits.js";
 
 /**
  * The durable records and their keys. Values carry names, never indices: they outlive every process.
--- a/src/core/reread-job.ts
+++ b/src/core/store/reread-job.ts
@@ -1,6 +1,6 @@
-import type { Context } from "./context.js";
+import type { Context } from "../context.js";
+import type { StateItem } from "../types.js";
 import { KEYS, readFinal } from "./records.js";
-import type { StateItem } from "./types.js";
 
 const CALL_MS = 3000;
 
--- a/src/core/limits.ts
+++ b/src/core/store/store-limits.ts
@@ -1,4 +1,4 @@
-import type { Deployment, StateLimits } from "./types.js";
+import type { Deployment, StateLimits } from "../types.js";
 
 /** After a 429 the lower rate is kept to for so long. */
 const THROTTLED_MS = 60_000;
--- a/src/core/stored-chunks.ts
+++ b/src/core/store/stored-chunks.ts
@@ -1,5 +1,5 @@
+import type { StateItem } from "../types.js";
 import { CHUNK_TASKS, type ChunkRecord, readChunk, readChunkKey, type TaskRange } from "./records.js";
-import type { StateItem } from "./types.js";
 
 export interface StoredPlacement {
   readonly task: number;
--- a/src/core/write-batch.ts
+++ b/src/core/store/write-batch.ts
@@ -1,10 +1,10 @@
-import type { Context } from "./context.js";
+import type { Context } from "../context.js";
+import type { Job } from "../model/job.js";
+import type { Placement } from "../model/placement.js";
+import type { StateChange, StateCondition } from "../types.js";
 import type { DirtyChunk } from "./dirty-chunks.js";
-import type { Job } from "./job.js";
 import type { Bucket } from "./machine-records.js";
-import type { Placement } from "./placement.js";
 import type { MoveRecord } from "./records.js";
-import type { StateChange, StateCondition } from "./types.js";
 
 /** The leader's part of the write limit; the rest is left to submissions and cancellations. */
 const SHARE = 0.8;
--- a/src/protocol/workers.ts
+++ b/src/protocol/agents.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import type { Directory } from "../core/names.js";
+import type { Directory } from "../core/model/interner.js";
 import type { Cause, Order, Report, ReportAnswer, ReportedTask, TaskState } from "../core/types.js";
 
 /** Workers' reports and orders. Names become indices here, wire words the terms of the domain. */
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import { offerOf } from "../core/amount.js";
+import { offerOf } from "../core/model/resources.js";
 import type { CloudAnswer, CloudCall } from "../core/types.js";
 
 const measure = v.pipe(v.number(), v.finite(), v.minValue(0));
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import { needOf } from "../core/amount.js";
+import { needOf } from "../core/model/resources.js";
 import type { JobSpec, JobView, Priority, Shape } from "../core/types.js";
 
 /** Jobs as users write them. The words of the wire end here. */
--- a/src/shell/outside.ts
+++ b/src/shell/clients.ts
@@ -1,9 +1,9 @@
 import { type Endpoint, parseEndpoint } from "../config/settings.js";
-import type { Directory } from "../core/names.js";
+import type { Directory } from "../core/model/interner.js";
 import type { CloudAnswer, CloudCall, Effect, Report, StateAnswer, StateCall } from "../core/types.js";
+import { decodeReport, encodeDo } from "../protocol/agents.js";
 import { decodeCloudAnswer, encodeCloudCall } from "../protocol/cloud.js";
-import { decodeStateAnswer, encodeStateCall } from "../protocol/state.js";
-import { decodeReport, encodeDo } from "../protocol/workers.js";
+import { decodeStateAnswer, encodeStateCall } from "../protocol/store.js";
 import { HttpClient } from "./http-client.js";
 
 const CLOUD_TIMEOUT_MS = 5000;
--- a/src/shell/loop.ts
+++ b/src/shell/loop.ts
@@ -13,11 +13,11 @@
   PeerMessage,
   UserAnswer,
 } from "../core/types.js";
-import { decodeReport, encodeReportAnswer } from "../protocol/workers.js";
+import { decodeReport, encodeReportAnswer } from "../protocol/agents.js";
 import type { RequestHandler } from "./api.js";
+import { CloudClient, StateClient, WorkerClient } from "./clients.js";
 import type { Log } from "./log.js";
 import { renderMetrics } from "./metrics.js";
-import { CloudClient, StateClient, WorkerClient } from "./outside.js";
 import { Peers } from "./peers.js";
 import { shareSockets } from "./sockets.js";
 
--- a/src/shell/peers.ts
+++ b/src/shell/peers.ts
@@ -3,7 +3,7 @@
 import * as v from "valibot";
 import type { Settings } from "../config/settings.js";
 import type { PeerMessage } from "../core/types.js";
-import { readPeerMessage } from "./peer-messages.js";
+import { readPeerMessage } from "../protocol/peers.js";
 
 const RECONNECT_MS = 1000;
 const CONNECT_TIMEOUT_MS = 1500;
--- a/src/standby/cache-feed.ts
+++ b/src/standby/cache-feed.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../core/context.js";
-import { RecordReader } from "../core/record-reader.js";
+import { RecordReader } from "../core/store/record-reader.js";
 import type { StateAnswer, StateItem } from "../core/types.js";
 import { CACHED_PREFIXES, type CachedPrefix, type RecordCache } from "./record-cache.js";
 
--- a/src/standby/succession.ts
+++ b/src/standby/failover.ts
@@ -1,9 +1,9 @@
 import type { Context } from "../core/context.js";
-import type { RecordSource } from "../core/record-reader.js";
+import type { RecordSource } from "../core/store/record-reader.js";
 import type { Effect, Order } from "../core/types.js";
+import { Takeover } from "./failover-timeline.js";
 import { type PeerStandby, standsBy, type Warmth } from "./role.js";
 import { Standby, type StandbyReport } from "./standby.js";
-import { Takeover } from "./takeover.js";
 
 /** While a peer could lead from its cache, the others leave it this long to stand first. */
 const DEFER_MS = 600;
--- a/src/standby/record-cache.ts
+++ b/src/standby/record-cache.ts
@@ -1,5 +1,5 @@
-import type { StoredRecords } from "../core/record-reader.js";
-import { KEYS } from "../core/records.js";
+import type { StoredRecords } from "../core/store/record-reader.js";
+import { KEYS } from "../core/store/records.js";
 import type { StateEvent, StateItem } from "../core/types.js";
 
 /** The records that a leader begins with, by the prefixes of their keys. */
--- a/src/standby/standby.ts
+++ b/src/standby/standby.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../core/context.js";
-import type { RecordSource } from "../core/record-reader.js";
+import type { RecordSource } from "../core/store/record-reader.js";
 import { CacheFeed } from "./cache-feed.js";
 import { RecordCache } from "./record-cache.js";
 import type { Warmth } from "./role.js";
--- a/src/standby/warm-start.ts
+++ b/src/standby/warm-start.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../core/context.js";
-import type { LoadedRecords, RecordSource } from "../core/record-reader.js";
-import { KEYS } from "../core/records.js";
+import type { LoadedRecords, RecordSource } from "../core/store/record-reader.js";
+import { KEYS } from "../core/store/records.js";
 import type { StateAnswer } from "../core/types.js";
 import { CACHED_PREFIXES, type CachedPrefix, type RecordCache } from "./record-cache.js";
 
--- a/test/admission-slices.test.ts
+++ b/test/admission-slices.test.ts
@@ -6,7 +6,7 @@
 import { policyOf } from "../src/admission/policy.js";
 import { defaultOperator, type OperatorSettings } from "../src/config/operator.js";
 import { Context } from "../src/core/context.js";
-import { Directory } from "../src/core/names.js";
+import { Directory } from "../src/core/model/interner.js";
 import { int, seeded } from "../src/core/random.js";
 import { deployment, NODES } from "./support/deployment.js";
 
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { Turns } from "../src/admission/turns.js";
+import { Turns } from "../src/admission/round-robin-turns.js";
 import type { UserAnswer } from "../src/core/types.js";
+import { readPeerMessage } from "../src/protocol/peers.js";
 import { renderMetrics } from "../src/shell/metrics.js";
-import { readPeerMessage } from "../src/shell/peer-messages.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
 import { productionHears } from "./support/production-readers.js";
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { tokenOf } from "../src/core/attempts.js";
-import { Estimates } from "../src/core/estimates.js";
-import { isAged } from "../src/core/order.js";
+import { tokenOf } from "../src/core/model/attempt-number.js";
+import { isAged } from "../src/core/scheduling/queue-order.js";
+import { Estimates } from "../src/core/scheduling/runtime-estimates.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { beat, live, settle } from "./support/scripted-agents.js";
 
--- a/test/many-machines.test.ts
+++ b/test/many-machines.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { readChunks } from "../src/core/stored-chunks.js";
+import { readChunks } from "../src/core/store/stored-chunks.js";
 import type { CloudCall, ListedMachine } from "../src/core/types.js";
 import { Bench, job } from "./support/controller-harness.js";
 
--- a/test/names.test.ts
+++ b/test/names.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Names } from "../src/core/names.js";
+import { Names } from "../src/core/model/interner.js";
 
 test("a freed index is not given out while commands mapped earlier may still carry it", () => {
   const names = new Names();
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { guaranteedJobs } from "../src/core/guarantees.js";
-import { readFinal } from "../src/core/records.js";
+import { guaranteedJobs } from "../src/core/scheduling/guaranteed-quota.js";
+import { readFinal } from "../src/core/store/records.js";
 import type { JobSpec, PeerMessage, StateCall, UserAnswer } from "../src/core/types.js";
 import { encodeView, parseJob } from "../src/protocol/jobs.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { tokenOf } from "../src/core/attempts.js";
+import { tokenOf } from "../src/core/model/attempt-number.js";
 import type { StateCall } from "../src/core/types.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { FailedFits } from "../src/core/failed-fits.js";
-import { Job } from "../src/core/job.js";
+import { Job } from "../src/core/model/job.js";
+import { FailedFits } from "../src/core/scheduling/negative-fit-cache.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
 
--- a/test/support/trace-digest.ts
+++ b/test/support/trace-digest.ts
@@ -2,10 +2,10 @@
 import { Packr } from "msgpackr";
 import type { Controller } from "../../src/core/controller.js";
 import type { Effect, UserAnswer } from "../../src/core/types.js";
+import { encodeDo, encodeReportAnswer } from "../../src/protocol/agents.js";
 import { encodeCloudCall } from "../../src/protocol/cloud.js";
 import { encodeView } from "../../src/protocol/jobs.js";
-import { encodeStateCall } from "../../src/protocol/state.js";
-import { encodeDo, encodeReportAnswer } from "../../src/protocol/workers.js";
+import { encodeStateCall } from "../../src/protocol/store.js";
 
 /**
  * Hashes every byte that leaves the nodes of a model cluster, in order and with the model's clock: calls to the
