--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -13,9 +13,9 @@
 const LEADER_FRESH_MS = 3500;
 
 export type Decision =
-  | { readonly t: "take"; readonly spent: boolean }
+  | { readonly kind: "take"; readonly spent: boolean }
   /** Not now: come back after so many seconds. */
-  | { readonly t: "wait"; readonly afterS: number };
+  | { readonly kind: "wait"; readonly afterS: number };
 
 /** By what a node decides at the moment. */
 export type AdmissionMode =
@@ -96,12 +96,12 @@
       const spent = promised === "own" || (promised === null && free >= 1);
       if (spent) this.#permits.spend(team, now);
       counts.admitted++;
-      return { t: "take", spent };
+      return { kind: "take", spent };
     }
     counts.refused++;
     const ratePerS = this.#rateOf(team);
     counts.lastWaitS = ratePerS > 0 ? this.#promises.waitS(uid, team, ratePerS, now) : ROOM_WAIT_S;
-    return { t: "wait", afterS: counts.lastWaitS };
+    return { kind: "wait", afterS: counts.lastWaitS };
   }
 
   /** What was taken was known already, or could not be written: the permit, if one was spent, is given back. */
--- a/src/admission/policy.ts
+++ b/src/admission/policy.ts
@@ -1,5 +1,5 @@
 import type { OperatorSettings } from "../config/operator.js";
-import type { Deployment } from "../core/types.js";
+import type { Deployment } from "../core/model/deployment.js";
 
 /**
  * What a job takes of the state service's changes in its life is about six: the submission, a start, its done mark, its
@@ -34,8 +34,8 @@
 /** Weights are the operators', or else the teams' guaranteed CPUs, one at least: nobody is left out but by the operators. */
 export function policyOf(settings: OperatorSettings, deployment: Deployment): AdmissionPolicy {
   const writes = Math.min(
-    deployment.stateWriteRps,
-    deployment.stateNext?.writeRps ?? Number.POSITIVE_INFINITY,
+    deployment.storeWriteRps,
+    deployment.nextStoreLimits?.writeRps ?? Number.POSITIVE_INFINITY,
   );
   const rate = settings.admission_rate > 0 ? settings.admission_rate : writes / CHANGES_A_JOB;
   const weights = deployment.teams.map(
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,8 +1,8 @@
 import { readFileSync } from "node:fs";
 import { parse } from "smol-toml";
 import * as v from "valibot";
+import type { Deployment, StoreLimits } from "../core/model/deployment.js";
 import { needOf, offerOf } from "../core/model/resources.js";
-import type { Deployment, StateLimits } from "../core/types.js";
 
 const text = v.pipe(v.string(), v.nonEmpty());
 const endpoint = v.pipe(v.string(), v.regex(/^[^\s:]+:\d{1,5}$/, "must be host:port"));
@@ -113,7 +113,7 @@
 }
 
 /** The limits to come; what they don't name stays as it is. */
-function nextLimits(state: v.InferOutput<typeof schema>["deployment"]["state"]): StateLimits | null {
+function nextLimits(state: v.InferOutput<typeof schema>["deployment"]["state"]): StoreLimits | null {
   const { next } = state;
   if (!next) return null;
   return {
@@ -183,16 +183,16 @@
         withinS: o.within_s,
         share: o.share,
       })),
-      reportS: d.workers.report_s,
+      heartbeatIntervalS: d.workers.report_s,
       leaseS: d.workers.lease_s,
       gangWaitS: d.workers.gang_wait_s,
       gangPeerS: d.workers.gang_peer_s,
       cancelS: d.workers.cancel_s,
-      stateRps: d.state.rps,
-      stateWriteRps: d.state.write_rps,
+      storeRps: d.state.rps,
+      storeWriteRps: d.state.write_rps,
       valueBytes: d.state.value_kb * 1024,
       txnOps: d.state.txn_ops,
-      stateNext: nextLimits(d.state),
+      nextStoreLimits: nextLimits(d.state),
       cloudRps: d.cloud.rps,
       listLagS: d.cloud.list_lag_s,
     },
--- a/src/core/administration.ts
+++ b/src/core/administration.ts
@@ -1,14 +1,14 @@
 import { changeOperator, readOperator } from "../config/operator.js";
 import type { Context } from "./context.js";
 import { later } from "./jobs/submissions.js";
+import type { AdminRequest, AdminResponse } from "./messages/administration.js";
 import type { ConfigView } from "./store/config-watch.js";
 import { KEYS } from "./store/records.js";
 import { bytesOf } from "./store/store-limits.js";
-import type { AdminAnswer, AdminAsk } from "./types.js";
 
 const CALL_MS = 1500;
 
-type Answer = (answer: AdminAnswer) => void;
+type Answer = (answer: AdminResponse) => void;
 
 /** The operators' requests, on every node: their settings, the modes of machines, the status. */
 export class Administration {
@@ -22,23 +22,23 @@
     this.#status = status;
   }
 
-  handle(ask: AdminAsk, answer: Answer): void {
-    switch (ask.t) {
-      case "settings":
-        this.#ctx.state({ t: "get", key: KEYS.settings }, CALL_MS, (got) => {
-          if (got.t === "item") answer({ t: "ok", body: { ...readOperator(got.item.value) } });
-          else if (got.t === "absent") answer({ t: "ok", body: { ...readOperator(null) } });
+  handle(ask: AdminRequest, answer: Answer): void {
+    switch (ask.kind) {
+      case "getSettings":
+        this.#ctx.state({ kind: "get", key: KEYS.settings }, CALL_MS, (got) => {
+          if (got.kind === "found") answer({ kind: "ok", body: { ...readOperator(got.entry.value) } });
+          else if (got.kind === "notFound") answer({ kind: "ok", body: { ...readOperator(null) } });
           else answer(later("the state service does not answer"));
         });
         break;
-      case "change":
+      case "changeSettings":
         this.#changeSettings(ask.values, answer);
         break;
-      case "machine":
+      case "setMachineMode":
         this.#changeMode(ask.name, ask.mode, answer);
         break;
-      case "status":
-        answer({ t: "ok", body: this.#status() });
+      case "getStatus":
+        answer({ kind: "ok", body: this.#status() });
         break;
       default:
         ask satisfies never;
@@ -46,22 +46,22 @@
   }
 
   #changeSettings(values: Record<string, unknown>, answer: Answer): void {
-    this.#ctx.state({ t: "get", key: KEYS.settings }, CALL_MS, (got) => {
-      if (got.t !== "item" && got.t !== "absent") {
+    this.#ctx.state({ kind: "get", key: KEYS.settings }, CALL_MS, (got) => {
+      if (got.kind !== "found" && got.kind !== "notFound") {
         answer(later("the state service does not answer"));
         return;
       }
-      const result = changeOperator(readOperator(got.t === "item" ? got.item.value : null), values);
+      const result = changeOperator(readOperator(got.kind === "found" ? got.entry.value : null), values);
       if (!result.ok) {
-        answer({ t: "bad", error: result.error });
+        answer({ kind: "invalid", error: result.error });
         return;
       }
       const unknown = this.#unknownTeam(values.admission_weights);
       if (unknown !== undefined) {
-        answer({ t: "bad", error: `admission_weights: there is no team ${unknown}` });
+        answer({ kind: "invalid", error: `admission_weights: there is no team ${unknown}` });
         return;
       }
-      const version = got.t === "item" ? got.item.version : 0;
+      const version = got.kind === "found" ? got.entry.version : 0;
       this.#writeConfig(KEYS.settings, version, result.settings, answer, { ...result.settings });
     });
   }
@@ -86,23 +86,29 @@
     answer: Answer,
     body: Record<string, unknown>,
   ): void {
-    const tooLarge: AdminAnswer = { t: "bad", error: "too much to be kept in one record" };
+    const tooLarge: AdminResponse = { kind: "invalid", error: "too much to be kept in one record" };
     if (bytesOf(value) > this.#ctx.limits.valueBytes) {
       answer(tooLarge);
       return;
     }
     const conditions = [{ key, version }];
-    this.#ctx.state({ t: "txn", conditions, changes: [{ put: key, value }] }, CALL_MS, (result) => {
-      if (result.t === "ok") {
-        this.#view.note({ key, value, version: result.revision });
-        answer({ t: "ok", body });
-      } else if (result.t === "invalid") {
-        answer(tooLarge);
-      } else {
-        answer(
-          later(result.t === "conflict" ? "changed at the same time" : "the state service does not answer"),
-        );
-      }
-    });
+    this.#ctx.state(
+      { kind: "transaction", conditions, changes: [{ put: key, value }] },
+      CALL_MS,
+      (result) => {
+        if (result.kind === "ok") {
+          this.#view.note({ key, value, version: result.revision });
+          answer({ kind: "ok", body });
+        } else if (result.kind === "invalid") {
+          answer(tooLarge);
+        } else {
+          answer(
+            later(
+              result.kind === "conflict" ? "changed at the same time" : "the state service does not answer",
+            ),
+          );
+        }
+      },
+    );
   }
 }
--- a/src/core/agents/agent-manager.ts
+++ b/src/core/agents/agent-manager.ts
@@ -2,14 +2,15 @@
 import type { Leadership } from "../election/election.js";
 import type { Term } from "../election/leader-lease.js";
 import { DRIFT } from "../election/lease-renewal-policy.js";
+import type { AgentCommand, Heartbeat, HeartbeatReply, ReportedTask } from "../messages/agents.js";
 import { tokenOf } from "../model/attempt-number.js";
 import type { Tables } from "../model/cluster-state.js";
+import type { ExitReason } from "../model/job-spec.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import { add, ZERO } from "../model/resources.js";
 import { noteFetch, noteImage } from "../scheduling/image-caches.js";
 import type { Recorder } from "../store/record-writer.js";
-import type { Cause, Order, Report, ReportAnswer, ReportedTask } from "../types.js";
 import { WorkerOrders } from "./command-planner.js";
 import { Fencing } from "./fencing-queue.js";
 import { Contact } from "./reachability-tracker.js";
@@ -19,7 +20,7 @@
 
 export interface FleetEvents {
   /** A placement is proved gone; the tables no longer hold it. */
-  gone(placement: Placement, cause: Cause | "lost"): void;
+  gone(placement: Placement, cause: ExitReason | "lost"): void;
   /** A replica or task was seen running for the first time. */
   started(placement: Placement): void;
   changed(): void;
@@ -68,17 +69,17 @@
   }
 
   /** A report that this node answers as leader. */
-  answer(report: Report): ReportAnswer {
+  answer(report: Heartbeat): HeartbeatReply {
     const machine = this.#take(report, false);
-    if (!machine || this.#leadership.term !== this.#term) return { t: "later" };
+    if (!machine || this.#leadership.term !== this.#term) return { kind: "unavailable" };
     // Every answer renews the lease, also one to a report that a direct answer has overtaken.
     machine.answeredAt = this.#ctx.now;
     const orders = this.loaded ? this.#orders.for(machine) : [];
     this.#contact.answered(machine);
-    return { t: "orders", token: this.#term.token, orders };
+    return { kind: "commands", fencingToken: this.#term.token, commands: orders };
   }
 
-  doAnswered(id: number, report: Report | null, executed: boolean): void {
+  doAnswered(id: number, report: Heartbeat | null, executed: boolean): void {
     const machine = this.#doWaiting.get(id);
     if (!machine) return;
     this.#doWaiting.delete(id);
@@ -87,7 +88,8 @@
       this.#take(report, true);
       if (this.#leadership.term !== this.#term) return;
       // A refusal for another session executed nothing: show the token again, now that the session is known.
-      if (!executed && machine.adoptedAt === null && report.session === machine.session) this.fence(machine);
+      if (!executed && machine.adoptedAt === null && report.incarnation === machine.session)
+        this.fence(machine);
       if (executed) this.#contact.markReachable(machine);
     } else {
       machine.doRetryAt = this.#ctx.now + DO_RETRY_MS;
@@ -98,25 +100,25 @@
    * Takes in a report; what it says counts only if it is newer than what is known. The answer to a direct command is no
    * sign that the worker can report: one that can't gets no work, and loses what it has with its lease.
    */
-  #take(report: Report, direct: boolean): Machine | null {
+  #take(report: Heartbeat, direct: boolean): Machine | null {
     const { now } = this.#ctx;
     const name = this.#ctx.directory.machines.name(report.machine);
-    this.#leadership.sawToken(report.token);
+    this.#leadership.sawToken(report.fencingToken);
     if (this.#leadership.term !== this.#term) return null;
     // A copy that comes late, after its machine's release, must not bring the machine back.
     const known = this.#tables.machines.has(report.machine);
     if (!known && this.#tables.released.has(name)) return null;
     const machine = this.#tables.machine(name, report, now);
     const newer =
-      report.session > machine.session ||
-      (report.session === machine.session && report.sequence > machine.sequence);
+      report.incarnation > machine.session ||
+      (report.incarnation === machine.session && report.sequence > machine.sequence);
     if (!newer) return machine;
     if (machine.phase === "booting") {
       machine.phase = "up";
       this.#ctx.log("debug", "machine up", { machine: name, type: machine.typeName, zone: machine.zone });
       this.#events.changed();
     }
-    if (report.session > machine.session) {
+    if (report.incarnation > machine.session) {
       machine.sessionSince = now;
       // Its lease ran out although it was answered: the answers don't reach it.
       const answered = now - machine.answeredAt < this.#ctx.deployment.leaseS * 1000;
@@ -124,9 +126,9 @@
         this.#contact.markUnreachable(machine, "its lease ran out under answers");
     }
     this.#contact.judge(machine, report);
-    machine.session = report.session;
+    machine.session = report.incarnation;
     machine.sequence = report.sequence;
-    machine.token = report.token;
+    machine.token = report.fencingToken;
     if (!direct) {
       machine.heardAt = now;
       if (machine.lost) {
@@ -136,18 +138,18 @@
     }
     // Only a worker that carries a token of this term has shut out all earlier leaders.
     if (machine.adoptedAt === null) {
-      if (report.token >= this.#term.firstToken) {
+      if (report.fencingToken >= this.#term.firstToken) {
         machine.adoptedAt = now;
         this.#fencing.remove(machine);
         this.#events.changed();
       }
     }
-    if (report.noticeS !== null) {
+    if (report.reclaimNoticeS !== null) {
       if (machine.noticeUntil === null) {
-        this.#ctx.log("info", "machine will be taken back", { machine: name, in_s: report.noticeS });
+        this.#ctx.log("info", "machine will be taken back", { machine: name, in_s: report.reclaimNoticeS });
         this.#events.changed();
       }
-      machine.noticeUntil = now + report.noticeS * 1000;
+      machine.noticeUntil = now + report.reclaimNoticeS * 1000;
     }
     const before = machine.report;
     machine.report = report;
@@ -175,7 +177,7 @@
     let stray = ZERO;
     for (const placement of [...machine.placements]) {
       const entry = reported.get(placement.job.ix)?.get(placement.task);
-      if (report.session > placement.session) {
+      if (report.incarnation > placement.session) {
         this.#gone(placement, "lost");
       } else if (entry && entry.attempt === placement.attempt) {
         this.#seen(placement, entry);
@@ -197,9 +199,11 @@
    * "Not in the report" proves nothing while a start may be on its way. A start sent under an older token
    * than the worker carries can no longer be executed.
    */
-  #provedAbsent(machine: Machine, placement: Placement, report: Report): boolean {
+  #provedAbsent(machine: Machine, placement: Placement, report: Heartbeat): boolean {
     return (
-      machine.adoptedAt !== null && report.token > placement.sentToken && this.#sentOrInherited(placement)
+      machine.adoptedAt !== null &&
+      report.fencingToken > placement.sentToken &&
+      this.#sentOrInherited(placement)
     );
   }
 
@@ -214,7 +218,7 @@
     placement.seen = entry.state;
     if (before === null && placement.sentToken > 0) this.#contact.markReachable(placement.machine);
     if (entry.state === "ended") {
-      this.#gone(placement, entry.cause ?? "error");
+      this.#gone(placement, entry.exitReason ?? "error");
       return;
     }
     const { machine, job } = placement;
@@ -230,7 +234,7 @@
     }
   }
 
-  #gone(placement: Placement, cause: Cause | "lost"): void {
+  #gone(placement: Placement, cause: ExitReason | "lost"): void {
     this.#tables.unplace(placement, this.#ctx.now);
     this.#events.gone(placement, cause);
   }
@@ -276,18 +280,18 @@
     }
   }
 
-  #sendDo(machine: Machine, session: number, orders: readonly Order[]): void {
+  #sendDo(machine: Machine, session: number, orders: readonly AgentCommand[]): void {
     const id = this.#ctx.nextId();
     machine.doInFlight = true;
     this.#doWaiting.set(id, machine);
     this.#ctx.emit({
-      t: "do",
+      kind: "sendAgentCommands",
       id,
       machine: machine.ix,
       address: machine.address,
-      token: this.#term.token,
-      session,
-      orders,
+      fencingToken: this.#term.token,
+      incarnation: session,
+      commands: orders,
     });
   }
 
@@ -335,8 +339,11 @@
 }
 
 /** True if a report tells nothing that the one before did not tell. */
-function saysTheSame(before: Report, { session, token, tasks }: Report): boolean {
-  if (before.session !== session || before.token !== token || before.tasks.length !== tasks.length)
+function saysTheSame(
+  before: Heartbeat,
+  { incarnation: session, fencingToken: token, tasks }: Heartbeat,
+): boolean {
+  if (before.incarnation !== session || before.fencingToken !== token || before.tasks.length !== tasks.length)
     return false;
   return tasks.every((entry, i) => {
     const other = before.tasks[i];
--- a/src/core/agents/command-planner.ts
+++ b/src/core/agents/command-planner.ts
@@ -1,12 +1,12 @@
 import type { Context } from "../context.js";
 import type { Leadership } from "../election/election.js";
 import type { Term } from "../election/leader-lease.js";
+import type { AgentCommand, Heartbeat } from "../messages/agents.js";
 import { tokenOf } from "../model/attempt-number.js";
 import type { Tables } from "../model/cluster-state.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import type { Recorder } from "../store/record-writer.js";
-import type { Order, Report } from "../types.js";
 
 const RESEND_MS = 1000;
 /** Starts are sent on knowledge of the job's key no older than this: a few rounds of following it. */
@@ -39,8 +39,8 @@
   }
 
   /** The orders a report is answered with; also what a direct command carries. */
-  for(machine: Machine): Order[] {
-    const orders: Order[] = [];
+  for(machine: Machine): AgentCommand[] {
+    const orders: AgentCommand[] = [];
     const { now } = this.#ctx;
     const { report } = machine;
     const starting = this.#leadership.confirmed;
@@ -61,15 +61,15 @@
       if (unseen && now - placement.sentAt >= (placement.stop ? 0 : RESEND_MS)) {
         placement.sentAt = now;
         placement.sentToken = token;
-        orders.push({ op: "start", job: job.ix, task, attempt });
+        orders.push({ kind: "start", job: job.ix, task, attempt });
       }
       const { stop } = placement;
       if (stop && now - stop.sentAt >= RESEND_MS && !(placement.seen === "saving" && stop.graceS > 0)) {
         stop.sentAt = now;
-        orders.push({ op: "stop", job: job.ix, task, attempt, graceS: stop.graceS });
+        orders.push({ kind: "stop", job: job.ix, task, attempt, graceS: stop.graceS });
       }
     }
-    if (report && report.session === machine.session) this.#tidy(machine, report, orders);
+    if (report && report.incarnation === machine.session) this.#tidy(machine, report, orders);
     return orders;
   }
 
@@ -93,7 +93,7 @@
   }
 
   /** Strays are stopped; ended attempts are cleared once no start for them can still arrive. */
-  #tidy(machine: Machine, report: Report, orders: Order[]): void {
+  #tidy(machine: Machine, report: Heartbeat, orders: AgentCommand[]): void {
     for (const entry of report.tasks) {
       const job = this.#tables.jobs.get(entry.job);
       const placement = job?.held.get(entry.task);
@@ -102,14 +102,14 @@
       if (ours || (job?.unreadable && job.state === "active")) continue;
       const { job: ix, task, attempt } = entry;
       if (entry.state !== "ended") {
-        orders.push({ op: "stop", job: ix, task, attempt, graceS: 0 });
+        orders.push({ kind: "stop", job: ix, task, attempt, graceS: 0 });
       } else if (
         tokenOf(attempt) < machine.token &&
         machine.token === this.#term.token &&
         !(job && this.#recorder.isDirty(job, task))
       ) {
         // Repeats of starts that were carried out may arrive late; this worker refuses them by their token.
-        orders.push({ op: "forget", job: ix, task, attempt });
+        orders.push({ kind: "acknowledge", job: ix, task, attempt });
       }
     }
   }
--- a/src/core/agents/fencing-queue.ts
+++ b/src/core/agents/fencing-queue.ts
@@ -49,7 +49,7 @@
     const stepMs = Math.min(LONGEST_STEP_MS, now - this.#steppedAt);
     this.#steppedAt = now;
     if (this.#waiting.size === 0) return;
-    if (now - this.#term.since < deployment.reportS * GRACE_REPORTS * 1000) return;
+    if (now - this.#term.since < deployment.heartbeatIntervalS * GRACE_REPORTS * 1000) return;
     this.#sort();
     const mostAtOnce = Math.ceil((this.#perSecond * LONGEST_STEP_MS) / 1000);
     this.#allowance = Math.min(mostAtOnce, this.#allowance + (this.#perSecond * stepMs) / 1000);
--- a/src/core/agents/heartbeat-router.ts
+++ b/src/core/agents/heartbeat-router.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { Report, ReportAnswer } from "../types.js";
+import type { Heartbeat, HeartbeatReply } from "../messages/agents.js";
 
 /** Without a leader a report waits this long for one: workers give up after 4 s. */
 const HOLD_REPORT_MS = 2000;
@@ -8,7 +8,7 @@
 
 export interface RouterEvents {
   /** The answer, if this node leads and may give one. */
-  leaderAnswer(report: Report): ReportAnswer | null;
+  leaderAnswer(report: Heartbeat): HeartbeatReply | null;
   isLeader(): boolean;
   /** The node that leads, by the state service. */
   leader(): string | null;
@@ -18,7 +18,7 @@
 
 interface Waiting {
   readonly req: number;
-  readonly report: Report;
+  readonly report: Heartbeat;
   readonly raw: unknown;
   readonly until: number;
 }
@@ -38,20 +38,20 @@
     this.#events = events;
   }
 
-  take(req: number, report: Report, raw: unknown): void {
-    const { machine, session, sequence } = report;
+  take(req: number, report: Heartbeat, raw: unknown): void {
+    const { machine, incarnation: session, sequence } = report;
     if (!this.#isLate(report)) {
       this.#newest.set(machine, { session, sequence });
       this.#reporters.set(machine, this.#ctx.now);
     } else if (!this.#events.isLeader()) {
-      this.#ctx.emit({ t: "reportAnswer", req, answer: { t: "later" } });
+      this.#ctx.emit({ kind: "replyToAgent", requestId: req, reply: { kind: "unavailable" } });
       return;
     }
     const waiting = { req, report, raw, until: this.#ctx.now + HOLD_REPORT_MS };
     if (!this.#try(waiting)) this.#waiting.push(waiting);
   }
 
-  #isLate({ machine, session, sequence }: Report): boolean {
+  #isLate({ machine, incarnation: session, sequence }: Heartbeat): boolean {
     const newest = this.#newest.get(machine);
     if (newest === undefined) return false;
     return session < newest.session || (session === newest.session && sequence <= newest.sequence);
@@ -61,15 +61,16 @@
   #try({ req, report, raw }: Waiting): boolean {
     const answer = this.#events.leaderAnswer(report);
     if (answer) {
-      this.#ctx.emit({ t: "reportAnswer", req, answer });
+      this.#ctx.emit({ kind: "replyToAgent", requestId: req, reply: answer });
       return true;
     }
     const leader = this.#events.leader();
     if (leader === null || leader === this.#ctx.deployment.node) return false;
     // Every node takes reports and passes them on: HTTP is most of what a report costs, and one node's share of a
     // core can't bear a large fleet's after a change of leader. A worker goes to the leader if this node can't.
-    if (this.#events.isHeard(leader)) this.#ctx.emit({ t: "relay", req, to: leader, raw });
-    else this.#ctx.emit({ t: "reportAnswer", req, answer: { t: "elsewhere", node: leader } });
+    if (this.#events.isHeard(leader))
+      this.#ctx.emit({ kind: "forwardHeartbeat", requestId: req, to: leader, body: raw });
+    else this.#ctx.emit({ kind: "replyToAgent", requestId: req, reply: { kind: "redirect", node: leader } });
     return true;
   }
 
@@ -81,8 +82,8 @@
       if (this.#try(entry)) continue;
       if (this.#ctx.now < entry.until) this.#waiting.push(entry);
       else {
-        const answer = { t: "elsewhere", node: null } as const;
-        this.#ctx.emit({ t: "reportAnswer", req: entry.req, answer });
+        const answer = { kind: "redirect", node: null } as const;
+        this.#ctx.emit({ kind: "replyToAgent", requestId: entry.req, reply: answer });
       }
     }
   }
--- a/src/core/agents/reachability-tracker.ts
+++ b/src/core/agents/reachability-tracker.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
 import type { Term } from "../election/leader-lease.js";
+import type { Heartbeat } from "../messages/agents.js";
 import type { Machine } from "../model/machine.js";
-import type { Report } from "../types.js";
 import type { Fencing } from "./fencing-queue.js";
 
 /** What was sent is given this long to show, and at least so many report intervals. */
@@ -32,18 +32,18 @@
   }
 
   #owes(machine: Machine): boolean {
-    if (machine.report && machine.report.token < this.#term.token) return true;
+    if (machine.report && machine.report.fencingToken < this.#term.token) return true;
     for (const p of machine.placements) if (p.seen === null && p.sentToken > 0) return true;
     return false;
   }
 
   /** Judges a new report against the one before it. */
-  judge(machine: Machine, report: Report): void {
+  judge(machine: Machine, report: Heartbeat): void {
     const { now, deployment } = this.#ctx;
     const before = machine.report;
-    if (before && report.token > before.token) this.markReachable(machine);
+    if (before && report.fencingToken > before.fencingToken) this.markReachable(machine);
     if (machine.owedSince === null) return;
-    const patienceMs = Math.max(OWED_MS, deployment.reportS * OWED_REPORTS * 1000);
+    const patienceMs = Math.max(OWED_MS, deployment.heartbeatIntervalS * OWED_REPORTS * 1000);
     if (now - machine.owedSince > patienceMs) this.markUnreachable(machine, "nothing sent to it shows");
   }
 
--- a/src/core/agents/task-outcome.ts
+++ b/src/core/agents/task-outcome.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
+import type { ExitReason } from "../model/job-spec.js";
 import type { Placement } from "../model/placement.js";
 import type { Recorder } from "../store/record-writer.js";
-import type { Cause } from "../types.js";
 import { noteFailure } from "./failure-tracking.js";
 
 /** A machine that refused a start for want of room, or for its former copy, gets nothing for so long. */
@@ -14,7 +14,7 @@
   ctx: Context,
   recorder: Recorder,
   placement: Placement,
-  cause: Cause | "lost",
+  cause: ExitReason | "lost",
 ): void {
   const { job, machine, task } = placement;
   const { now } = ctx;
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -1,7 +1,8 @@
 import type { Context } from "../context.js";
+import type { CloudMachine } from "../messages/cloud.js";
 import type { Tables } from "../model/cluster-state.js";
+import type { MachineType } from "../model/deployment.js";
 import type { Machine } from "../model/machine.js";
-import type { ListedMachine, MachineType } from "../types.js";
 
 const LIST_MS = 4000;
 const TYPES_MS = 60_000;
@@ -71,8 +72,8 @@
 
   #readTypes(): void {
     this.#typesAt = this.#ctx.now;
-    this.#ctx.cloud({ t: "types" }, (answer) => {
-      if (answer.t === "types") this.#events.typesRead(answer.types);
+    this.#ctx.cloud({ kind: "listTypes" }, (answer) => {
+      if (answer.kind === "types") this.#events.typesRead(answer.types);
     });
   }
 
@@ -81,9 +82,9 @@
    * of a large fleet would never come to its end beside other calls.
    */
   #page(after: string | null): void {
-    this.#ctx.cloud({ t: "list", after }, (answer) => {
+    this.#ctx.cloud({ kind: "list", after }, (answer) => {
       if (this.#stopped) return;
-      if (answer.t !== "page") {
+      if (answer.kind !== "page") {
         this.#resume = { after, at: this.#ctx.now + PAGE_RETRY_MS };
         return;
       }
@@ -108,7 +109,7 @@
   }
 
   /** The list lags and may step back: it adds machines, but its silence proves nothing by itself. */
-  #listed(listed: ListedMachine): void {
+  #listed(listed: CloudMachine): void {
     const ix = this.#ctx.directory.machines.find(listed.name);
     const known = ix === undefined ? undefined : this.#tables.machines.get(ix);
     // An old list may still show a machine that has been released; one that answers nothing is released again.
--- a/src/core/autoscaling/gpu-headroom.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -1,15 +1,16 @@
 import type { Context } from "../context.js";
 import type { Tables } from "../model/cluster-state.js";
+import type { MachineType } from "../model/deployment.js";
 import type { Job } from "../model/job.js";
 import { type Machine, suitsType } from "../model/machine.js";
+import type { Resources } from "../model/resources.js";
 import { times } from "../model/resources.js";
 import { hasAim } from "../scheduling/queue-order.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
-import type { Amount, MachineType } from "../types.js";
 
 interface Kind {
   /** The largest GPU task seen that goes on this type: what small work must leave room for. */
-  need: Amount | null;
+  need: Resources | null;
   /** Slots asked for, and when. */
   arrivals: { at: number; slots: number }[];
   imageGb: number;
@@ -198,7 +199,7 @@
   }
 }
 
-function larger(a: Amount | null, b: Amount): Amount {
+function larger(a: Resources | null, b: Resources): Resources {
   if (!a) return b;
   return { cpu: Math.max(a.cpu, b.cpu), gpu: Math.max(a.gpu, b.gpu), ram: Math.max(a.ram, b.ram) };
 }
--- a/src/core/autoscaling/machine-reaper.ts
+++ b/src/core/autoscaling/machine-reaper.ts
@@ -36,7 +36,7 @@
   tick(): void {
     const { now, settings, deployment } = this.#ctx;
     const up = [...this.#tables.machines.values()].filter((m) => m.phase === "up");
-    const silentMs = deployment.reportS * 2600 + 700;
+    const silentMs = deployment.heartbeatIntervalS * 2600 + 700;
     const silent = up.filter((m) => now - m.heardAt > silentMs).length;
     const fewUnreachable = up.filter((m) => m.unreachableSince !== null).length <= Math.max(1, up.length / 3);
     // When most are silent it is this node that is cut off, not the machines that are gone.
@@ -95,7 +95,7 @@
   /** Zones most of whose machines have missed a report at the same time. */
   #cutZones(up: readonly Machine[]): Set<string> {
     const { now, deployment } = this.#ctx;
-    const missedMs = deployment.reportS * 1500;
+    const missedMs = deployment.heartbeatIntervalS * 1500;
     const counts = new Map<string, { all: number; quiet: number }>();
     for (const { zone, heardAt } of up) {
       const count = counts.get(zone) ?? { all: 0, quiet: 0 };
--- a/src/core/autoscaling/provisioner.ts
+++ b/src/core/autoscaling/provisioner.ts
@@ -2,12 +2,12 @@
 import type { Context } from "../context.js";
 import type { Term } from "../election/leader-lease.js";
 import type { Tables } from "../model/cluster-state.js";
+import type { MachineType } from "../model/deployment.js";
 import type { Job } from "../model/job.js";
 import { type Machine, suitsType } from "../model/machine.js";
 import { fits, times } from "../model/resources.js";
 import type { Blocked, Scheduler } from "../scheduling/scheduler.js";
 import type { Recorder } from "../store/record-writer.js";
-import type { MachineType } from "../types.js";
 import { CloudInventory } from "./cloud-inventory.js";
 import { GpuReserve } from "./gpu-headroom.js";
 import { MachineWatch } from "./machine-reaper.js";
@@ -101,10 +101,10 @@
     }
     if (due.length === 0) return;
     this.#releasing = true;
-    this.#ctx.cloud({ t: "release", machines: due.map((m) => m.name) }, (answer) => {
+    this.#ctx.cloud({ kind: "delete", machines: due.map((m) => m.name) }, (answer) => {
       this.#releasing = false;
       for (const machine of due) {
-        if (answer.t !== "released") {
+        if (answer.kind !== "deleted") {
           machine.releaseRetryAt = this.#ctx.now + RELEASE_RETRY_MS;
           continue;
         }
@@ -295,15 +295,15 @@
     const { offer, count, request } = hire;
     const { type, zone, spot } = offer;
     const key = keyOf(offer);
-    this.#ctx.cloud({ t: "hire", request, type: type.name, zone, spot, count }, (answer) => {
+    this.#ctx.cloud({ kind: "create", requestId: request, type: type.name, zone, spot, count }, (answer) => {
       const { now } = this.#ctx;
-      if (answer.t === "silent" && hire.tries > 1) {
+      if (answer.kind === "timeout" && hire.tries > 1) {
         // It may have been carried out: under the same name it rents nothing more, and tells what it rented.
         this.#unanswered.push({ at: now + HIRE_RETRY_MS, hire: { ...hire, tries: hire.tries - 1 } });
         return;
       }
       this.#hiring.delete(key);
-      if (answer.t === "hired") {
+      if (answer.kind === "created") {
         this.#ctx.log("info", "machines hired", {
           type: type.name,
           zone,
@@ -317,7 +317,7 @@
         if (answer.machines.length < count) this.#refuse(key);
         else this.#refused.delete(key);
       } else {
-        if (answer.t === "no_capacity")
+        if (answer.kind === "noCapacity")
           this.#ctx.log("debug", "no capacity", { type: type.name, zone, spot });
         this.#refuse(key);
       }
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -1,17 +1,12 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import { defaultOperator, type OperatorSettings } from "../config/operator.js";
+import type { CloudRequest, CloudResponse } from "./messages/cloud.js";
+import type { Effect, LogLevel } from "./messages/effects.js";
+import type { StoreRequest, StoreResponse } from "./messages/store.js";
+import type { Deployment } from "./model/deployment.js";
 import type { Directory } from "./model/interner.js";
 import { Estimates } from "./scheduling/runtime-estimates.js";
 import { Limits } from "./store/store-limits.js";
-import type {
-  CloudAnswer,
-  CloudCall,
-  Deployment,
-  Effect,
-  LogLevel,
-  StateAnswer,
-  StateCall,
-} from "./types.js";
 
 /** Says when a round has used its time; the shell brings the clock, tests bring a counter. */
 export interface Budget {
@@ -31,8 +26,8 @@
   fairTurns = false;
   #effects: Effect[] = [];
   #nextId = 1;
-  readonly #stateWaiting = new Map<number, (answer: StateAnswer) => void>();
-  readonly #cloudWaiting = new Map<number, (answer: CloudAnswer) => void>();
+  readonly #stateWaiting = new Map<number, (answer: StoreResponse) => void>();
+  readonly #cloudWaiting = new Map<number, (answer: CloudResponse) => void>();
   /** When the state service last answered this node, and last refused it or kept silent. */
   stateAnsweredAt = Number.NEGATIVE_INFINITY;
   stateFailingSince: number | null = null;
@@ -67,24 +62,24 @@
   }
 
   /** Each call gets exactly one answer; the shell answers "silent" for those that time out. */
-  state(call: StateCall, timeoutMs: number, then: (answer: StateAnswer) => void): void {
+  state(call: StoreRequest, timeoutMs: number, then: (answer: StoreResponse) => void): void {
     const id = this.nextId();
     this.#stateWaiting.set(id, then);
-    this.emit({ t: "state", id, call, timeoutMs });
+    this.emit({ kind: "callStore", id, request: call, timeoutMs });
   }
 
-  cloud(call: CloudCall, then: (answer: CloudAnswer) => void): void {
+  cloud(call: CloudRequest, then: (answer: CloudResponse) => void): void {
     const id = this.nextId();
     this.#cloudWaiting.set(id, then);
-    this.emit({ t: "cloud", id, call });
+    this.emit({ kind: "callCloud", id, request: call });
   }
 
-  stateAnswered(id: number, answer: StateAnswer): void {
+  stateAnswered(id: number, answer: StoreResponse): void {
     const then = this.#stateWaiting.get(id);
     if (!then) return;
     this.#stateWaiting.delete(id);
-    if (answer.t === "throttled") this.limits.throttled(this.now);
-    if (answer.t === "silent" || answer.t === "refused" || answer.t === "throttled") {
+    if (answer.kind === "throttled") this.limits.throttled(this.now);
+    if (answer.kind === "timeout" || answer.kind === "unavailable" || answer.kind === "throttled") {
       this.stateFailingSince ??= this.now;
     } else {
       this.stateAnsweredAt = this.now;
@@ -93,7 +88,7 @@
     then(answer);
   }
 
-  cloudAnswered(id: number, answer: CloudAnswer): void {
+  cloudAnswered(id: number, answer: CloudResponse): void {
     const then = this.#cloudWaiting.get(id);
     if (!then) return;
     this.#cloudWaiting.delete(id);
@@ -101,6 +96,6 @@
   }
 
   log(level: LogLevel, text: string, data: Record<string, unknown> = {}): void {
-    this.emit({ t: "log", level, text, data });
+    this.emit({ kind: "log", level, text, data });
   }
 }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -10,6 +10,13 @@
 import { Intake } from "./jobs/submissions.js";
 import { leaderStatus } from "./leader-status.js";
 import { LeaderTerm } from "./leader-term.js";
+import type { Heartbeat, HeartbeatReply } from "./messages/agents.js";
+import type { Command } from "./messages/commands.js";
+import type { Effect } from "./messages/effects.js";
+import type { PeerMessage } from "./messages/peers.js";
+import type { StoreEntry } from "./messages/store.js";
+import type { UserResponse } from "./messages/users.js";
+import type { Deployment } from "./model/deployment.js";
 import { Directory } from "./model/interner.js";
 import { PeerTable } from "./peer-table.js";
 import { seeded } from "./random.js";
@@ -17,7 +24,6 @@
 import { ConfigView } from "./store/config-watch.js";
 import { FeatureGate } from "./store/feature-gate.js";
 import { KEYS, PROTOCOL } from "./store/records.js";
-import type { Command, Deployment, Effect, PeerMessage, Report, ReportAnswer, StateItem } from "./types.js";
 
 const HEARTBEAT_MS = 1000;
 /** A leader that has heard none of at least so many machines for so many report intervals is cut off from them. */
@@ -96,7 +102,7 @@
     });
     this.gate = new FeatureGate(this.ctx, this.view, () => this.leadership.term);
     const intakeEvents = {
-      learned: (item: StateItem, cancelled: boolean) => this.#learned(item, cancelled),
+      learned: (item: StoreEntry, cancelled: boolean) => this.#learned(item, cancelled),
       oldPeerHeard: () => !this.gate.isOpen && this.#peers.anyOld((node) => this.gate.isOld(node)),
       counts: (uid: string) => this.leaderTerm?.counts(uid) ?? this.#progress.get(uid) ?? null,
     };
@@ -151,45 +157,45 @@
   }
 
   #one(command: Command, budget: Budget): void {
-    switch (command.t) {
+    switch (command.kind) {
       case "tick":
         this.#tick(budget);
         break;
       case "submit":
-        this.intake.submit(command.uid, command.spec, (answer) => this.#answer(command.req, answer));
+        this.intake.submit(command.uid, command.spec, (answer) => this.#respond(command.requestId, answer));
         break;
       case "poll":
-        this.intake.poll(command.uid, (answer) => this.#answer(command.req, answer));
+        this.intake.poll(command.uid, (answer) => this.#respond(command.requestId, answer));
         break;
       case "cancel":
-        this.intake.cancel(command.uid, (answer) => this.#answer(command.req, answer));
+        this.intake.cancel(command.uid, (answer) => this.#respond(command.requestId, answer));
         break;
-      case "admin":
-        this.#administration.handle(command.ask, (answer) => {
-          this.ctx.emit({ t: "adminAnswer", req: command.req, answer });
+      case "administer":
+        this.#administration.handle(command.request, (answer) => {
+          this.ctx.emit({ kind: "respondToOperator", requestId: command.requestId, response: answer });
         });
         break;
-      case "report":
-        this.#reports.take(command.req, command.report, command.raw);
+      case "heartbeat":
+        this.#reports.take(command.requestId, command.heartbeat, command.body);
         break;
-      case "doDone":
-        this.leaderTerm?.fleet.doAnswered(command.id, command.report, command.executed);
+      case "agentReplied":
+        this.leaderTerm?.fleet.doAnswered(command.id, command.heartbeat, command.executed);
         break;
-      case "state":
-        this.ctx.stateAnswered(command.id, command.answer);
+      case "storeResponded":
+        this.ctx.stateAnswered(command.id, command.response);
         break;
-      case "cloud":
-        this.ctx.cloudAnswered(command.id, command.answer);
+      case "cloudResponded":
+        this.ctx.cloudAnswered(command.id, command.response);
         break;
-      case "peer":
+      case "peerMessage":
         this.#peerSaid(command.from, command.message);
         break;
-      case "peerReport": {
-        const answer = this.#leaderAnswer(command.report) ?? { t: "later" };
-        this.ctx.emit({ t: "peerReportAnswer", to: command.from, id: command.id, answer });
+      case "forwardedHeartbeat": {
+        const answer = this.#leaderAnswer(command.heartbeat) ?? { kind: "unavailable" };
+        this.ctx.emit({ kind: "replyToForwardedHeartbeat", to: command.from, id: command.id, reply: answer });
         break;
       }
-      case "peerLink":
+      case "peerLinkChanged":
         this.#peers.link(command.node, command.up);
         break;
       default:
@@ -197,8 +203,8 @@
     }
   }
 
-  #answer(req: number, answer: Extract<Effect, { t: "answer" }>["answer"]): void {
-    this.ctx.emit({ t: "answer", req, answer });
+  #respond(requestId: number, response: UserResponse): void {
+    this.ctx.emit({ kind: "respondToUser", requestId, response });
   }
 
   #tick(budget: Budget): void {
@@ -232,7 +238,7 @@
   #mayHandOver(): void {
     if (!this.leaderTerm) return;
     const { now, deployment } = this.ctx;
-    const quietMs = deployment.reportS * CUT_OFF_REPORTS * 1000;
+    const quietMs = deployment.heartbeatIntervalS * CUT_OFF_REPORTS * 1000;
     const machines = [...this.leaderTerm.tables.machines.values()].filter((m) => m.phase === "up" && !m.lost);
     const heard = machines.filter((m) => Number.isFinite(m.heardAt));
     if (heard.length < CUT_OFF_MACHINES) return;
@@ -250,17 +256,17 @@
     this.#heartbeatAt = this.ctx.now;
     this.#tickAdmission();
     const message: PeerMessage = {
-      t: "beat",
-      token: this.leadership.term?.token ?? this.leadership.highestSeen,
+      kind: "heartbeat",
+      fencingToken: this.leadership.term?.token ?? this.leadership.highestSeen,
       leader: this.leaderTerm ? this.ctx.deployment.node : null,
-      stateOk: this.ctx.stateFailingSince === null && this.view.loaded,
-      workersHeard: this.#reports.workersHeard(),
+      storeHealthy: this.ctx.stateFailingSince === null && this.view.loaded,
+      agentsHeard: this.#reports.workersHeard(),
       protocol: PROTOCOL,
       standby: this.#succession.warmth,
     };
     for (const to of this.ctx.deployment.peers) {
       const admission = this.#admission?.noteFor(to);
-      this.ctx.emit({ t: "peerSend", to, message: { ...message, admission } });
+      this.ctx.emit({ kind: "sendToPeer", to, message: { ...message, admission } });
     }
   }
 
@@ -279,29 +285,29 @@
 
   #peerSaid(from: string, message: PeerMessage): void {
     if (!this.#peers.has(from)) return;
-    switch (message.t) {
-      case "beat":
+    switch (message.kind) {
+      case "heartbeat":
         this.#peers.heard(from, message);
         this.#admission?.heard(from, message.admission);
         this.gate.peerSpeaks(from, message.protocol);
-        this.leadership.sawToken(message.token);
-        this.leadership.peerShows(from, message.token);
+        this.leadership.sawToken(message.fencingToken);
+        this.leadership.peerShows(from, message.fencingToken);
         break;
-      case "job":
-        this.leaderTerm?.learnJob(message.item);
+      case "jobRecord":
+        this.leaderTerm?.learnJob(message.entry);
         break;
       case "progress":
         this.#progress.note(message.rows);
         break;
-      case "reports":
-      case "reportAnswers":
+      case "forwardedHeartbeats":
+      case "forwardedReplies":
         break;
       default:
         message satisfies never;
     }
   }
 
-  #learned(item: StateItem, cancelled: boolean): void {
+  #learned(item: StoreEntry, cancelled: boolean): void {
     if (this.leaderTerm) {
       this.leaderTerm.learnJob(item);
       return;
@@ -309,14 +315,15 @@
     const leader = this.leaderName;
     // A cancellation goes to every peer: one of them may lead, or still answer workers, without this node's knowing.
     for (const to of this.ctx.deployment.peers) {
-      if (to === leader || cancelled) this.ctx.emit({ t: "peerSend", to, message: { t: "job", item } });
+      if (to === leader || cancelled)
+        this.ctx.emit({ kind: "sendToPeer", to, message: { kind: "jobRecord", entry: item } });
     }
   }
 
   /* ---- workers' reports ---- */
 
   /** Only the leader's answers carry a token; null if this node may not answer. */
-  #leaderAnswer(report: Report): ReportAnswer | null {
+  #leaderAnswer(report: Heartbeat): HeartbeatReply | null {
     const { leaderTerm } = this;
     if (!leaderTerm || !this.leadership.mayAnswer) return null;
     const answer = leaderTerm.report(report);
--- a/src/core/election/election.ts
+++ b/src/core/election/election.ts
@@ -21,7 +21,7 @@
   readonly #events: LeadershipEvents;
   readonly #incarnation: string;
   readonly #window: AnswerWindow;
-  state: LeadershipState = { t: "follower" };
+  state: LeadershipState = { kind: "follower" };
   #runAt = 0;
   #renewing = false;
   #renewedAt = 0;
@@ -43,7 +43,7 @@
   }
 
   get term(): Term | null {
-    return this.state.t === "leader" ? this.state.term : null;
+    return this.state.kind === "leader" ? this.state.term : null;
   }
 
   get confirmed(): boolean {
@@ -107,10 +107,10 @@
   }
 
   stepDown(why: string): void {
-    if (this.state.t !== "leader") return;
+    if (this.state.kind !== "leader") return;
     const { term } = this.state;
     this.#own = { token: term.token, until: Math.max(term.formerUntil, this.#ctx.now) };
-    this.state = { t: "follower" };
+    this.state = { kind: "follower" };
     this.#runAt = this.#ctx.now + 500;
     this.#events.deposed(why);
   }
@@ -119,7 +119,7 @@
   handOver(why: string): void {
     const { term } = this;
     if (!term) return;
-    this.#ctx.state({ t: "drop", grant: term.grant }, CALL_MS, () => {});
+    this.#ctx.state({ kind: "revokeLease", leaseId: term.grant }, CALL_MS, () => {});
     this.stepDown(why);
     this.#runAt = this.#ctx.now + STAY_OUT_MS;
   }
@@ -133,7 +133,7 @@
     }
     if (key === KEYS.leader && !this.#view.leader) this.#events.vacant();
     // The key is gone: stand soon, but not all nodes in the same moment.
-    if (key === KEYS.leader && !this.#view.leader && this.state.t === "follower") {
+    if (key === KEYS.leader && !this.#view.leader && this.state.kind === "follower") {
       const deferMs = this.#events.deferMs() + int(this.#ctx.random, 0, STAND_SPREAD_MS);
       this.#runAt = Math.max(this.#runAt, this.#ctx.now + deferMs);
     }
@@ -141,7 +141,7 @@
 
   tick(): void {
     const { state } = this;
-    switch (state.t) {
+    switch (state.kind) {
       case "follower":
         this.#maybeRun();
         break;
@@ -164,37 +164,37 @@
 
   #runForLeader(leaderVersion: number): void {
     const ctx = this.#ctx;
-    this.state = { t: "candidate", since: ctx.now };
+    this.state = { kind: "candidate", since: ctx.now };
     const asked = ctx.now;
     const lifeMs = ctx.settings.leader_grant_ms;
-    ctx.state({ t: "grant", lifeMs }, CALL_MS, (granted) => {
-      if (granted.t !== "granted") {
+    ctx.state({ kind: "grantLease", ttlMs: lifeMs }, CALL_MS, (granted) => {
+      if (granted.kind !== "leaseGranted") {
         this.#lost("no grant");
         return;
       }
-      const { grant } = granted;
+      const { leaseId: grant } = granted;
       const epoch = this.#view.epoch;
       const token = (epoch?.value ?? 0) + 1;
       const record: LeaderRecord = { node: ctx.deployment.node, incarnation: this.#incarnation, token };
       ctx.state(
         {
-          t: "txn",
+          kind: "transaction",
           conditions: [
             { key: KEYS.leader, version: leaderVersion },
             { key: KEYS.epoch, version: epoch?.version ?? 0 },
           ],
           changes: [
-            { put: KEYS.leader, value: record, grant },
+            { put: KEYS.leader, value: record, leaseId: grant },
             { put: KEYS.epoch, value: { token } },
           ],
         },
         CALL_MS,
         (answer) => {
-          if (answer.t !== "ok") {
+          if (answer.kind !== "ok") {
             // Also after silence: it may be, or may yet be, executed. The grant is given back, which
             // takes the key with it; a late execution then fails for want of the grant.
-            ctx.state({ t: "drop", grant }, CALL_MS, () => {});
-            this.#lost(answer.t);
+            ctx.state({ kind: "revokeLease", leaseId: grant }, CALL_MS, () => {});
+            this.#lost(answer.kind);
             return;
           }
           const version = answer.revision;
@@ -209,7 +209,7 @@
             formerUntil: this.#formerUntil(token),
           };
           this.#shown.clear();
-          this.state = { t: "leader", term };
+          this.state = { kind: "leader", term };
           this.#renewedAt = asked;
           this.#raisedAt = ctx.now;
           this.highestSeen = Math.max(this.highestSeen, token);
@@ -222,7 +222,7 @@
   }
 
   #lost(why: string): void {
-    this.state = { t: "follower" };
+    this.state = { kind: "follower" };
     this.#runAt = this.#ctx.now + int(this.#ctx.random, 200, 600);
     this.#ctx.log("debug", "did not become leader", { why });
     this.#view.refresh();
@@ -258,11 +258,11 @@
     const asked = ctx.now;
     this.#renewing = true;
     this.#renewedAt = asked;
-    ctx.state({ t: "renew", grant: term.grant }, CALL_MS, (answer) => {
+    ctx.state({ kind: "renewLease", leaseId: term.grant }, CALL_MS, (answer) => {
       this.#renewing = false;
       if (this.term !== term) return;
-      if (answer.t === "ok") term.confirmedUntil = asked + lifeMs / DRIFT - MARGIN_MS;
-      else if (answer.t === "absent") this.stepDown("the grant is gone");
+      if (answer.kind === "ok") term.confirmedUntil = asked + lifeMs / DRIFT - MARGIN_MS;
+      else if (answer.kind === "notFound") this.stepDown("the grant is gone");
     });
   }
 
@@ -279,7 +279,7 @@
     const token = term.token + 1;
     ctx.state(
       {
-        t: "txn",
+        kind: "transaction",
         conditions: [
           { key: KEYS.leader, version: term.version },
           { key: KEYS.epoch, version: term.epochVersion },
@@ -292,10 +292,10 @@
           this.#raising = false;
           return;
         }
-        if (answer.t === "ok") {
+        if (answer.kind === "ok") {
           this.#raising = false;
           this.#advance(term, token, answer.revision);
-        } else if (answer.t === "refused" || answer.t === "throttled") {
+        } else if (answer.kind === "unavailable" || answer.kind === "throttled") {
           this.#raising = false;
         } else {
           this.#reread(term);
@@ -317,11 +317,11 @@
    */
   #reread(term: Term): void {
     const ctx = this.#ctx;
-    ctx.state({ t: "list", prefix: KEYS.config, after: null }, CALL_MS, (answer) => {
+    ctx.state({ kind: "list", prefix: KEYS.config, after: null }, CALL_MS, (answer) => {
       this.#raising = false;
-      if (this.term !== term || answer.t !== "page") return;
-      const leader = answer.items.find((item) => item.key === KEYS.leader);
-      const epoch = answer.items.find((item) => item.key === KEYS.epoch);
+      if (this.term !== term || answer.kind !== "page") return;
+      const leader = answer.entries.find((item) => item.key === KEYS.leader);
+      const epoch = answer.entries.find((item) => item.key === KEYS.epoch);
       if (leader?.version !== term.version) {
         this.stepDown("another leader is recorded");
         return;
--- a/src/core/election/leader-lease.ts
+++ b/src/core/election/leader-lease.ts
@@ -1,9 +1,9 @@
 import type { WindowFacts } from "./lease-renewal-policy.js";
 
 export type LeadershipState =
-  | { readonly t: "follower" }
-  | { readonly t: "candidate"; readonly since: number }
-  | { readonly t: "leader"; readonly term: Term };
+  | { readonly kind: "follower" }
+  | { readonly kind: "candidate"; readonly since: number }
+  | { readonly kind: "leader"; readonly term: Term };
 
 /** The facts of one time in office. */
 export interface Term {
--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -185,10 +185,10 @@
   #read(uid: string): void {
     this.#reading++;
     this.#unknown.set(uid, Number.POSITIVE_INFINITY);
-    this.#ctx.state({ t: "get", key: KEYS.final(uid) }, CALL_MS, (answer) => {
+    this.#ctx.state({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (answer) => {
       this.#reading--;
       if (!this.#unknown.has(uid)) return;
-      const end = answer.t === "item" ? readFinal(answer.item.value) : null;
+      const end = answer.kind === "found" ? readFinal(answer.entry.value) : null;
       // Not over: its own record is on its way here.
       if (end) this.#settle(uid, end);
       else this.#unknown.set(uid, this.#ctx.now + RETRY_MS);
--- a/src/core/jobs/job-lookup.ts
+++ b/src/core/jobs/job-lookup.ts
@@ -1,6 +1,7 @@
 import type { Context } from "../context.js";
+import type { StoreEntry, VersionCondition } from "../messages/store.js";
+import type { JobStatus } from "../messages/users.js";
 import { type JobRecord, KEYS, readFinal, readJob } from "../store/records.js";
-import type { JobView, StateCondition, StateItem } from "../types.js";
 
 const CALL_MS = 1500;
 const FINALS_KEPT = 20_000;
@@ -9,12 +10,12 @@
 /** What the state service says of a job; null when it could not be asked. */
 export type Found =
   | {
-      readonly t: "active";
-      readonly item: StateItem;
+      readonly kind: "active";
+      readonly item: StoreEntry;
       readonly record: JobRecord;
     }
-  | { readonly t: "over"; readonly end: KnownEnd }
-  | { readonly t: "absent" }
+  | { readonly kind: "over"; readonly end: KnownEnd }
+  | { readonly kind: "notFound" }
   | null;
 
 /** A job's final state, which never changes. */
@@ -35,13 +36,13 @@
 /** What the answer about a job rests on. */
 export type Basis =
   /** Its final state: this never changes. */
-  | { readonly t: "over"; readonly end: KnownEnd }
+  | { readonly kind: "over"; readonly end: KnownEnd }
   /** Cancelled, by its own record or that of a job it needs: this never changes. */
-  | { readonly t: "cancelled" }
+  | { readonly kind: "cancelled" }
   /** Neither, as long as these versions are still the present ones. */
-  | { readonly t: "versions"; readonly conditions: readonly StateCondition[] }
+  | { readonly kind: "versions"; readonly conditions: readonly VersionCondition[] }
   /** Something of it has not been read by this node. */
-  | { readonly t: "unread" };
+  | { readonly kind: "unread" };
 
 /**
  * Reads jobs from the state service, and remembers what may be: final states, and the versions of unfinished jobs. A job
@@ -85,12 +86,12 @@
    * so whoever finds neither, in this order, has proof that it was never accepted.
    */
   find(uid: string, then: (found: Found) => void): void {
-    this.#ctx.state({ t: "get", key: KEYS.job(uid) }, CALL_MS, (answer) => {
-      if (answer.t === "item") {
-        const record = readJob(answer.item.value);
-        if (record) this.note(uid, answer.item.version, record);
-        then(record ? { t: "active", item: answer.item, record } : null);
-      } else if (answer.t === "absent") {
+    this.#ctx.state({ kind: "get", key: KEYS.job(uid) }, CALL_MS, (answer) => {
+      if (answer.kind === "found") {
+        const record = readJob(answer.entry.value);
+        if (record) this.note(uid, answer.entry.version, record);
+        then(record ? { kind: "active", item: answer.entry, record } : null);
+      } else if (answer.kind === "notFound") {
         this.#findFinal(uid, then);
       } else {
         then(null);
@@ -99,14 +100,14 @@
   }
 
   #findFinal(uid: string, then: (found: Found) => void): void {
-    this.#ctx.state({ t: "get", key: KEYS.final(uid) }, CALL_MS, (final) => {
-      if (final.t === "absent") then({ t: "absent" });
-      else if (final.t !== "item") then(null);
-      else then(this.#remember(uid, final.item));
+    this.#ctx.state({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (final) => {
+      if (final.kind === "notFound") then({ kind: "notFound" });
+      else if (final.kind !== "found") then(null);
+      else then(this.#remember(uid, final.entry));
     });
   }
 
-  #remember(uid: string, item: StateItem): Found {
+  #remember(uid: string, item: StoreEntry): Found {
     this.#seen.delete(uid);
     const record = readFinal(item.value);
     if (!record) return null;
@@ -114,7 +115,7 @@
     const end = { cancelled: state === "cancelled", tasks, service };
     this.#finals.set(uid, end);
     trim(this.#finals, FINALS_KEPT);
-    return { t: "over", end };
+    return { kind: "over", end };
   }
 
   /**
@@ -151,10 +152,10 @@
     let [cancelled, unread] = [false, false];
     for (const uid of unfinished) {
       this.find(uid, (found) => {
-        if (found?.t === "active") {
+        if (found?.kind === "active") {
           cancelled ||= found.record.state === "cancelled";
           needed.push(...(found.record.spec.awaits ?? []));
-        } else if (found?.t === "over") cancelled ||= found.end.cancelled;
+        } else if (found?.kind === "over") cancelled ||= found.end.cancelled;
         else unread = true;
         if (--waiting > 0) return;
         if (cancelled) then(true);
@@ -167,8 +168,8 @@
   /** What an answer about a job that this node has read rests on, without asking the state service. */
   basis(uid: string): Basis {
     const known = this.#finals.get(uid);
-    if (known) return { t: "over", end: known };
-    const conditions: StateCondition[] = [];
+    if (known) return { kind: "over", end: known };
+    const conditions: VersionCondition[] = [];
     const visited = new Set<string>();
     const open = [uid];
     for (let next = open.pop(); next !== undefined; next = open.pop()) {
@@ -176,17 +177,17 @@
       visited.add(next);
       const end = this.#finals.get(next);
       const seen = this.#seen.get(next);
-      if (end?.cancelled || seen?.cancelled) return { t: "cancelled" };
+      if (end?.cancelled || seen?.cancelled) return { kind: "cancelled" };
       if (end) continue;
-      if (!seen) return { t: "unread" };
+      if (!seen) return { kind: "unread" };
       conditions.push({ key: KEYS.job(next), version: seen.version });
       open.push(...seen.awaits);
     }
-    return { t: "versions", conditions };
+    return { kind: "versions", conditions };
   }
 }
 
-export function viewOfEnd(uid: string, { cancelled, tasks }: KnownEnd): JobView {
+export function viewOfEnd(uid: string, { cancelled, tasks }: KnownEnd): JobStatus {
   return { uid, phase: cancelled ? "cancelled" : "done", done: cancelled ? 0 : tasks, running: 0 };
 }
 
--- a/src/core/jobs/progress-publisher.ts
+++ b/src/core/jobs/progress-publisher.ts
@@ -30,7 +30,7 @@
     const rows = this.#changed();
     if (rows.length === 0) return;
     for (const to of deployment.peers)
-      this.#ctx.emit({ t: "peerSend", to, message: { t: "progress", rows } });
+      this.#ctx.emit({ kind: "sendToPeer", to, message: { kind: "progress", rows } });
   }
 
   #changed(): Row[] {
--- a/src/core/jobs/rejection-batch.ts
+++ b/src/core/jobs/rejection-batch.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
+import type { UserResponse } from "../messages/users.js";
 import { KEYS } from "../store/records.js";
-import type { UserAnswer } from "../types.js";
 
 const CALL_MS = 1500;
 /** That a job is unknown takes two conditions. */
@@ -9,8 +9,8 @@
 /** A submission that is turned away, unless its job is known already. */
 export interface Refused {
   readonly uid: string;
-  readonly refusal: UserAnswer;
-  readonly answer: (answer: UserAnswer) => void;
+  readonly refusal: UserResponse;
+  readonly answer: (answer: UserResponse) => void;
 }
 
 export interface RefusalEvents {
@@ -52,10 +52,10 @@
       { key: KEYS.job(uid), version: 0 },
       { key: KEYS.final(uid), version: 0 },
     ]);
-    this.#ctx.state({ t: "txn", conditions, changes: [] }, CALL_MS, (result) => {
-      const found = new Set(result.t === "conflict" ? result.failed : []);
+    this.#ctx.state({ kind: "transaction", conditions, changes: [] }, CALL_MS, (result) => {
+      const found = new Set(result.kind === "conflict" ? result.failed : []);
       for (const one of refused) {
-        if (result.t !== "ok" && result.t !== "conflict") this.#events.unanswered(one);
+        if (result.kind !== "ok" && result.kind !== "conflict") this.#events.unanswered(one);
         else if (found.has(KEYS.job(one.uid)) || found.has(KEYS.final(one.uid))) this.#events.mayBeKnown(one);
         else one.answer(one.refusal);
       }
--- a/src/core/jobs/submissions.ts
+++ b/src/core/jobs/submissions.ts
@@ -1,10 +1,12 @@
 import type { Admission, Decision } from "../../admission/admission.js";
 import type { Context } from "../context.js";
+import type { StoreEntry, VersionCondition } from "../messages/store.js";
+import type { JobStatus, UserResponse } from "../messages/users.js";
+import type { JobSpec } from "../model/job-spec.js";
 import { suitsType } from "../model/machine.js";
 import { times } from "../model/resources.js";
 import type { ConfigView } from "../store/config-watch.js";
 import { cancelledRecord, fitsRecord, type JobRecord, KEYS, newJobRecord } from "../store/records.js";
-import type { JobSpec, JobView, StateCondition, StateItem, UserAnswer } from "../types.js";
 import { type Found, JobLookup, viewOfEnd } from "./job-lookup.js";
 import { Refusals } from "./rejection-batch.js";
 
@@ -13,14 +15,14 @@
 
 export interface IntakeEvents {
   /** This node has written a job's key: accepted it, or cancelled it. */
-  learned(item: StateItem, cancelled: boolean): void;
+  learned(item: StoreEntry, cancelled: boolean): void;
   /** True while a node that knows nothing of jobs that wait for others may lead. */
   oldPeerHeard(): boolean;
   /** Counts for display. */
   counts(uid: string): { done: number; running: number } | null;
 }
 
-type Answer = (answer: UserAnswer) => void;
+type Answer = (answer: UserResponse) => void;
 
 interface Poll {
   readonly uid: string;
@@ -29,10 +31,10 @@
 
 /** With what its answer rests on as of the comparison: a record that is read meanwhile must not vouch for it. */
 interface ComparedPoll extends Poll {
-  readonly conditions: readonly StateCondition[];
+  readonly conditions: readonly VersionCondition[];
 }
 
-type Refusal = Extract<UserAnswer, { t: "never" | "later" | "malformed" | "overloaded" }>;
+type Refusal = Extract<UserResponse, { kind: "unsatisfiable" | "unavailable" | "invalid" | "throttled" }>;
 
 const UNANSWERED = "the state service does not answer";
 
@@ -67,11 +69,11 @@
 
   submit(uid: string, spec: JobSpec | string, answer: Answer): void {
     const basis = this.#lookup.basis(uid);
-    if (basis.t === "over") {
-      answer({ t: "accepted", known: true, view: viewOfEnd(uid, basis.end) });
+    if (basis.kind === "over") {
+      answer({ kind: "accepted", known: true, status: viewOfEnd(uid, basis.end) });
       return;
     }
-    if (typeof spec === "string") this.#refuseUnlessKnown(uid, { t: "malformed", error: spec }, answer);
+    if (typeof spec === "string") this.#refuseUnlessKnown(uid, { kind: "invalid", error: spec }, answer);
     else {
       this.#refusal(spec, (refusal) => {
         if (refusal === null) this.#admit(spec, answer);
@@ -82,14 +84,14 @@
 
   /** A repeat of a job that this node knows is no new one; it needs no permit. */
   #admit(spec: JobSpec, answer: Answer): void {
-    const isNew = this.#lookup.basis(spec.uid).t === "unread";
+    const isNew = this.#lookup.basis(spec.uid).kind === "unread";
     const decision = isNew ? this.#admission?.decide(spec.uid, spec.team) : undefined;
-    if (decision?.t !== "wait") {
+    if (decision?.kind !== "wait") {
       this.#write(spec, answer, decision);
       return;
     }
     const error = `the share of ${spec.team} is used up for now`;
-    const refusal: Refusal = { t: "overloaded", error, afterS: decision.afterS };
+    const refusal: Refusal = { kind: "throttled", error, retryAfterS: decision.afterS };
     this.#refusals.add({ uid: spec.uid, refusal, answer });
   }
 
@@ -99,21 +101,21 @@
   }
 
   /** A known job is never turned away, whatever its repeated submission looks like now. */
-  #refuseUnlessKnown(uid: string, refusal: UserAnswer, answer: Answer): void {
+  #refuseUnlessKnown(uid: string, refusal: UserResponse, answer: Answer): void {
     this.#lookup.find(uid, (found) => {
       if (found === null) answer(later(UNANSWERED));
-      else if (found.t === "absent") answer(refusal);
+      else if (found.kind === "notFound") answer(refusal);
       else this.#acceptedAlready(uid, found, answer);
     });
   }
 
-  #acceptedAlready(uid: string, found: Exclude<Found, null | { t: "absent" }>, answer: Answer): void {
+  #acceptedAlready(uid: string, found: Exclude<Found, null | { kind: "notFound" }>, answer: Answer): void {
     this.#readView(uid, found, (view) => {
-      answer(view ? { t: "accepted", known: true, view } : later(UNANSWERED));
+      answer(view ? { kind: "accepted", known: true, status: view } : later(UNANSWERED));
     });
   }
 
-  #write(spec: JobSpec, answer: Answer, taken?: Extract<Decision, { t: "take" }>): void {
+  #write(spec: JobSpec, answer: Answer, taken?: Extract<Decision, { kind: "take" }>): void {
     const { uid } = spec;
     const record = newJobRecord(spec, Math.round(this.#ctx.wallMs));
     const conditions = [
@@ -121,21 +123,21 @@
       { key: KEYS.final(uid), version: 0 },
     ];
     const changes = [{ put: KEYS.job(uid), value: record }];
-    this.#ctx.state({ t: "txn", conditions, changes }, CALL_MS, (result) => {
+    this.#ctx.state({ kind: "transaction", conditions, changes }, CALL_MS, (result) => {
       // Without an answer it may have been accepted.
-      if (taken && result.t !== "ok" && result.t !== "silent")
+      if (taken && result.kind !== "ok" && result.kind !== "timeout")
         this.#admission?.notAccepted(spec.team, taken.spent);
-      if (result.t === "ok") {
+      if (result.kind === "ok") {
         this.#lookup.note(uid, result.revision, record);
         this.#events.learned({ key: KEYS.job(uid), value: record, version: result.revision }, false);
-        const cancelled = this.#lookup.basis(uid).t === "cancelled";
-        answer({ t: "accepted", known: false, view: this.#viewOf(uid, cancelled) });
-      } else if (result.t === "conflict") {
+        const cancelled = this.#lookup.basis(uid).kind === "cancelled";
+        answer({ kind: "accepted", known: false, status: this.#viewOf(uid, cancelled) });
+      } else if (result.kind === "conflict") {
         this.#lookup.find(uid, (found) => {
-          if (found === null || found.t === "absent") answer(later(UNANSWERED));
+          if (found === null || found.kind === "notFound") answer(later(UNANSWERED));
           else this.#acceptedAlready(uid, found, answer);
         });
-      } else if (result.t === "invalid") {
+      } else if (result.kind === "invalid") {
         this.#refuseUnlessKnown(uid, tooLarge(), answer);
       } else {
         answer(later(UNANSWERED));
@@ -153,16 +155,16 @@
 
   #misfit(spec: JobSpec): Refusal | null {
     const team = this.#ctx.deployment.teams.find((t) => t.name === spec.team);
-    if (!team) return { t: "never", error: `crew: there is no team ${spec.team}` };
+    if (!team) return { kind: "unsatisfiable", error: `crew: there is no team ${spec.team}` };
     if (this.#view.types.length === 0) return later("the machine types are not known yet");
     const suits = this.#view.types.some(
       (type) => suitsType(spec, type) && (spec.zone === null || type.zones.includes(spec.zone)),
     );
-    if (!suits) return { t: "never", error: "racks: a task fits no allowed machine type" };
+    if (!suits) return { kind: "unsatisfiable", error: "racks: a task fits no allowed machine type" };
     const atOnce = spec.shape === "array" ? 1 : spec.tasks;
     const room = times({ cpu: spec.need.cpu, gpu: spec.need.gpu, ram: 0 }, team.limit);
     if (room < atOnce)
-      return { t: "never", error: `pieces: the job needs more than the limit of ${team.name}` };
+      return { kind: "unsatisfiable", error: `pieces: the job needs more than the limit of ${team.name}` };
     return fitsRecord(spec, this.#ctx.wallMs, this.#ctx.limits.valueBytes) ? null : tooLarge();
   }
 
@@ -174,14 +176,15 @@
     const decide = () => {
       const service = needs.find((uid) => this.#lookup.isService(uid) === true);
       if (refusal === null && service !== undefined)
-        refusal = { t: "never", error: `awaits: ${service} is a service` };
+        refusal = { kind: "unsatisfiable", error: `awaits: ${service} is a service` };
       then(refusal);
     };
     if (waiting === 0) decide();
     for (const uid of unread) {
       this.#lookup.find(uid, (found) => {
         if (found === null) refusal ??= later(UNANSWERED);
-        else if (found.t === "absent") refusal = { t: "never", error: `awaits: there is no job ${uid}` };
+        else if (found.kind === "notFound")
+          refusal = { kind: "unsatisfiable", error: `awaits: there is no job ${uid}` };
         if (--waiting === 0) decide();
       });
     }
@@ -198,10 +201,10 @@
   /** What never changes is answered without asking, and what this node has not read is read. */
   #answerFromMemory(uid: string, answer: Answer): boolean {
     const basis = this.#lookup.basis(uid);
-    if (basis.t === "over") answer({ t: "view", view: viewOfEnd(uid, basis.end) });
-    else if (basis.t === "cancelled") answer({ t: "view", view: this.#viewOf(uid, true) });
-    else if (basis.t === "unread") this.#read(uid, answer);
-    return basis.t !== "versions";
+    if (basis.kind === "over") answer({ kind: "status", status: viewOfEnd(uid, basis.end) });
+    else if (basis.kind === "cancelled") answer({ kind: "status", status: this.#viewOf(uid, true) });
+    else if (basis.kind === "unread") this.#read(uid, answer);
+    return basis.kind !== "versions";
   }
 
   get #mostConditions(): number {
@@ -222,7 +225,7 @@
       // Since it was gathered the job may have been read as over: a comparison with nothing to compare would hold.
       if (this.#answerFromMemory(poll.uid, poll.answer)) continue;
       const basis = this.#lookup.basis(poll.uid);
-      if (basis.t !== "versions" || basis.conditions.length > this.#mostConditions) {
+      if (basis.kind !== "versions" || basis.conditions.length > this.#mostConditions) {
         this.#read(poll.uid, poll.answer);
         continue;
       }
@@ -240,12 +243,12 @@
 
   #compare(polls: readonly ComparedPoll[], versions: ReadonlyMap<string, number>): void {
     const conditions = [...versions].map(([key, version]) => ({ key, version }));
-    this.#ctx.state({ t: "txn", conditions, changes: [] }, CALL_MS, (result) => {
-      const failed = new Set(result.t === "conflict" ? result.failed : []);
+    this.#ctx.state({ kind: "transaction", conditions, changes: [] }, CALL_MS, (result) => {
+      const failed = new Set(result.kind === "conflict" ? result.failed : []);
       for (const { uid, answer, conditions: needed } of polls) {
         const holds = !needed.some(({ key }) => failed.has(key));
-        if (result.t !== "ok" && result.t !== "conflict") answer(later(UNANSWERED));
-        else if (holds) answer({ t: "view", view: this.#viewOf(uid, false) });
+        if (result.kind !== "ok" && result.kind !== "conflict") answer(later(UNANSWERED));
+        else if (holds) answer({ kind: "status", status: this.#viewOf(uid, false) });
         else this.#read(uid, answer);
       }
     });
@@ -254,10 +257,10 @@
   #read(uid: string, answer: Answer): void {
     this.#lookup.find(uid, (found) => {
       if (found === null) answer(later(UNANSWERED));
-      else if (found.t === "absent") answer({ t: "unknown" });
+      else if (found.kind === "notFound") answer({ kind: "notFound" });
       else {
         this.#readView(uid, found, (view) => {
-          answer(view ? { t: "view", view } : later(UNANSWERED));
+          answer(view ? { kind: "status", status: view } : later(UNANSWERED));
         });
       }
     });
@@ -268,16 +271,17 @@
   cancel(uid: string, answer: Answer, tries = TRIES): void {
     this.#lookup.find(uid, (found) => {
       if (found === null) answer(later(UNANSWERED));
-      else if (found.t === "absent") answer({ t: "unknown" });
-      else if (found.t === "over") answer({ t: "view", view: viewOfEnd(uid, found.end) });
-      else if (found.record.state === "cancelled") answer({ t: "view", view: this.#viewOf(uid, true) });
+      else if (found.kind === "notFound") answer({ kind: "notFound" });
+      else if (found.kind === "over") answer({ kind: "status", status: viewOfEnd(uid, found.end) });
+      else if (found.record.state === "cancelled")
+        answer({ kind: "status", status: this.#viewOf(uid, true) });
       else this.#writeCancelled(uid, found.item, found.record, answer, tries);
     });
   }
 
   #writeCancelled(
     uid: string,
-    item: StateItem,
+    item: StoreEntry,
     record: JobRecord,
     answer: Answer,
     tries: number,
@@ -285,21 +289,25 @@
   ): void {
     const value = cancelledRecord(record, valueBytes);
     const conditions = [{ key: item.key, version: item.version }];
-    this.#ctx.state({ t: "txn", conditions, changes: [{ put: item.key, value }] }, CALL_MS, (result) => {
-      if (result.t === "ok") {
-        this.#lookup.note(uid, result.revision, value);
-        this.#events.learned({ key: item.key, value, version: result.revision }, true);
-        answer({ t: "view", view: this.#viewOf(uid, true) });
-      } else if (result.t === "conflict" && tries > 1) {
-        // It was completed, or cancelled, at the same moment: the key tells which.
-        this.cancel(uid, answer, tries - 1);
-      } else if (result.t === "invalid" && valueBytes > 0) {
-        // Too large, for a limit that nobody has told of: as small as it can be.
-        this.#writeCancelled(uid, item, record, answer, tries, 0);
-      } else {
-        answer(later(UNANSWERED));
-      }
-    });
+    this.#ctx.state(
+      { kind: "transaction", conditions, changes: [{ put: item.key, value }] },
+      CALL_MS,
+      (result) => {
+        if (result.kind === "ok") {
+          this.#lookup.note(uid, result.revision, value);
+          this.#events.learned({ key: item.key, value, version: result.revision }, true);
+          answer({ kind: "status", status: this.#viewOf(uid, true) });
+        } else if (result.kind === "conflict" && tries > 1) {
+          // It was completed, or cancelled, at the same moment: the key tells which.
+          this.cancel(uid, answer, tries - 1);
+        } else if (result.kind === "invalid" && valueBytes > 0) {
+          // Too large, for a limit that nobody has told of: as small as it can be.
+          this.#writeCancelled(uid, item, record, answer, tries, 0);
+        } else {
+          answer(later(UNANSWERED));
+        }
+      },
+    );
   }
 
   /* ---- answers ---- */
@@ -307,10 +315,10 @@
   /** Null if what the job needs could not be read. */
   #readView(
     uid: string,
-    found: Exclude<Found, null | { t: "absent" }>,
-    then: (view: JobView | null) => void,
+    found: Exclude<Found, null | { kind: "notFound" }>,
+    then: (view: JobStatus | null) => void,
   ): void {
-    if (found.t === "over") then(viewOfEnd(uid, found.end));
+    if (found.kind === "over") then(viewOfEnd(uid, found.end));
     else {
       this.#lookup.isCancelled(found.record, (cancelled) => {
         then(cancelled === null ? null : this.#viewOf(uid, cancelled));
@@ -318,7 +326,7 @@
     }
   }
 
-  #viewOf(uid: string, cancelled: boolean): JobView {
+  #viewOf(uid: string, cancelled: boolean): JobStatus {
     const { done, running } = this.#events.counts(uid) ?? { done: 0, running: 0 };
     if (cancelled) return { uid, phase: "cancelled", done, running };
     const view = { uid, phase: running > 0 ? "running" : "queued", done, running } as const;
@@ -328,9 +336,9 @@
 }
 
 function tooLarge(): Refusal {
-  return { t: "malformed", error: "body: the job's description is too large to be kept" };
+  return { kind: "invalid", error: "body: the job's description is too large to be kept" };
 }
 
-export function later(error: string, afterS = 1): Extract<UserAnswer, { t: "later" }> {
-  return { t: "later", error, afterS };
+export function later(error: string, afterS = 1): Extract<UserResponse, { kind: "unavailable" }> {
+  return { kind: "unavailable", error, retryAfterS: afterS };
 }
--- a/src/core/leader-term.ts
+++ b/src/core/leader-term.ts
@@ -7,9 +7,13 @@
 import type { Term } from "./election/leader-lease.js";
 import { Pipelines } from "./jobs/dependency-graph.js";
 import { ProgressReports } from "./jobs/progress-publisher.js";
+import type { Heartbeat, HeartbeatReply } from "./messages/agents.js";
+import type { StoreEntry } from "./messages/store.js";
 import { Rebalancer } from "./migration/replica-migration.js";
 import { Tables } from "./model/cluster-state.js";
+import type { MachineType } from "./model/deployment.js";
 import type { Job } from "./model/job.js";
+import type { ExitReason } from "./model/job-spec.js";
 import type { Placement } from "./model/placement.js";
 import { Scheduler } from "./scheduling/scheduler.js";
 import { longestWaits } from "./scheduling/team-load.js";
@@ -22,7 +26,6 @@
 import { Recorder } from "./store/record-writer.js";
 import { readJob } from "./store/records.js";
 import { rereadJob } from "./store/reread-job.js";
-import type { Cause, MachineType, Report, ReportAnswer, StateItem } from "./types.js";
 
 const RETRY_MS = 300;
 const ROUND_MS = 100;
@@ -159,7 +162,7 @@
   /* ---- jobs ---- */
 
   /** Takes in a job's key, from the first read, from following, or straight from the node that wrote it. */
-  learnJob(item: StateItem): void {
+  learnJob(item: StoreEntry): void {
     const record = readJob(item.value);
     const uid = item.key.slice("j/".length);
     if (!record || record.spec.uid !== uid) {
@@ -223,7 +226,7 @@
   #reread(job: Job): void {
     rereadJob(this.#ctx, job.uid, (found) => {
       if (this.over || !this.tables.jobs.has(job.ix)) return;
-      switch (found.t) {
+      switch (found.kind) {
         case "active":
           this.learnJob(found.item);
           // Whether or not it has changed after all, what is yet to be written is written on the version just read.
@@ -262,7 +265,7 @@
     });
   }
 
-  #gone(placement: Placement, cause: Cause | "lost"): void {
+  #gone(placement: Placement, cause: ExitReason | "lost"): void {
     const { job, task } = placement;
     this.#dirty = true;
     this.recorder.touch(job, task, false);
@@ -278,7 +281,7 @@
 
   /* ---- the course of time ---- */
 
-  report(report: Report): ReportAnswer {
+  report(report: Heartbeat): HeartbeatReply {
     return this.fleet.answer(report);
   }
 
--- /dev/null
+++ b/src/core/messages/administration.ts
@@ -0,0 +1,14 @@
+import type { MachineMode } from "../model/machine.js";
+
+/** A request of an operator. */
+export type AdminRequest =
+  | { readonly kind: "getSettings" }
+  | { readonly kind: "changeSettings"; readonly values: Record<string, unknown> }
+  | { readonly kind: "setMachineMode"; readonly name: string; readonly mode: MachineMode }
+  | { readonly kind: "getStatus" };
+
+/** The answer to an operator. */
+export type AdminResponse =
+  | { readonly kind: "ok"; readonly body: Record<string, unknown> }
+  | { readonly kind: "invalid"; readonly error: string }
+  | { readonly kind: "unavailable"; readonly error: string };
--- /dev/null
+++ b/src/core/messages/cloud.ts
@@ -0,0 +1,39 @@
+import type { MachineType } from "../model/deployment.js";
+
+/** Requests to the cloud and what comes back. */
+
+/** A machine as the cloud lists it. */
+export interface CloudMachine {
+  readonly name: string;
+  readonly address: string;
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly phase: "booting" | "running" | "failed";
+  readonly ageS: number;
+}
+
+/** A request to the cloud. */
+export type CloudRequest =
+  | { readonly kind: "listTypes" }
+  | {
+      readonly kind: "create";
+      /** Makes the request idempotent: repeated under the same id it creates nothing more. */
+      readonly requestId: string;
+      readonly type: string;
+      readonly zone: string;
+      readonly spot: boolean;
+      readonly count: number;
+    }
+  | { readonly kind: "delete"; readonly machines: readonly string[] }
+  | { readonly kind: "list"; readonly after: string | null };
+
+/** The outcome of a request to the cloud. */
+export type CloudResponse =
+  | { readonly kind: "types"; readonly types: readonly MachineType[] }
+  | { readonly kind: "created"; readonly machines: readonly string[] }
+  | { readonly kind: "noCapacity" }
+  | { readonly kind: "deleted" }
+  | { readonly kind: "page"; readonly machines: readonly CloudMachine[]; readonly more: boolean }
+  | { readonly kind: "unavailable"; readonly reason: string }
+  | { readonly kind: "timeout" };
--- a/src/core/migration/replica-migration.ts
+++ b/src/core/migration/replica-migration.ts
@@ -1,5 +1,6 @@
 import type { Fleet } from "../agents/agent-manager.js";
 import type { Context } from "../context.js";
+import type { StoreEntry } from "../messages/store.js";
 import type { Tables } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
@@ -9,7 +10,6 @@
 import type { Scheduler } from "../scheduling/scheduler.js";
 import type { Recorder } from "../store/record-writer.js";
 import { type MoveRecord, readMove } from "../store/records.js";
-import type { StateItem } from "../types.js";
 
 type Phase = "recording" | "draining" | "stopping" | "starting";
 
@@ -57,7 +57,7 @@
   }
 
   /** A move that an earlier leader recorded is finished before any other begins. */
-  inherit(item: StateItem | null): void {
+  inherit(item: StoreEntry | null): void {
     if (!item) return;
     const record = readMove(item.value);
     if (!record) return;
--- a/src/core/model/cluster-state.ts
+++ b/src/core/model/cluster-state.ts
@@ -1,15 +1,17 @@
-import type { Amount, JobSpec, MachineType } from "../types.js";
+import type { MachineType } from "./deployment.js";
 import type { Directory } from "./interner.js";
 import { Job } from "./job.js";
+import type { JobSpec } from "./job-spec.js";
 import { Machine } from "./machine.js";
 import type { Placement } from "./placement.js";
+import type { Resources } from "./resources.js";
 import { add, ZERO } from "./resources.js";
 
 /** All that is placed, by job, machine and team: the one place where placements come and go. */
 export class Tables {
   readonly jobs = new Map<number, Job>();
   readonly machines = new Map<number, Machine>();
-  readonly teamUse = new Map<string, Amount>();
+  readonly teamUse = new Map<string, Resources>();
   readonly types = new Map<string, MachineType>();
   /** Counts placements that have come and gone: what was worked out before a change may be stale. */
   changes = 0;
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -1,4 +1,4 @@
-import type { JobSpec, Priority } from "../types.js";
+import type { JobSpec, Priority } from "./job-spec.js";
 import type { Placement } from "./placement.js";
 
 export type JobState = "active" | "cancelled" | "done";
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -1,5 +1,8 @@
-import type { Amount, JobSpec, MachineType, Report } from "../types.js";
+import type { Heartbeat } from "../messages/agents.js";
+import type { MachineType } from "./deployment.js";
+import type { JobSpec } from "./job-spec.js";
 import type { Placement, Reservation } from "./placement.js";
+import type { Resources } from "./resources.js";
 import { fits, ZERO } from "./resources.js";
 
 /** Can a task of this job be put on machines of this type at all? */
@@ -45,14 +48,14 @@
   noticeUntil: number | null = null;
   mode: MachineMode = "open";
   readonly placements = new Set<Placement>();
-  used: Amount = ZERO;
+  used: Resources = ZERO;
   /** The same by priority. */
-  readonly usedBy: Amount[] = [ZERO, ZERO, ZERO, ZERO];
+  readonly usedBy: Resources[] = [ZERO, ZERO, ZERO, ZERO];
   /** Room kept for a replica that is about to move here. */
-  booked: Amount = ZERO;
+  booked: Resources = ZERO;
   /** Room taken by reported tasks that we have no placement for. */
-  strayUse: Amount = ZERO;
-  report: Report | null = null;
+  strayUse: Resources = ZERO;
+  report: Heartbeat | null = null;
   readonly images = new Map<string, ImageOnMachine>();
   bootingSince: number;
   idleSince: number | null = null;
@@ -86,7 +89,7 @@
   }
 
   /** True if a task fits beside what is here; what work below a priority uses may be counted as room. */
-  hasRoom(need: Amount, below = 0): boolean {
+  hasRoom(need: Resources, below = 0): boolean {
     const { used, booked, strayUse } = this;
     const size = this.type?.size ?? ZERO;
     let { cpu, gpu, ram } = size;
@@ -103,7 +106,7 @@
     );
   }
 
-  room(): Amount {
+  room(): Resources {
     const size = this.type?.size ?? ZERO;
     return {
       cpu: size.cpu - this.used.cpu - this.booked.cpu - this.strayUse.cpu,
--- a/src/core/model/placement.ts
+++ b/src/core/model/placement.ts
@@ -1,5 +1,5 @@
-import type { Priority, TaskState } from "../types.js";
 import type { Job } from "./job.js";
+import type { Priority, TaskState } from "./job-spec.js";
 import type { Machine } from "./machine.js";
 
 /** Keeps a machine's room for a job until it is used, or for so long. */
--- a/src/core/model/resources.ts
+++ b/src/core/model/resources.ts
@@ -1,14 +1,19 @@
-import type { Amount } from "../types.js";
+/** Amounts of the resources that tasks need and machines offer, in whole thousandths, so that sums never drift. */
+export interface Resources {
+  readonly cpu: number;
+  readonly gpu: number;
+  readonly ram: number;
+}
 
-export const ZERO: Amount = { cpu: 0, gpu: 0, ram: 0 };
+export const ZERO: Resources = { cpu: 0, gpu: 0, ram: 0 };
 
 /** What a task takes is rounded up, so that the sum never understates it. */
-export function needOf(cpu: number, gpu: number, ram: number): Amount {
+export function needOf(cpu: number, gpu: number, ram: number): Resources {
   return { cpu: up(cpu), gpu: up(gpu), ram: up(ram) };
 }
 
 /** What a machine or a limit offers is rounded down. */
-export function offerOf(cpu: number, gpu: number, ram: number): Amount {
+export function offerOf(cpu: number, gpu: number, ram: number): Resources {
   return { cpu: down(cpu), gpu: down(gpu), ram: down(ram) };
 }
 
@@ -20,16 +25,16 @@
   return Math.floor(x * 1000 + 1e-6);
 }
 
-export function add(a: Amount, b: Amount, times = 1): Amount {
+export function add(a: Resources, b: Resources, times = 1): Resources {
   return { cpu: a.cpu + b.cpu * times, gpu: a.gpu + b.gpu * times, ram: a.ram + b.ram * times };
 }
 
-export function fits(need: Amount, room: Amount): boolean {
+export function fits(need: Resources, room: Resources): boolean {
   return need.cpu <= room.cpu && need.gpu <= room.gpu && need.ram <= room.ram;
 }
 
 /** How many times `need` goes into `room`. */
-export function times(need: Amount, room: Amount): number {
+export function times(need: Resources, room: Resources): number {
   let n = Number.POSITIVE_INFINITY;
   if (need.cpu > 0) n = Math.min(n, Math.floor(room.cpu / need.cpu));
   if (need.gpu > 0) n = Math.min(n, Math.floor(room.gpu / need.gpu));
--- a/src/core/peer-table.ts
+++ b/src/core/peer-table.ts
@@ -1,6 +1,6 @@
 import type { PeerStandby, Warmth } from "../standby/role.js";
 import type { Context } from "./context.js";
-import type { PeerMessage } from "./types.js";
+import type { PeerMessage } from "./messages/peers.js";
 
 /** A peer counts as heard for so long after a heartbeat. */
 const FRESH_MS = 3500;
@@ -17,7 +17,7 @@
   standby: Warmth | undefined;
 }
 
-type Heartbeat = Extract<PeerMessage, { t: "beat" }>;
+type Heartbeat = Extract<PeerMessage, { kind: "heartbeat" }>;
 
 /** What this node knows of the others, by their heartbeats and links. */
 export class PeerTable {
@@ -45,7 +45,7 @@
     if (peer) peer.up = up;
   }
 
-  heard(node: string, { stateOk, workersHeard, standby }: Heartbeat): void {
+  heard(node: string, { storeHealthy: stateOk, agentsHeard: workersHeard, standby }: Heartbeat): void {
     const peer = this.#peers.get(node);
     if (!peer) return;
     peer.heardAt = this.#ctx.now;
--- a/src/core/scheduling/feasible-machines.ts
+++ b/src/core/scheduling/feasible-machines.ts
@@ -2,8 +2,8 @@
 import type { Tables } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
 import { type Machine, suitsType } from "../model/machine.js";
+import type { Resources } from "../model/resources.js";
 import { add, fits } from "../model/resources.js";
-import type { Amount } from "../types.js";
 import { isAged } from "./queue-order.js";
 
 /** Boots take up to half as long again as the catalogue says. */
@@ -72,7 +72,7 @@
       machine.unreachableSince === null &&
       machine.noticeUntil === null &&
       machine.blockedUntil <= now &&
-      now - machine.heardAt < deployment.reportS * 2500 + 500
+      now - machine.heardAt < deployment.heartbeatIntervalS * 2500 + 500
     );
   }
 
@@ -105,10 +105,10 @@
     return found;
   }
 
-  readonly #room = new Map<string, { need: Amount | null; spare: number }>();
+  readonly #room = new Map<string, { need: Resources | null; spare: number }>();
 
   /** So many machines of this type are to be left with room for GPU work. */
-  leaveRoom(type: string, need: Amount | null, spare: number): void {
+  leaveRoom(type: string, need: Resources | null, spare: number): void {
     this.#room.set(type, { need, spare });
   }
 
@@ -147,7 +147,7 @@
   readonly #free = new Map<string, { changes: number; open: Machine[]; count: number }>();
 
   /** How many machines of a type have room for GPU work; counted anew only after something was placed or gone. */
-  #freeFor(type: string, need: Amount): number {
+  #freeFor(type: string, need: Resources): number {
     const open = this.#open.get(type) ?? [];
     const { changes } = this.#tables;
     const known = this.#free.get(type);
--- a/src/core/scheduling/guaranteed-quota.ts
+++ b/src/core/scheduling/guaranteed-quota.ts
@@ -1,5 +1,5 @@
+import type { Team } from "../model/deployment.js";
 import type { Job } from "../model/job.js";
-import type { Team } from "../types.js";
 
 /**
  * Of jobs in the order of their acceptance, those within their teams' guarantees: a job is if it fits there along with
--- a/src/core/scheduling/negative-fit-cache.ts
+++ b/src/core/scheduling/negative-fit-cache.ts
@@ -1,12 +1,12 @@
 import type { Context } from "../context.js";
 import type { Job } from "../model/job.js";
+import type { Resources } from "../model/resources.js";
 import { fits } from "../model/resources.js";
-import type { Amount } from "../types.js";
 
 /** Demands that found no place in this call: what asks for as much or more need not look again. */
 export class FailedFits {
   readonly #ctx: Context;
-  readonly #byKind = new Map<string, { need: Amount; tasks: number }[]>();
+  readonly #byKind = new Map<string, { need: Resources; tasks: number }[]>();
 
   constructor(ctx: Context) {
     this.#ctx = ctx;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -4,8 +4,8 @@
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
+import type { Resources } from "../model/resources.js";
 import { fits, times } from "../model/resources.js";
-import type { Amount } from "../types.js";
 import { guaranteeAimS, stoppingPriority, waitAimS } from "./queue-order.js";
 
 const RESERVE_MS = 15_000;
@@ -125,7 +125,7 @@
           this.stopOrderly(victim, `room for ${job.uid}`);
         }
       }
-      job.makingRoomUntil = now + graceS * 1000 + this.#ctx.deployment.reportS * 2000;
+      job.makingRoomUntil = now + graceS * 1000 + this.#ctx.deployment.heartbeatIntervalS * 2000;
       return slots;
     }
     return 0;
@@ -135,7 +135,7 @@
   #plan(
     job: Job,
     machine: Machine,
-    need: Amount,
+    need: Resources,
     guaranteed: boolean,
   ): { slots: number; victims: Placement[]; cost: number } | null {
     const room = machine.room();
--- a/src/core/scheduling/queue-order.ts
+++ b/src/core/scheduling/queue-order.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
 import type { Job } from "../model/job.js";
-import type { Priority } from "../types.js";
+import type { Priority } from "../model/job-spec.js";
 
 /** The part of an aim's time after which a job that has missed an earlier one is hurried again. */
 const HURRY_PART = 0.6;
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -2,8 +2,8 @@
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
 import type { Reservation } from "../model/placement.js";
+import type { Resources } from "../model/resources.js";
 import { add, ZERO } from "../model/resources.js";
-import type { Amount } from "../types.js";
 import { isTooLate } from "./queue-order.js";
 
 /** Renewed in each round for as long as the gang waits. */
@@ -77,7 +77,7 @@
     this.#limitHolders.set(job.spec.team, { job, until: now + HOLD_MS });
   }
 
-  keptOfLimit(job: Job): Amount {
+  keptOfLimit(job: Job): Resources {
     const holder = this.#limitHolders.get(job.spec.team);
     if (!holder || holder.job === job || job.spec.shape === "service") return ZERO;
     if (holder.until <= this.#ctx.now || holder.job.pending === 0) return ZERO;
--- a/src/core/scheduling/runtime-estimates.ts
+++ b/src/core/scheduling/runtime-estimates.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from "../types.js";
+import type { JobSpec } from "../model/job-spec.js";
 
 /** What a new observation weighs, at least; the first few weigh more. */
 const WEIGHT = 0.05;
--- a/src/core/store/config-watch.ts
+++ b/src/core/store/config-watch.ts
@@ -1,6 +1,7 @@
 import { defaultOperator, readOperator } from "../../config/operator.js";
 import type { Context } from "../context.js";
-import type { MachineType, StateItem } from "../types.js";
+import type { StoreEntry } from "../messages/store.js";
+import type { MachineType } from "../model/deployment.js";
 import {
   KEYS,
   type LeaderRecord,
@@ -28,7 +29,7 @@
   settingsVersion = 0;
   modes: Record<string, "cordon" | "drain"> = {};
   modesVersion = 0;
-  move: StateItem | null = null;
+  move: StoreEntry | null = null;
   /** The layout in which records are written: 1, that of the version before this one, until the feature gate opens. */
   layout = 1;
   featuresVersion = 0;
@@ -61,18 +62,18 @@
   #read(): void {
     if (this.#reading) return;
     this.#reading = true;
-    this.#ctx.state({ t: "list", prefix: KEYS.config, after: null }, 2000, (answer) => {
+    this.#ctx.state({ kind: "list", prefix: KEYS.config, after: null }, 2000, (answer) => {
       this.#reading = false;
-      if (answer.t !== "page") {
+      if (answer.kind !== "page") {
         this.#retryAt = this.#ctx.now + RETRY_MS;
         return;
       }
       if (this.loaded && answer.revision < this.revision) return;
-      const present = new Set(answer.items.map((item) => item.key));
+      const present = new Set(answer.entries.map((item) => item.key));
       for (const key of [KEYS.leader, KEYS.move, KEYS.modes]) {
         if (!present.has(key)) this.#drop(key);
       }
-      for (const item of answer.items) this.note(item);
+      for (const item of answer.entries) this.note(item);
       this.revision = Math.max(this.revision, answer.revision);
       const first = !this.loaded;
       this.loaded = true;
@@ -84,17 +85,17 @@
   #follow(): void {
     this.#following = true;
     const after = this.revision;
-    const call = { t: "follow", prefix: KEYS.config, after, waitMs: FOLLOW_MS } as const;
+    const call = { kind: "watch", prefix: KEYS.config, after, waitMs: FOLLOW_MS } as const;
     this.#ctx.state(call, FOLLOW_MS + 2000, (answer) => {
       this.#following = false;
-      if (answer.t === "events") {
+      if (answer.kind === "events") {
         for (const event of answer.events) {
-          if (event.t === "put") this.note(event.item);
+          if (event.kind === "put") this.note(event.entry);
           else this.#drop(event.key, event.version);
         }
         this.revision = Math.max(this.revision, answer.revision);
         this.tick();
-      } else if (answer.t === "compacted") {
+      } else if (answer.kind === "compacted") {
         this.#read();
       } else {
         this.#retryAt = this.#ctx.now + RETRY_MS;
@@ -103,7 +104,7 @@
   }
 
   /** Takes over an item, also one that this node has just written itself. Older versions are ignored. */
-  note(item: StateItem): void {
+  note(item: StoreEntry): void {
     switch (item.key) {
       case KEYS.leader: {
         const value = readLeader(item.value);
--- a/src/core/store/feature-gate.ts
+++ b/src/core/store/feature-gate.ts
@@ -55,12 +55,16 @@
       { key: KEYS.leader, version: term.version },
       { key: KEYS.features, version: this.#view.featuresVersion },
     ];
-    this.#ctx.state({ t: "txn", conditions, changes: [{ put: KEYS.features, value }] }, CALL_MS, (answer) => {
-      this.#writing = false;
-      if (answer.t === "conflict") this.#view.refresh();
-      if (answer.t !== "ok") return;
-      this.#ctx.log("info", "records are written in the layouts of this version", { why });
-      this.#view.note({ key: KEYS.features, value, version: answer.revision });
-    });
+    this.#ctx.state(
+      { kind: "transaction", conditions, changes: [{ put: KEYS.features, value }] },
+      CALL_MS,
+      (answer) => {
+        this.#writing = false;
+        if (answer.kind === "conflict") this.#view.refresh();
+        if (answer.kind !== "ok") return;
+        this.#ctx.log("info", "records are written in the layouts of this version", { why });
+        this.#view.note({ key: KEYS.features, value, version: answer.revision });
+      },
+    );
   }
 }
--- a/src/core/store/job-watch.ts
+++ b/src/core/store/job-watch.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
 import type { Leadership } from "../election/election.js";
-import type { StateItem } from "../types.js";
+import type { StoreEntry } from "../messages/store.js";
 import { type LoadedRecords, RecordReader, type RecordSource, type StoredRecords } from "./record-reader.js";
 import { KEYS } from "./records.js";
 
@@ -15,7 +15,7 @@
   knownThrough: number | null = null;
   readonly #ctx: Context;
   readonly #leadership: Leadership;
-  readonly #learned: (item: StateItem) => void;
+  readonly #learned: (item: StoreEntry) => void;
   readonly #reader: RecordReader;
   #revision = 0;
   #loaded = false;
@@ -23,7 +23,7 @@
   #followAt = 0;
   #stopped = false;
 
-  constructor(ctx: Context, leadership: Leadership, learned: (item: StateItem) => void) {
+  constructor(ctx: Context, leadership: Leadership, learned: (item: StoreEntry) => void) {
     this.#ctx = ctx;
     this.#leadership = leadership;
     this.#learned = learned;
@@ -59,17 +59,17 @@
   #follow(): void {
     this.#following = true;
     const waitMs = Math.floor(this.#leadership.followMs);
-    const call = { t: "follow", prefix: KEYS.jobs, after: this.#revision, waitMs } as const;
+    const call = { kind: "watch", prefix: KEYS.jobs, after: this.#revision, waitMs } as const;
     const askedAt = this.#ctx.now;
     this.#ctx.state(call, waitMs + FOLLOW_GRACE_MS, (answer) => {
       if (this.#stopped) return;
       this.#following = false;
       this.#followAt = this.#ctx.now + FOLLOW_PAUSE_MS;
-      if (answer.t === "events") {
-        for (const event of answer.events) if (event.t === "put") this.#learned(event.item);
+      if (answer.kind === "events") {
+        for (const event of answer.events) if (event.kind === "put") this.#learned(event.entry);
         this.#revision = Math.max(this.#revision, answer.revision);
         this.knownThrough = askedAt;
-      } else if (answer.t === "compacted") this.#readAnew();
+      } else if (answer.kind === "compacted") this.#readAnew();
       else this.#followAt = this.#ctx.now + RETRY_MS;
     });
   }
--- a/src/core/store/machine-types-record.ts
+++ b/src/core/store/machine-types-record.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
 import type { Term } from "../election/leader-lease.js";
-import type { MachineType } from "../types.js";
+import type { MachineType } from "../model/deployment.js";
 import type { ConfigView } from "./config-watch.js";
 import { KEYS } from "./records.js";
 import { bytesOf } from "./store-limits.js";
@@ -35,9 +35,9 @@
       { key: KEYS.types, version: this.#view.typesVersion },
     ];
     const changes = [{ put: KEYS.types, value: types }];
-    this.#ctx.state({ t: "txn", conditions, changes }, CALL_MS, (answer) => {
+    this.#ctx.state({ kind: "transaction", conditions, changes }, CALL_MS, (answer) => {
       this.#writing = false;
-      if (answer.t === "ok") this.#view.note({ key: KEYS.types, value: types, version: answer.revision });
+      if (answer.kind === "ok") this.#view.note({ key: KEYS.types, value: types, version: answer.revision });
     });
   }
 }
--- a/src/core/store/record-reader.ts
+++ b/src/core/store/record-reader.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { StateItem } from "../types.js";
+import type { StoreEntry } from "../messages/store.js";
 import { KEYS } from "./records.js";
 
 /**
@@ -11,9 +11,9 @@
 
 /** What earlier leaders left on record. */
 export interface StoredRecords {
-  readonly machines: readonly StateItem[];
-  readonly chunks: readonly StateItem[];
-  readonly jobs: readonly StateItem[];
+  readonly machines: readonly StoreEntry[];
+  readonly chunks: readonly StoreEntry[];
+  readonly jobs: readonly StoreEntry[];
 }
 
 /** The records, with the revision and the time from which on the changes of jobs are to be followed. */
@@ -28,10 +28,10 @@
   load(then: (loaded: LoadedRecords) => void): void;
 }
 
-type Read = (items: StateItem[], revision: number, askedAt: number) => void;
+type Read = (items: StoreEntry[], revision: number, askedAt: number) => void;
 
 /** Told of each page of a prefix as it comes; false ends the reading. */
-type TakePage = (items: readonly StateItem[]) => boolean;
+type TakePage = (items: readonly StoreEntry[]) => boolean;
 
 /** Reads whole prefixes from the state service, page by page, until it has them. */
 export class RecordReader implements RecordSource {
@@ -60,8 +60,8 @@
 
   /** Reads all keys under a prefix; revision and time are the first page's, so that following misses nothing. */
   readAll(prefix: string, then: Read): void {
-    const items: StateItem[] = [];
-    const keep = (page: readonly StateItem[]) => {
+    const items: StoreEntry[] = [];
+    const keep = (page: readonly StoreEntry[]) => {
       items.push(...page);
       return true;
     };
@@ -79,19 +79,19 @@
     const next = (after: string | null, tries = 0) => {
       if (revision === null) firstAskedAt = this.#ctx.now;
       const waitMs = PAGE_MS[Math.min(tries, PAGE_MS.length - 1)] ?? 0;
-      this.#ctx.state({ t: "list", prefix, after }, waitMs, (answer) => {
+      this.#ctx.state({ kind: "list", prefix, after }, waitMs, (answer) => {
         if (this.#stopped) return;
-        if (answer.t === "silent") {
+        if (answer.kind === "timeout") {
           next(after, tries + 1);
           return;
         }
-        if (answer.t !== "page") {
+        if (answer.kind !== "page") {
           this.later(RETRY_MS, () => next(after));
           return;
         }
         revision ??= answer.revision;
-        if (!takePage(answer.items)) return;
-        const last = answer.items.at(-1);
+        if (!takePage(answer.entries)) return;
+        const last = answer.entries.at(-1);
         if (answer.more && last) next(last.key);
         else then(revision, firstAskedAt);
       });
--- a/src/core/store/record-restore.ts
+++ b/src/core/store/record-restore.ts
@@ -1,9 +1,9 @@
 import type { Context } from "../context.js";
 import type { Pipelines } from "../jobs/dependency-graph.js";
+import type { StoreEntry } from "../messages/store.js";
 import type { Tables } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
-import type { StateItem } from "../types.js";
 import type { Recorder } from "./record-writer.js";
 import { KEYS, readBucket } from "./records.js";
 import { readChunks, type StoredChunk } from "./stored-chunks.js";
@@ -23,7 +23,7 @@
   }
 
   /** The machines of one record. One that can't be read is told of, and kept. */
-  machines(item: StateItem): void {
+  machines(item: StoreEntry): void {
     const { now } = this.#ctx;
     const record = readBucket(item.value);
     const bucket = Number(item.key.slice(KEYS.machines.length));
@@ -41,7 +41,7 @@
   }
 
   /** Puts what is on record as placed into the tables; returns how much that is. */
-  placements(chunks: readonly StateItem[]): number {
+  placements(chunks: readonly StoreEntry[]): number {
     const { found, unreadable } = readChunks(chunks);
     for (const { key, uid } of unreadable) {
       this.#ctx.log("error", "a record can't be read", { key });
--- a/src/core/store/record-writer.ts
+++ b/src/core/store/record-writer.ts
@@ -119,11 +119,11 @@
     const { conditions, changes } = batch;
     this.#chunks.writing = batch.chunks;
     const askedAt = ctx.now;
-    ctx.state({ t: "txn", conditions, changes }, CALL_MS, (answer) => {
+    ctx.state({ kind: "transaction", conditions, changes }, CALL_MS, (answer) => {
       if (this.over) return;
-      if (answer.t !== "ok") this.#putBack(batch);
+      if (answer.kind !== "ok") this.#putBack(batch);
       this.#chunks.writing = [];
-      switch (answer.t) {
+      switch (answer.kind) {
         case "ok":
           this.#busy = false;
           if (this.#oneByOne > 0) this.#oneByOne--;
@@ -135,7 +135,7 @@
           break;
         case "invalid":
           this.#busy = false;
-          this.#refused(batch, answer.why);
+          this.#refused(batch, answer.reason);
           break;
         default:
           this.#busy = false;
@@ -339,10 +339,10 @@
       return;
     }
     for (const { key, take } of stale) {
-      this.#ctx.state({ t: "get", key }, CALL_MS, (answer) => {
+      this.#ctx.state({ kind: "get", key }, CALL_MS, (answer) => {
         if (this.over) return;
-        if (answer.t === "item") take(answer.item.version);
-        else if (answer.t === "absent") take(0);
+        if (answer.kind === "found") take(answer.entry.version);
+        else if (answer.kind === "notFound") take(0);
         if (--waiting === 0) done();
       });
     }
--- a/src/core/store/records.ts
+++ b/src/core/store/records.ts
@@ -1,5 +1,6 @@
 import * as v from "valibot";
-import type { JobSpec, MachineType } from "../types.js";
+import type { MachineType } from "../model/deployment.js";
+import type { JobSpec } from "../model/job-spec.js";
 import { bytesOf } from "./store-limits.js";
 
 /**
--- a/src/core/store/store-limits.ts
+++ b/src/core/store/store-limits.ts
@@ -1,4 +1,4 @@
-import type { Deployment, StateLimits } from "../types.js";
+import type { Deployment, StoreLimits } from "../model/deployment.js";
 
 /** After a 429 the lower rate is kept to for so long. */
 const THROTTLED_MS = 60_000;
@@ -14,11 +14,17 @@
  * one until a 429 shows otherwise.
  */
 export class Limits {
-  readonly #now: StateLimits;
-  readonly #next: StateLimits | null;
+  readonly #now: StoreLimits;
+  readonly #next: StoreLimits | null;
   #throttledUntil = Number.NEGATIVE_INFINITY;
 
-  constructor({ stateRps, stateWriteRps, valueBytes, txnOps, stateNext }: Deployment) {
+  constructor({
+    storeRps: stateRps,
+    storeWriteRps: stateWriteRps,
+    valueBytes,
+    txnOps,
+    nextStoreLimits: stateNext,
+  }: Deployment) {
     this.#now = { rps: stateRps, writeRps: stateWriteRps, valueBytes, txnOps };
     this.#next = stateNext ?? null;
   }
--- a/src/core/store/stored-chunks.ts
+++ b/src/core/store/stored-chunks.ts
@@ -1,4 +1,4 @@
-import type { StateItem } from "../types.js";
+import type { StoreEntry } from "../messages/store.js";
 import { CHUNK_TASKS, type ChunkRecord, readChunk, readChunkKey, type TaskRange } from "./records.js";
 
 export interface StoredPlacement {
@@ -58,7 +58,7 @@
  * a leader's transaction from before the fall may be carried out after its later ones, under a key that these leave alone.
  * Of smaller ones the newest is right: their size changes only with the leader, whose late transactions fail.
  */
-export function readChunks(items: readonly StateItem[]): StoredChunks {
+export function readChunks(items: readonly StoreEntry[]): StoredChunks {
   const found = new Map<string, StoredChunk[]>();
   const unreadable: { key: string; uid: string }[] = [];
   const covered = new Map<string, Coverage>();
--- a/src/core/store/write-batch.ts
+++ b/src/core/store/write-batch.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
+import type { StoreChange, VersionCondition } from "../messages/store.js";
 import type { Job } from "../model/job.js";
 import type { Placement } from "../model/placement.js";
-import type { StateChange, StateCondition } from "../types.js";
 import type { DirtyChunk } from "./dirty-chunks.js";
 import type { Bucket } from "./machine-records.js";
 import type { MoveRecord } from "./records.js";
@@ -11,8 +11,8 @@
 
 /** What goes into one transaction, and what it is made of. */
 export interface Batch {
-  readonly conditions: StateCondition[];
-  readonly changes: StateChange[];
+  readonly conditions: VersionCondition[];
+  readonly changes: StoreChange[];
   readonly chunks: DirtyChunk[];
   readonly placements: Placement[];
   readonly buckets: Bucket[];
@@ -28,7 +28,7 @@
 }
 
 /** A transaction without changes, under the condition that this leader still leads. */
-export function emptyBatch(leadership: StateCondition): Batch {
+export function emptyBatch(leadership: VersionCondition): Batch {
   return {
     conditions: [leadership],
     changes: [],
--- a/src/protocol/agents.ts
+++ b/src/protocol/agents.ts
@@ -1,6 +1,7 @@
 import * as v from "valibot";
+import type { AgentCommand, Heartbeat, HeartbeatReply, ReportedTask } from "../core/messages/agents.js";
 import type { Directory } from "../core/model/interner.js";
-import type { Cause, Order, Report, ReportAnswer, ReportedTask, TaskState } from "../core/types.js";
+import type { ExitReason, TaskState } from "../core/model/job-spec.js";
 
 /** Workers' reports and orders. Names become indices here, wire words the terms of the domain. */
 
@@ -11,7 +12,7 @@
   saving: "saving",
   ended: "ended",
 };
-const CAUSES: Record<string, Cause> = {
+const CAUSES: Record<string, ExitReason> = {
   done: "done",
   stopped: "stopped",
   peers: "peers",
@@ -21,7 +22,7 @@
   busy: "busy",
   unknown: "unknown",
 };
-const ORDER_WORDS = { start: "launch", stop: "stop", forget: "clear" } as const;
+const ORDER_WORDS = { start: "launch", stop: "stop", acknowledge: "clear" } as const;
 
 // Integers may reach 2^64, beyond what a double holds exactly; ours stay far below, others' are only compared.
 const whole = v.pipe(v.number(), v.minValue(0));
@@ -49,7 +50,7 @@
 });
 
 /** Null for anything that is not a well-formed report. */
-export function decodeReport(body: unknown, directory: Directory): Report | null {
+export function decodeReport(body: unknown, directory: Directory): Heartbeat | null {
   const result = v.safeParse(reportSchema, body);
   if (!result.success) return null;
   const report = result.output;
@@ -64,7 +65,7 @@
       task,
       attempt: entry.try,
       state,
-      cause: entry.cause === null ? null : (CAUSES[entry.cause] ?? "error"),
+      exitReason: entry.cause === null ? null : (CAUSES[entry.cause] ?? "error"),
       saved: entry.stored ?? false,
     });
   }
@@ -74,41 +75,44 @@
     type: report.rack,
     zone: report.yard,
     spot: report.loaners,
-    session: report.shift,
+    incarnation: report.shift,
     sequence: report.tally,
-    token: report.baton,
-    noticeS: report.recall_s,
+    fencingToken: report.baton,
+    reclaimNoticeS: report.recall_s,
     tasks,
   };
 }
 
-export function encodeOrders(orders: readonly Order[], directory: Directory): unknown[] {
+export function encodeOrders(orders: readonly AgentCommand[], directory: Directory): unknown[] {
   return orders.map((order) => {
     const piece = `${directory.jobs.name(order.job)}/${order.task}`;
-    const base = { verb: ORDER_WORDS[order.op], piece, try: order.attempt };
-    return order.op === "stop" ? { ...base, windup_s: order.graceS } : base;
+    const base = { verb: ORDER_WORDS[order.kind], piece, try: order.attempt };
+    return order.kind === "stop" ? { ...base, windup_s: order.graceS } : base;
   });
 }
 
 export function encodeDo(
   token: number,
   session: number,
-  orders: readonly Order[],
+  orders: readonly AgentCommand[],
   directory: Directory,
 ): Record<string, unknown> {
   return { baton: token, shift: session, orders: encodeOrders(orders, directory) };
 }
 
 export function encodeReportAnswer(
-  answer: ReportAnswer,
+  answer: HeartbeatReply,
   directory: Directory,
 ): { status: number; body: Record<string, unknown> } {
-  switch (answer.t) {
-    case "orders":
-      return { status: 200, body: { baton: answer.token, orders: encodeOrders(answer.orders, directory) } };
-    case "elsewhere":
+  switch (answer.kind) {
+    case "commands":
+      return {
+        status: 200,
+        body: { baton: answer.fencingToken, orders: encodeOrders(answer.commands, directory) },
+      };
+    case "redirect":
       return { status: 421, body: answer.node === null ? {} : { steward: answer.node } };
-    case "later":
+    case "unavailable":
       return { status: 503, body: { error: "not the leader" } };
   }
 }
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,6 +1,6 @@
 import * as v from "valibot";
+import type { CloudRequest, CloudResponse } from "../core/messages/cloud.js";
 import { offerOf } from "../core/model/resources.js";
-import type { CloudAnswer, CloudCall } from "../core/types.js";
 
 const measure = v.pipe(v.number(), v.finite(), v.minValue(0));
 const typesSchema = v.object({
@@ -49,23 +49,23 @@
   readonly body?: unknown;
 }
 
-export function encodeCloudCall(call: CloudCall): HttpCall {
-  switch (call.t) {
-    case "types":
+export function encodeCloudCall(call: CloudRequest): HttpCall {
+  switch (call.kind) {
+    case "listTypes":
       return { method: "GET", path: "/machine_types" };
-    case "hire":
+    case "create":
       return {
         method: "POST",
         path: "/machines",
         body: {
-          hire: call.request,
+          hire: call.requestId,
           rack: call.type,
           yard: call.zone,
           loaners: call.spot,
           count: call.count,
         },
       };
-    case "release":
+    case "delete":
       return { method: "POST", path: "/machines/release", body: { hosts: call.machines } };
     case "list": {
       const since = call.after === null ? "" : `since=${encodeURIComponent(call.after)}&`;
@@ -74,18 +74,18 @@
   }
 }
 
-export function decodeCloudAnswer(call: CloudCall, status: number, body: unknown): CloudAnswer {
-  if (status === 503 && call.t === "hire") {
+export function decodeCloudAnswer(call: CloudRequest, status: number, body: unknown): CloudResponse {
+  if (status === 503 && call.kind === "create") {
     const error = v.safeParse(errorSchema, body);
-    if (error.success && error.output.error === "no capacity") return { t: "no_capacity" };
+    if (error.success && error.output.error === "no capacity") return { kind: "noCapacity" };
   }
-  if (status !== 200) return { t: "refused", why: `status ${status}` };
-  switch (call.t) {
-    case "types": {
+  if (status !== 200) return { kind: "unavailable", reason: `status ${status}` };
+  switch (call.kind) {
+    case "listTypes": {
       const result = v.safeParse(typesSchema, body);
       if (!result.success) break;
       return {
-        t: "types",
+        kind: "types",
         types: result.output.racks.map((rack) => ({
           name: rack.name,
           size: offerOf(rack.cpus, rack.gpus ?? 0, rack.ram_gb),
@@ -98,18 +98,18 @@
         })),
       };
     }
-    case "hire": {
+    case "create": {
       const result = v.safeParse(hiredSchema, body);
       if (!result.success) break;
-      return { t: "hired", machines: result.output.hosts };
+      return { kind: "created", machines: result.output.hosts };
     }
-    case "release":
-      return { t: "released" };
+    case "delete":
+      return { kind: "deleted" };
     case "list": {
       const result = v.safeParse(listSchema, body);
       if (!result.success) break;
       return {
-        t: "page",
+        kind: "page",
         more: result.output.more ?? false,
         machines: result.output.hosts.map((host) => ({
           name: host.uid,
@@ -123,5 +123,5 @@
       };
     }
   }
-  return { t: "silent" };
+  return { kind: "timeout" };
 }
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,6 +1,7 @@
 import * as v from "valibot";
+import type { JobStatus } from "../core/messages/users.js";
+import type { JobShape, JobSpec, Priority } from "../core/model/job-spec.js";
 import { needOf } from "../core/model/resources.js";
-import type { JobSpec, JobView, Priority, Shape } from "../core/types.js";
 
 /** Jobs as users write them. The words of the wire end here. */
 
@@ -16,7 +17,7 @@
 
 const uid = v.pipe(v.string(), v.regex(UID, "must have the form j-000412"));
 
-const SHAPES: Record<string, Shape> = { sweep: "array", gang: "gang", daemon: "service" };
+const SHAPES: Record<string, JobShape> = { sweep: "array", gang: "gang", daemon: "service" };
 const RANKS: Record<string, Priority> = { prod: 3, high: 2, normal: 1, idle: 0 };
 
 const schema = v.object({
@@ -87,7 +88,7 @@
   return { uid: id, spec: awaits.length > 0 ? { ...spec, awaits } : spec };
 }
 
-export function encodeView(view: JobView): Record<string, unknown> {
+export function encodeView(view: JobStatus): Record<string, unknown> {
   const { uid, phase, done, running, awaits } = view;
   return awaits ? { uid, phase, done, running, awaits } : { uid, phase, done, running };
 }
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -1,7 +1,11 @@
 import * as v from "valibot";
-import type { PeerMessage } from "../core/types.js";
+import type { PeerMessage } from "../core/messages/peers.js";
 
-/** What the nodes say to each other, as it is checked on arrival. Unknown fields are ignored: they are a later version's. */
+/**
+ * The frames that controllers exchange: internal messages in, wire form out, and back. The words of the wire are older
+ * than the internal ones and stay, since two versions speak to each other during an upgrade. Unknown fields are ignored:
+ * they are a later version's.
+ */
 
 const count = v.pipe(v.number(), v.minValue(0));
 const admissionSchema = v.object({
@@ -26,6 +30,7 @@
     }),
   ),
 });
+const helloSchema = v.object({ t: v.literal("hello"), node: v.string() });
 const messageSchema = v.variant("t", [
   v.object({
     t: v.literal("beat"),
@@ -50,8 +55,70 @@
   }),
 ]);
 
+type WireMessage = v.InferOutput<typeof messageSchema>;
+
+/** The first frame of a connection: it names the sender. */
+export function encodeHello(node: string): unknown {
+  return { t: "hello", node };
+}
+
+/** The node that a first frame names; null if it is none. */
+export function decodeHello(raw: unknown): string | null {
+  const result = v.safeParse(helloSchema, raw);
+  return result.success ? result.output.node : null;
+}
+
+/** The wire form of a message. */
+export function encodePeerMessage(message: PeerMessage): unknown {
+  switch (message.kind) {
+    case "heartbeat":
+      return {
+        t: "beat",
+        token: message.fencingToken,
+        leader: message.leader,
+        stateOk: message.storeHealthy,
+        workersHeard: message.agentsHeard,
+        protocol: message.protocol,
+        standby: message.standby,
+        admission: message.admission,
+      };
+    case "jobRecord":
+      return { t: "job", item: message.entry };
+    case "progress":
+      return { t: "progress", rows: message.rows };
+    case "forwardedHeartbeats":
+      return { t: "reports", list: message.heartbeats };
+    case "forwardedReplies":
+      return { t: "reportAnswers", list: message.replies };
+  }
+}
+
 /** A message of a peer; null if it can't be read. */
-export function readPeerMessage(raw: unknown): PeerMessage | null {
+export function decodePeerMessage(raw: unknown): PeerMessage | null {
   const result = v.safeParse(messageSchema, raw);
-  return result.success ? result.output : null;
+  return result.success ? fromWire(result.output) : null;
+}
+
+function fromWire(message: WireMessage): PeerMessage {
+  switch (message.t) {
+    case "beat":
+      return {
+        kind: "heartbeat",
+        fencingToken: message.token,
+        leader: message.leader,
+        storeHealthy: message.stateOk,
+        agentsHeard: message.workersHeard,
+        protocol: message.protocol,
+        standby: message.standby,
+        admission: message.admission,
+      };
+    case "job":
+      return { kind: "jobRecord", entry: message.item };
+    case "progress":
+      return { kind: "progress", rows: message.rows };
+    case "reports":
+      return { kind: "forwardedHeartbeats", heartbeats: message.list };
+    case "reportAnswers":
+      return { kind: "forwardedReplies", replies: message.list };
+  }
 }
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import type { StateAnswer, StateCall, StateChange, StateEvent } from "../core/types.js";
+import type { StoreChange, StoreRequest, StoreResponse, WatchEvent } from "../core/messages/store.js";
 import type { HttpCall } from "./cloud.js";
 
 const revision = v.object({ ledger: v.number() });
@@ -19,15 +19,15 @@
 const PAGE = 500;
 const MAX_WHY = 200;
 
-function encodeChange(change: StateChange): Record<string, unknown> {
+function encodeChange(change: StoreChange): Record<string, unknown> {
   if ("remove" in change) return { delete: change.remove };
   const put = { write: change.put, value: change.value };
-  return change.grant === undefined ? put : { ...put, tenure: change.grant };
+  return change.leaseId === undefined ? put : { ...put, tenure: change.leaseId };
 }
 
-export function encodeStateCall(call: StateCall): HttpCall {
-  switch (call.t) {
-    case "txn":
+export function encodeStateCall(call: StoreRequest): HttpCall {
+  switch (call.kind) {
+    case "transaction":
       return {
         method: "POST",
         path: "/multi",
@@ -43,13 +43,13 @@
       const since = call.after === null ? "" : `&since=${encodeURIComponent(call.after)}`;
       return { method: "GET", path: `/keys?starts=${encodeURIComponent(call.prefix)}${since}&page=${PAGE}` };
     }
-    case "grant":
-      return { method: "POST", path: "/grants", body: { life_ms: call.lifeMs } };
-    case "renew":
-      return { method: "POST", path: `/grants/${call.grant}/extend`, body: {} };
-    case "drop":
-      return { method: "DELETE", path: `/grants/${call.grant}` };
-    case "follow":
+    case "grantLease":
+      return { method: "POST", path: "/grants", body: { life_ms: call.ttlMs } };
+    case "renewLease":
+      return { method: "POST", path: `/grants/${call.leaseId}/extend`, body: {} };
+    case "revokeLease":
+      return { method: "DELETE", path: `/grants/${call.leaseId}` };
+    case "watch":
       return {
         method: "GET",
         path: `/follow?starts=${encodeURIComponent(call.prefix)}&since=${call.after}&hold_ms=${call.waitMs}`,
@@ -57,51 +57,51 @@
   }
 }
 
-export function decodeStateAnswer(call: StateCall, status: number, body: unknown): StateAnswer {
-  if (status === 429) return { t: "throttled" };
-  if (status === 503) return { t: "refused", why: `status ${status}` };
-  if (status === 404) return { t: "absent" };
-  if (status === 410 && call.t === "follow") return { t: "compacted" };
-  if (status === 400) return { t: "invalid", why: JSON.stringify(body ?? null).slice(0, MAX_WHY) };
-  if (status === 409 && call.t === "txn") {
+export function decodeStateAnswer(call: StoreRequest, status: number, body: unknown): StoreResponse {
+  if (status === 429) return { kind: "throttled" };
+  if (status === 503) return { kind: "unavailable", reason: `status ${status}` };
+  if (status === 404) return { kind: "notFound" };
+  if (status === 410 && call.kind === "watch") return { kind: "compacted" };
+  if (status === 400) return { kind: "invalid", reason: JSON.stringify(body ?? null).slice(0, MAX_WHY) };
+  if (status === 409 && call.kind === "transaction") {
     const result = v.safeParse(failed, body);
-    return result.success ? { t: "conflict", failed: result.output.failed } : { t: "silent" };
+    return result.success ? { kind: "conflict", failed: result.output.failed } : { kind: "timeout" };
   }
-  if (status !== 200) return { t: "silent" };
-  switch (call.t) {
-    case "txn": {
+  if (status !== 200) return { kind: "timeout" };
+  switch (call.kind) {
+    case "transaction": {
       const result = v.safeParse(revision, body);
-      return result.success ? { t: "ok", revision: result.output.ledger } : { t: "silent" };
+      return result.success ? { kind: "ok", revision: result.output.ledger } : { kind: "timeout" };
     }
     case "get": {
       const result = v.safeParse(item, body);
-      if (!result.success) return { t: "silent" };
+      if (!result.success) return { kind: "timeout" };
       const { path, value, stamp } = result.output;
-      return { t: "item", item: { key: path, value, version: stamp } };
+      return { kind: "found", entry: { key: path, value, version: stamp } };
     }
     case "list": {
       const result = v.safeParse(page, body);
-      if (!result.success) return { t: "silent" };
+      if (!result.success) return { kind: "timeout" };
       const { entries, more, ledger } = result.output;
       const items = entries.map(({ path, value, stamp }) => ({ key: path, value, version: stamp }));
-      return { t: "page", items, more: more ?? false, revision: ledger };
+      return { kind: "page", entries: items, more: more ?? false, revision: ledger };
     }
-    case "grant": {
+    case "grantLease": {
       const result = v.safeParse(granted, body);
-      return result.success ? { t: "granted", grant: result.output.tenure } : { t: "silent" };
+      return result.success ? { kind: "leaseGranted", leaseId: result.output.tenure } : { kind: "timeout" };
     }
-    case "renew":
-    case "drop":
-      return { t: "ok", revision: 0 };
-    case "follow": {
+    case "renewLease":
+    case "revokeLease":
+      return { kind: "ok", revision: 0 };
+    case "watch": {
       const result = v.safeParse(followed, body);
-      if (!result.success) return { t: "silent" };
-      const events: StateEvent[] = result.output.log.map((entry) =>
+      if (!result.success) return { kind: "timeout" };
+      const events: WatchEvent[] = result.output.log.map((entry) =>
         "write" in entry
-          ? { t: "put", item: { key: entry.write, value: entry.value, version: entry.stamp } }
-          : { t: "removed", key: entry.delete, version: entry.stamp },
+          ? { kind: "put", entry: { key: entry.write, value: entry.value, version: entry.stamp } }
+          : { kind: "removed", key: entry.delete, version: entry.stamp },
       );
-      return { t: "events", events, revision: result.output.ledger };
+      return { kind: "events", events, revision: result.output.ledger };
     }
   }
 }
--- a/src/shell/api.ts
+++ b/src/shell/api.ts
@@ -1,6 +1,8 @@
 import http from "node:http";
 import express, { type NextFunction, type Request, type Response } from "express";
-import type { AdminAnswer, AdminAsk, JobSpec, UserAnswer } from "../core/types.js";
+import type { AdminRequest, AdminResponse } from "../core/messages/administration.js";
+import type { UserResponse } from "../core/messages/users.js";
+import type { JobSpec } from "../core/model/job-spec.js";
 import { encodeView, isUid, parseJob } from "../protocol/jobs.js";
 import { parseJson } from "./http-client.js";
 import type { SocketShares } from "./sockets.js";
@@ -14,10 +16,10 @@
   readonly ready: boolean;
   /** True when this node is so far behind that it must turn requests away. */
   readonly overloaded: boolean;
-  submit(uid: string, spec: JobSpec | string, then: (answer: UserAnswer) => void): void;
-  poll(uid: string, then: (answer: UserAnswer) => void): void;
-  cancel(uid: string, then: (answer: UserAnswer) => void): void;
-  admin(ask: AdminAsk, then: (answer: AdminAnswer) => void): void;
+  submit(uid: string, spec: JobSpec | string, then: (answer: UserResponse) => void): void;
+  poll(uid: string, then: (answer: UserResponse) => void): void;
+  cancel(uid: string, then: (answer: UserResponse) => void): void;
+  admin(ask: AdminRequest, then: (answer: AdminResponse) => void): void;
   /** False if the body is no report. */
   report(body: unknown, then: (status: number, body: unknown) => void): boolean;
   metrics(): Promise<{ type: string; text: string }>;
@@ -53,17 +55,17 @@
   });
 
   app.get("/admin/status", (_req, res) => {
-    handler.admin({ t: "status" }, (answer) => replyAdmin(res, answer));
+    handler.admin({ kind: "getStatus" }, (answer) => replyAdmin(res, answer));
   });
   app.get("/admin/settings", (_req, res) => {
-    handler.admin({ t: "settings" }, (answer) => replyAdmin(res, answer));
+    handler.admin({ kind: "getSettings" }, (answer) => replyAdmin(res, answer));
   });
   app.patch("/admin/settings", body, (req, res) => {
     const values: unknown = req.body;
     if (typeof values !== "object" || values === null || Array.isArray(values)) {
       json(res, 400, { error: "the body must be a JSON object of settings" });
     } else {
-      handler.admin({ t: "change", values: { ...values } }, (answer) => replyAdmin(res, answer));
+      handler.admin({ kind: "changeSettings", values: { ...values } }, (answer) => replyAdmin(res, answer));
     }
   });
   app.put("/admin/machines/:name", body, (req, res) => {
@@ -72,7 +74,7 @@
     if (typeof name !== "string" || (mode !== "open" && mode !== "cordon" && mode !== "drain")) {
       json(res, 400, { error: "mode: must be open, cordon or drain" });
     } else {
-      handler.admin({ t: "machine", name, mode }, (answer) => replyAdmin(res, answer));
+      handler.admin({ kind: "setMachineMode", name, mode }, (answer) => replyAdmin(res, answer));
     }
   });
   app.get("/metrics", async (_req, res) => {
@@ -143,44 +145,41 @@
   json(res, status, { error });
 }
 
-function reply(res: Response, answer: UserAnswer): void {
-  switch (answer.t) {
+function reply(res: Response, answer: UserResponse): void {
+  switch (answer.kind) {
     case "accepted":
-      json(res, answer.known ? 200 : 201, encodeView(answer.view));
+      json(res, answer.known ? 200 : 201, encodeView(answer.status));
       break;
-    case "view":
-      json(res, 200, encodeView(answer.view));
+    case "status":
+      json(res, 200, encodeView(answer.status));
       break;
-    case "unknown":
+    case "notFound":
       json(res, 404, { error: "no such job" });
       break;
-    case "never":
+    case "unsatisfiable":
       json(res, 422, { error: answer.error });
       break;
-    case "malformed":
+    case "invalid":
       json(res, 400, { error: answer.error });
       break;
-    case "later":
-      retryLater(res, answer.error, answer.afterS);
+    case "unavailable":
+      retryLater(res, answer.error, answer.retryAfterS);
       break;
-    case "overloaded":
-      retryLater(res, answer.error, answer.afterS, 429);
+    case "throttled":
+      retryLater(res, answer.error, answer.retryAfterS, 429);
       break;
   }
 }
 
-function replyAdmin(res: Response, answer: AdminAnswer): void {
-  switch (answer.t) {
+function replyAdmin(res: Response, answer: AdminResponse): void {
+  switch (answer.kind) {
     case "ok":
       json(res, 200, answer.body);
       break;
-    case "bad":
+    case "invalid":
       json(res, 400, { error: answer.error });
       break;
-    case "missing":
-      json(res, 404, { error: answer.error });
-      break;
-    case "later":
+    case "unavailable":
       retryLater(res, answer.error, 1);
       break;
   }
--- a/src/shell/clients.ts
+++ b/src/shell/clients.ts
@@ -1,6 +1,9 @@
 import { type Endpoint, parseEndpoint } from "../config/settings.js";
+import type { Heartbeat } from "../core/messages/agents.js";
+import type { CloudRequest, CloudResponse } from "../core/messages/cloud.js";
+import type { Effect } from "../core/messages/effects.js";
+import type { StoreRequest, StoreResponse } from "../core/messages/store.js";
 import type { Directory } from "../core/model/interner.js";
-import type { CloudAnswer, CloudCall, Effect, Report, StateAnswer, StateCall } from "../core/types.js";
 import { decodeReport, encodeDo } from "../protocol/agents.js";
 import { decodeCloudAnswer, encodeCloudCall } from "../protocol/cloud.js";
 import { decodeStateAnswer, encodeStateCall } from "../protocol/store.js";
@@ -22,10 +25,10 @@
     this.#at = at;
   }
 
-  call(call: StateCall, timeoutMs: number, then: (answer: StateAnswer) => void): void {
-    const client = call.t === "follow" && call.waitMs > 0 ? this.#follows : this.#calls;
+  call(call: StoreRequest, timeoutMs: number, then: (answer: StoreResponse) => void): void {
+    const client = call.kind === "watch" && call.waitMs > 0 ? this.#follows : this.#calls;
     client.call(this.#at, encodeStateCall(call), timeoutMs, (answer) => {
-      then(answer === null ? { t: "silent" } : decodeStateAnswer(call, answer.status, answer.body));
+      then(answer === null ? { kind: "timeout" } : decodeStateAnswer(call, answer.status, answer.body));
     });
   }
 }
@@ -38,9 +41,9 @@
     this.#at = at;
   }
 
-  call(call: CloudCall, then: (answer: CloudAnswer) => void): void {
+  call(call: CloudRequest, then: (answer: CloudResponse) => void): void {
     this.#client.call(this.#at, encodeCloudCall(call), CLOUD_TIMEOUT_MS, (answer) => {
-      then(answer === null ? { t: "silent" } : decodeCloudAnswer(call, answer.status, answer.body));
+      then(answer === null ? { kind: "timeout" } : decodeCloudAnswer(call, answer.status, answer.body));
     });
   }
 }
@@ -55,8 +58,11 @@
   }
 
   /** The report that the worker answered with, and whether the orders were executed. */
-  send(effect: Extract<Effect, { t: "do" }>, then: (report: Report | null, executed: boolean) => void): void {
-    const body = encodeDo(effect.token, effect.session, effect.orders, this.#directory);
+  send(
+    effect: Extract<Effect, { kind: "sendAgentCommands" }>,
+    then: (report: Heartbeat | null, executed: boolean) => void,
+  ): void {
+    const body = encodeDo(effect.fencingToken, effect.incarnation, effect.commands, this.#directory);
     const call = { method: "POST", path: "/do", body } as const;
     this.#client.call(parseEndpoint(effect.address), call, WORKER_TIMEOUT_MS, (answer) => {
       if (answer === null || (answer.status !== 200 && answer.status !== 409)) then(null, false);
--- a/src/shell/compile-ahead.ts
+++ b/src/shell/compile-ahead.ts
@@ -1,6 +1,6 @@
 import { parseSettings } from "../config/settings.js";
 import { Controller } from "../core/controller.js";
-import type { Command } from "../core/types.js";
+import type { Command } from "../core/messages/commands.js";
 import { createServer } from "./api.js";
 import { openLog } from "./log.js";
 import { Loop } from "./loop.js";
@@ -34,11 +34,11 @@
   const controller = new Controller(settings.deployment, identity);
   const budget = { spent: () => false };
   for (let i = 0; i < TICKS; i++) {
-    const answers: Command[] = [{ t: "tick" }];
+    const answers: Command[] = [{ kind: "tick" }];
     for (const effect of controller.handle(answers, i * TICK_MS, budget)) {
-      if (effect.t !== "state") continue;
-      const answer = { t: "page", items: [], more: false, revision: 1 } as const;
-      controller.handle([{ t: "state", id: effect.id, answer }], i * TICK_MS, budget);
+      if (effect.kind !== "callStore") continue;
+      const answer = { kind: "page", entries: [], more: false, revision: 1 } as const;
+      controller.handle([{ kind: "storeResponded", id: effect.id, response: answer }], i * TICK_MS, budget);
     }
   }
 }
--- a/src/shell/loop.ts
+++ b/src/shell/loop.ts
@@ -2,17 +2,12 @@
 import type { Settings } from "../config/settings.js";
 import type { Budget } from "../core/context.js";
 import { Controller, type Identity } from "../core/controller.js";
-import type {
-  AdminAnswer,
-  AdminAsk,
-  Command,
-  Effect,
-  JobSpec,
-  PassedAnswer,
-  PassedReport,
-  PeerMessage,
-  UserAnswer,
-} from "../core/types.js";
+import type { AdminRequest, AdminResponse } from "../core/messages/administration.js";
+import type { Command } from "../core/messages/commands.js";
+import type { Effect } from "../core/messages/effects.js";
+import type { ForwardedHeartbeat, ForwardedReply, PeerMessage } from "../core/messages/peers.js";
+import type { UserResponse } from "../core/messages/users.js";
+import type { JobSpec } from "../core/model/job-spec.js";
 import { decodeReport, encodeReportAnswer } from "../protocol/agents.js";
 import type { RequestHandler } from "./api.js";
 import { CloudClient, StateClient, WorkerClient } from "./clients.js";
@@ -41,13 +36,13 @@
   readonly #peers: Peers;
   readonly #commands = new Subject<Command>();
   readonly #flush = new Subject<void>();
-  readonly #users = new Map<number, (answer: UserAnswer) => void>();
-  readonly #admins = new Map<number, (answer: AdminAnswer) => void>();
+  readonly #users = new Map<number, (answer: UserResponse) => void>();
+  readonly #admins = new Map<number, (answer: AdminResponse) => void>();
   readonly #reports = new Map<number, (status: number, body: unknown) => void>();
   readonly #relays = new Map<number, { readonly until: number; readonly to: string }>();
   /** Reports about to be passed on, and answers to those that were, by the node they go to. */
-  readonly #passing = new Map<string, PassedReport[]>();
-  readonly #answering = new Map<string, PassedAnswer[]>();
+  readonly #passing = new Map<string, ForwardedHeartbeat[]>();
+  readonly #answering = new Map<string, ForwardedReply[]>();
   #scheduled = false;
   /** Not from 1: a peer's answer to a report that this node's former process passed on must meet no request of ours. */
   #nextRequest: number;
@@ -65,7 +60,7 @@
     this.#workers = new WorkerClient(this.#controller.directory, workersOut);
     this.#peers = new Peers(settings, {
       link: (node, up) => {
-        this.#push({ t: "peerLink", node, up });
+        this.#push({ kind: "peerLinkChanged", node, up });
         if (!up) this.#unrelayed(node);
       },
       message: (from, message) => this.#peerMessage(from, message),
@@ -79,10 +74,10 @@
       this.#lagMs = Math.max(0, now - this.#tickedAt - TICK_MS);
       this.#tickedAt = now;
       this.#giveUpRelays(now);
-      this.#push({ t: "tick" });
+      this.#push({ kind: "tick" });
     });
     this.#peers.listen(failed);
-    this.#push({ t: "tick" });
+    this.#push({ kind: "tick" });
   }
 
   #push(command: Command): void {
@@ -101,7 +96,8 @@
     const budget: Budget = { spent: () => performance.now() >= end };
     this.batches++;
     for (const effect of this.#controller.handle(batch, now, budget)) this.#runGuarded(effect);
-    for (const [to, list] of this.#answering) this.#peers.send(to, { t: "reportAnswers", list });
+    for (const [to, list] of this.#answering)
+      this.#peers.send(to, { kind: "forwardedReplies", replies: list });
     this.#answering.clear();
   }
 
@@ -110,45 +106,47 @@
     try {
       this.#run(effect);
     } catch (error) {
-      this.#log.error({ effect: effect.t, error: (error as Error).stack }, "fault in an effect");
+      this.#log.error({ effect: effect.kind, error: (error as Error).stack }, "fault in an effect");
     }
   }
 
   #run(effect: Effect): void {
-    switch (effect.t) {
-      case "answer":
-        take(this.#users, effect.req)?.(effect.answer);
+    switch (effect.kind) {
+      case "respondToUser":
+        take(this.#users, effect.requestId)?.(effect.response);
         break;
-      case "adminAnswer":
-        take(this.#admins, effect.req)?.(effect.answer);
+      case "respondToOperator":
+        take(this.#admins, effect.requestId)?.(effect.response);
         break;
-      case "reportAnswer": {
-        const { status, body } = encodeReportAnswer(effect.answer, this.#controller.directory);
-        take(this.#reports, effect.req)?.(status, body);
+      case "replyToAgent": {
+        const { status, body } = encodeReportAnswer(effect.reply, this.#controller.directory);
+        take(this.#reports, effect.requestId)?.(status, body);
         break;
       }
-      case "peerReportAnswer": {
-        const { status, body } = encodeReportAnswer(effect.answer, this.#controller.directory);
+      case "replyToForwardedHeartbeat": {
+        const { status, body } = encodeReportAnswer(effect.reply, this.#controller.directory);
         append(this.#answering, effect.to, { id: effect.id, status, body });
         break;
       }
-      case "relay":
-        this.#relay(effect.req, effect.to, effect.raw);
+      case "forwardHeartbeat":
+        this.#relay(effect.requestId, effect.to, effect.body);
         break;
-      case "do":
+      case "sendAgentCommands":
         this.#workers.send(effect, (report, executed) => {
-          this.#push({ t: "doDone", id: effect.id, report, executed });
+          this.#push({ kind: "agentReplied", id: effect.id, heartbeat: report, executed });
         });
         break;
-      case "state":
-        this.#state.call(effect.call, effect.timeoutMs, (answer) => {
-          this.#push({ t: "state", id: effect.id, answer });
+      case "callStore":
+        this.#state.call(effect.request, effect.timeoutMs, (answer) => {
+          this.#push({ kind: "storeResponded", id: effect.id, response: answer });
         });
         break;
-      case "cloud":
-        this.#cloud.call(effect.call, (answer) => this.#push({ t: "cloud", id: effect.id, answer }));
+      case "callCloud":
+        this.#cloud.call(effect.request, (answer) =>
+          this.#push({ kind: "cloudResponded", id: effect.id, response: answer }),
+        );
         break;
-      case "peerSend":
+      case "sendToPeer":
         this.#peers.send(effect.to, effect.message);
         break;
       case "log":
@@ -174,7 +172,7 @@
     if (this.#peers.isCongested(to)) {
       this.#passing.set(to, open);
       setTimeout(() => this.#pass(to), GATHER_MS);
-    } else this.#peers.send(to, { t: "reports", list: open });
+    } else this.#peers.send(to, { kind: "forwardedHeartbeats", heartbeats: open });
   }
 
   #giveUpRelays(now: number): void {
@@ -199,20 +197,20 @@
   }
 
   #peerMessage(from: string, message: PeerMessage): void {
-    switch (message.t) {
-      case "reports":
-        for (const { id, body } of message.list) {
+    switch (message.kind) {
+      case "forwardedHeartbeats":
+        for (const { id, body } of message.heartbeats) {
           const report = decodeReport(body, this.#controller.directory);
-          if (report) this.#push({ t: "peerReport", from, id, report });
+          if (report) this.#push({ kind: "forwardedHeartbeat", from, id, heartbeat: report });
         }
         break;
-      case "reportAnswers":
-        for (const { id, status, body } of message.list) this.#relayed(id, status, body);
+      case "forwardedReplies":
+        for (const { id, status, body } of message.replies) this.#relayed(id, status, body);
         break;
-      case "beat":
-      case "job":
+      case "heartbeat":
+      case "jobRecord":
       case "progress":
-        this.#push({ t: "peer", from, message });
+        this.#push({ kind: "peerMessage", from, message });
         break;
       default:
         message satisfies never;
@@ -229,26 +227,31 @@
     return this.#users.size >= MAX_WAITING || this.#lagMs > LAG_OVERLOAD_MS;
   }
 
-  submit(uid: string, spec: JobSpec | string, then: (answer: UserAnswer) => void): void {
-    this.#push({ t: "submit", req: this.#expect(this.#users, then), uid, spec });
+  submit(uid: string, spec: JobSpec | string, then: (answer: UserResponse) => void): void {
+    this.#push({ kind: "submit", requestId: this.#expect(this.#users, then), uid, spec });
   }
 
-  poll(uid: string, then: (answer: UserAnswer) => void): void {
-    this.#push({ t: "poll", req: this.#expect(this.#users, then), uid });
+  poll(uid: string, then: (answer: UserResponse) => void): void {
+    this.#push({ kind: "poll", requestId: this.#expect(this.#users, then), uid });
   }
 
-  cancel(uid: string, then: (answer: UserAnswer) => void): void {
-    this.#push({ t: "cancel", req: this.#expect(this.#users, then), uid });
+  cancel(uid: string, then: (answer: UserResponse) => void): void {
+    this.#push({ kind: "cancel", requestId: this.#expect(this.#users, then), uid });
   }
 
-  admin(ask: AdminAsk, then: (answer: AdminAnswer) => void): void {
-    this.#push({ t: "admin", req: this.#expect(this.#admins, then), ask });
+  admin(ask: AdminRequest, then: (answer: AdminResponse) => void): void {
+    this.#push({ kind: "administer", requestId: this.#expect(this.#admins, then), request: ask });
   }
 
   report(body: unknown, then: (status: number, body: unknown) => void): boolean {
     const report = decodeReport(body, this.#controller.directory);
     if (!report) return false;
-    this.#push({ t: "report", req: this.#expect(this.#reports, then), report, raw: body });
+    this.#push({
+      kind: "heartbeat",
+      requestId: this.#expect(this.#reports, then),
+      heartbeat: report,
+      body: body,
+    });
     return true;
   }
 
--- a/src/shell/peers.ts
+++ b/src/shell/peers.ts
@@ -1,9 +1,8 @@
 import net from "node:net";
 import { Packr, UnpackrStream } from "msgpackr";
-import * as v from "valibot";
 import type { Settings } from "../config/settings.js";
-import type { PeerMessage } from "../core/types.js";
-import { readPeerMessage } from "../protocol/peers.js";
+import type { PeerMessage } from "../core/messages/peers.js";
+import { decodeHello, decodePeerMessage, encodeHello, encodePeerMessage } from "../protocol/peers.js";
 
 const RECONNECT_MS = 1000;
 const CONNECT_TIMEOUT_MS = 1500;
@@ -12,8 +11,6 @@
 /** With so many bytes waiting for a peer, what can wait is not sent yet. */
 const CONGESTED_BYTES = 256 * 1024;
 
-const helloSchema = v.object({ t: v.literal("hello"), node: v.string() });
-
 export interface PeerEvents {
   link(node: string, up: boolean): void;
   message(from: string, message: PeerMessage): void;
@@ -55,7 +52,7 @@
     const link = this.#links.get(to);
     if (!link?.up) return;
     if (link.socket.writableLength > this.#settings.maxConnections * BACKLOG_EACH) link.socket.destroy();
-    else link.socket.write(this.#packr.pack(message));
+    else link.socket.write(this.#packr.pack(encodePeerMessage(message)));
   }
 
   /** True while a peer takes messages more slowly than they come: what may be dropped or joined is better held back. */
@@ -72,7 +69,7 @@
     socket.on("connect", () => {
       clearTimeout(timer);
       link.up = true;
-      socket.write(this.#packr.pack({ t: "hello", node: this.#settings.deployment.node }));
+      socket.write(this.#packr.pack(encodeHello(this.#settings.deployment.node)));
       this.#events.link(node, true);
     });
     socket.on("error", () => {});
@@ -93,8 +90,7 @@
     stream.on("error", () => socket.destroy());
     stream.on("data", (raw: unknown) => {
       if (from === null) {
-        const hello = v.safeParse(helloSchema, raw);
-        const node = hello.success ? hello.output.node : null;
+        const node = decodeHello(raw);
         if (node === null || !this.#settings.peers.some((peer) => peer.node === node)) socket.destroy();
         else {
           from = node;
@@ -104,7 +100,7 @@
         }
         return;
       }
-      const message = readPeerMessage(raw);
+      const message = decodePeerMessage(raw);
       if (message && this.#accepted.get(from) === socket) this.#events.message(from, message);
     });
     socket.pipe(stream);
--- a/src/standby/cache-feed.ts
+++ b/src/standby/cache-feed.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../core/context.js";
+import type { StoreEntry, StoreResponse } from "../core/messages/store.js";
 import { RecordReader } from "../core/store/record-reader.js";
-import type { StateAnswer, StateItem } from "../core/types.js";
 import { CACHED_PREFIXES, type CachedPrefix, type RecordCache } from "./record-cache.js";
 
 /** The longest that a follow waits for a change, and what it is given beyond that to answer. */
@@ -13,14 +13,14 @@
 /** How far the copy of one prefix is. */
 type Progress =
   /** The list is yet to be read, or is being read. */
-  | { readonly t: "reading"; readonly why: string }
+  | { readonly kind: "reading"; readonly why: string }
   /** The list is there; no follow since has been answered, or the last one was not. */
-  | { readonly t: "behind"; readonly why: string }
-  | { readonly t: "following" };
+  | { readonly kind: "behind"; readonly why: string }
+  | { readonly kind: "following" };
 
 /** Keeps one prefix of the cache up to date: one list, then one follow after another. */
 class PrefixFeed {
-  progress: Progress = { t: "reading", why: "the records are being read" };
+  progress: Progress = { kind: "reading", why: "the records are being read" };
   /** When the last answer came that proved the copy complete; null before the first. */
   confirmedAt: number | null = null;
   readonly #ctx: Context;
@@ -47,29 +47,29 @@
     this.#reader.tick();
     if (this.#busy || this.#stopped || this.#ctx.now < this.#nextAt) return;
     this.#busy = true;
-    if (this.progress.t === "reading") this.#read();
+    if (this.progress.kind === "reading") this.#read();
     else this.#follow();
   }
 
   /** Takes over the pages as they come: a store too large for the cache is noticed before all of it is in memory. */
   #read(): void {
     this.#cache.begin(this.#prefix);
-    const takePage = (items: readonly StateItem[]) => {
+    const takePage = (items: readonly StoreEntry[]) => {
       this.#cache.add(this.#prefix, items);
       return !this.#cache.isTooLarge;
     };
     this.#reader.readPages(this.#prefix, takePage, (firstRevision) => {
       // Following goes on from the first page's revision: what changed while the others were read comes again.
       this.#cache.complete(this.#prefix, firstRevision);
-      this.progress = { t: "behind", why: "the changes since the first read are yet to come" };
+      this.progress = { kind: "behind", why: "the changes since the first read are yet to come" };
       this.#pause(0);
     });
   }
 
   #follow(): void {
     const after = this.#cache.through(this.#prefix);
-    const waitMs = this.progress.t === "behind" ? 0 : FOLLOW_MS;
-    const call = { t: "follow", prefix: this.#prefix, after, waitMs } as const;
+    const waitMs = this.progress.kind === "behind" ? 0 : FOLLOW_MS;
+    const call = { kind: "watch", prefix: this.#prefix, after, waitMs } as const;
     this.#ctx.state(call, waitMs + FOLLOW_GRACE_MS, (answer) => {
       if (this.#stopped) return;
       this.#pause(this.#takeChanges(answer, after) ? PAUSE_MS : RETRY_MS);
@@ -77,17 +77,17 @@
   }
 
   /** False if the copy could not be brought up to date. */
-  #takeChanges(answer: StateAnswer, after: number): boolean {
-    if (answer.t === "events" && answer.revision >= after) {
+  #takeChanges(answer: StoreResponse, after: number): boolean {
+    if (answer.kind === "events" && answer.revision >= after) {
       this.#cache.apply(this.#prefix, answer.events, answer.revision);
-      this.progress = { t: "following" };
+      this.progress = { kind: "following" };
       this.confirmedAt = this.#ctx.now;
       return true;
     }
-    if (answer.t === "events") this.progress = { t: "reading", why: "the state service went back" };
-    else if (answer.t === "compacted")
-      this.progress = { t: "reading", why: "the changes are no longer kept" };
-    else this.progress = { t: "behind", why: "the state service does not answer" };
+    if (answer.kind === "events") this.progress = { kind: "reading", why: "the state service went back" };
+    else if (answer.kind === "compacted")
+      this.progress = { kind: "reading", why: "the changes are no longer kept" };
+    else this.progress = { kind: "behind", why: "the state service does not answer" };
     return false;
   }
 
@@ -117,13 +117,13 @@
 
   /** Why the cache is not to be relied on; null while it is followed. */
   get problem(): string | null {
-    for (const { progress } of this.#feeds) if (progress.t !== "following") return progress.why;
+    for (const { progress } of this.#feeds) if (progress.kind !== "following") return progress.why;
     return null;
   }
 
   /** True once every list was read: what the cache then lacks one read can bring. */
   get isComplete(): boolean {
-    return this.#feeds.every(({ progress }) => progress.t !== "reading");
+    return this.#feeds.every(({ progress }) => progress.kind !== "reading");
   }
 
   /** How long ago the oldest part was last proved complete, in milliseconds; null before it was. */
--- a/src/standby/failover.ts
+++ b/src/standby/failover.ts
@@ -1,6 +1,7 @@
 import type { Context } from "../core/context.js";
+import type { AgentCommand } from "../core/messages/agents.js";
+import type { Effect } from "../core/messages/effects.js";
 import type { RecordSource } from "../core/store/record-reader.js";
-import type { Effect, Order } from "../core/types.js";
 import { Takeover } from "./failover-timeline.js";
 import { type PeerStandby, standsBy, type Warmth } from "./role.js";
 import { Standby, type StandbyReport } from "./standby.js";
@@ -80,8 +81,8 @@
     for (const effect of effects) {
       const orders = ordersOf(effect);
       if (orders === null) continue;
-      if (effect.t !== "do") this.takeover.note("firstAnswer", now);
-      if (orders.some(({ op }) => op === "start")) this.takeover.note("firstStart", now);
+      if (effect.kind !== "sendAgentCommands") this.takeover.note("firstAnswer", now);
+      if (orders.some(({ kind: op }) => op === "start")) this.takeover.note("firstStart", now);
     }
   }
 
@@ -102,8 +103,8 @@
 }
 
 /** What an effect tells a worker; null if it is for none. */
-function ordersOf(effect: Effect): readonly Order[] | null {
-  if (effect.t === "do") return effect.orders;
-  if (effect.t !== "reportAnswer" && effect.t !== "peerReportAnswer") return null;
-  return effect.answer.t === "orders" ? effect.answer.orders : null;
+function ordersOf(effect: Effect): readonly AgentCommand[] | null {
+  if (effect.kind === "sendAgentCommands") return effect.commands;
+  if (effect.kind !== "replyToAgent" && effect.kind !== "replyToForwardedHeartbeat") return null;
+  return effect.reply.kind === "commands" ? effect.reply.commands : null;
 }
--- a/src/standby/record-cache.ts
+++ b/src/standby/record-cache.ts
@@ -1,6 +1,6 @@
+import type { StoreEntry, WatchEvent } from "../core/messages/store.js";
 import type { StoredRecords } from "../core/store/record-reader.js";
 import { KEYS } from "../core/store/records.js";
-import type { StateEvent, StateItem } from "../core/types.js";
 
 /** The records that a leader begins with, by the prefixes of their keys. */
 export const CACHED_PREFIXES = [KEYS.machines, KEYS.chunks, KEYS.jobs] as const;
@@ -12,7 +12,7 @@
 const CONTAINER_BYTES = 32;
 
 interface CachedRecord {
-  readonly item: StateItem;
+  readonly item: StoreEntry;
   readonly bytes: number;
 }
 
@@ -73,7 +73,7 @@
   }
 
   /** Takes over one page of the records under a prefix. */
-  add(prefix: CachedPrefix, items: readonly StateItem[]): void {
+  add(prefix: CachedPrefix, items: readonly StoreEntry[]): void {
     const section = this.#section(prefix);
     for (const item of items) this.#put(section, item);
   }
@@ -87,16 +87,16 @@
    * Takes over all changes under a prefix from where it was complete to a later revision. A change that is in here
    * already, or an answer that is older than what is known, changes nothing.
    */
-  apply(prefix: CachedPrefix, events: readonly StateEvent[], through: number): void {
+  apply(prefix: CachedPrefix, events: readonly WatchEvent[], through: number): void {
     const section = this.#section(prefix);
     if (through < section.through) return;
     const inOrder = [...events].sort((a, b) => versionOf(a) - versionOf(b));
     for (const event of inOrder) {
-      const key = event.t === "put" ? event.item.key : event.key;
+      const key = event.kind === "put" ? event.entry.key : event.key;
       const known = section.records.get(key);
       if (versionOf(event) <= (known?.item.version ?? 0)) continue;
-      if (event.t === "removed") this.#remove(section, key);
-      else if (versionOf(event) > section.through || known) this.#put(section, event.item);
+      if (event.kind === "removed") this.#remove(section, key);
+      else if (versionOf(event) > section.through || known) this.#put(section, event.entry);
     }
     section.through = through;
   }
@@ -116,7 +116,7 @@
     return section;
   }
 
-  #put(section: Section, item: StateItem): void {
+  #put(section: Section, item: StoreEntry): void {
     this.#remove(section, item.key);
     const bytes = ENTRY_BYTES + estimateBytes(item.value);
     section.records.set(item.key, { item, bytes });
@@ -131,8 +131,8 @@
   }
 }
 
-function versionOf(event: StateEvent): number {
-  return event.t === "put" ? event.item.version : event.version;
+function versionOf(event: WatchEvent): number {
+  return event.kind === "put" ? event.entry.version : event.version;
 }
 
 /** What a value takes in memory, about: cheaper than writing it out. */
--- a/src/standby/standby.ts
+++ b/src/standby/standby.ts
@@ -30,17 +30,17 @@
 }
 
 type State =
-  | { readonly t: "idle" }
-  | { readonly t: "settling"; readonly since: number }
-  | { readonly t: "following"; readonly feed: CacheFeed }
-  | { readonly t: "tooLarge"; readonly until: number; readonly bytes: number };
+  | { readonly kind: "idle" }
+  | { readonly kind: "settling"; readonly since: number }
+  | { readonly kind: "following"; readonly feed: CacheFeed }
+  | { readonly kind: "tooLarge"; readonly until: number; readonly bytes: number };
 
 /** Follows the records while another node leads, so that this one can lead without reading them from the beginning. */
 export class Standby {
   readonly #ctx: Context;
   readonly #mostBytes: number;
   #cache: RecordCache;
-  #state: State = { t: "idle" };
+  #state: State = { kind: "idle" };
   #tickedAt = Number.NEGATIVE_INFINITY;
   #pausedUntil = Number.NEGATIVE_INFINITY;
 
@@ -59,29 +59,29 @@
       this.drop();
       return;
     }
-    switch (this.#state.t) {
+    switch (this.#state.kind) {
       case "idle":
-        this.#state = { t: "settling", since: now };
+        this.#state = { kind: "settling", since: now };
         break;
       case "settling":
         if (now - this.#state.since >= SETTLE_MS)
-          this.#state = { t: "following", feed: new CacheFeed(this.#ctx, this.#cache) };
+          this.#state = { kind: "following", feed: new CacheFeed(this.#ctx, this.#cache) };
         break;
       case "following":
         if (this.#cache.isTooLarge) this.#giveUp(this.#state.feed);
         else if (now >= this.#pausedUntil && this.#ctx.stateFailingSince === null) this.#state.feed.tick();
         break;
       case "tooLarge":
-        if (now >= this.#state.until) this.#state = { t: "idle" };
+        if (now >= this.#state.until) this.#state = { kind: "idle" };
         break;
     }
   }
 
   /** Ends the following and gives the memory back. */
   drop(): void {
-    if (this.#state.t === "idle") return;
-    if (this.#state.t === "following") this.#state.feed.stop();
-    this.#state = { t: "idle" };
+    if (this.#state.kind === "idle") return;
+    if (this.#state.kind === "following") this.#state.feed.stop();
+    this.#state = { kind: "idle" };
     this.#cache.clear();
   }
 
@@ -89,7 +89,7 @@
     const { bytes } = this.#cache;
     feed.stop();
     this.#cache.clear();
-    this.#state = { t: "tooLarge", until: this.#ctx.now + TOO_LARGE_MS, bytes };
+    this.#state = { kind: "tooLarge", until: this.#ctx.now + TOO_LARGE_MS, bytes };
     this.#ctx.log("info", "the records are too many for a warm standby", { bytes, most: this.#mostBytes });
   }
 
@@ -100,7 +100,7 @@
   /** Why the cache is cold; null while it is warm. */
   #problem(): string | null {
     const state = this.#state;
-    switch (state.t) {
+    switch (state.kind) {
       case "idle":
         return "this node does not stand by";
       case "settling":
@@ -118,12 +118,12 @@
    */
   source(revision: number, cold: RecordSource, events: TakeoverEvents): RecordSource {
     const state = this.#state;
-    if (state.t !== "following" || !state.feed.isComplete) {
+    if (state.kind !== "following" || !state.feed.isComplete) {
       events.chosen("cold", this.#problem());
       return cold;
     }
     state.feed.stop();
-    this.#state = { t: "idle" };
+    this.#state = { kind: "idle" };
     const cache = this.#cache;
     this.#cache = new RecordCache(this.#mostBytes);
     return new WarmStart(this.#ctx, cache, revision, cold, {
@@ -134,7 +134,7 @@
 
   /** `newest` is the latest revision that this node knows of. */
   report(newest: number): StandbyReport {
-    const lagMs = this.#state.t === "following" ? this.#state.feed.lagMs : null;
+    const lagMs = this.#state.kind === "following" ? this.#state.feed.lagMs : null;
     const why = this.#problem();
     return {
       warm: why === null,
--- a/src/standby/warm-start.ts
+++ b/src/standby/warm-start.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../core/context.js";
+import type { StoreResponse } from "../core/messages/store.js";
 import type { LoadedRecords, RecordSource } from "../core/store/record-reader.js";
 import { KEYS } from "../core/store/records.js";
-import type { StateAnswer } from "../core/types.js";
 import { CACHED_PREFIXES, type CachedPrefix, type RecordCache } from "./record-cache.js";
 
 /** How long the confirmation is waited for, at each try; then the records are read as without a cache. */
@@ -71,16 +71,16 @@
       return;
     }
     const after = this.#cache.through(prefix);
-    this.#ctx.state({ t: "follow", prefix, after, waitMs: 0 }, timeoutMs, (answer) => {
+    this.#ctx.state({ kind: "watch", prefix, after, waitMs: 0 }, timeoutMs, (answer) => {
       const refusal = this.#takeProof(answer, prefix, after);
       if (refusal === "no answer") this.#confirm(prefix, tries + 1, then);
       else then(refusal);
     });
   }
 
-  #takeProof(answer: StateAnswer, prefix: CachedPrefix, after: number): Refusal | null {
-    if (answer.t === "compacted") return "changes no longer kept";
-    if (answer.t !== "events") return "no answer";
+  #takeProof(answer: StoreResponse, prefix: CachedPrefix, after: number): Refusal | null {
+    if (answer.kind === "compacted") return "changes no longer kept";
+    if (answer.kind !== "events") return "no answer";
     // An answer from before the election proves nothing.
     if (answer.revision < Math.max(this.#revision, after)) return "the state service went back";
     this.#cache.apply(prefix, answer.events, answer.revision);
--- a/test/admission-slices.test.ts
+++ b/test/admission-slices.test.ts
@@ -100,7 +100,7 @@
     for (let i = 0; i < count; i++) {
       const uid = this.#returning(team) ?? `j-${++this.#uid}`;
       const decision = this.node(name).admission.decide(uid, team);
-      if (decision.t === "take") taken++;
+      if (decision.kind === "take") taken++;
       else this.#refused.push({ uid, team, at: this.now + decision.afterS * 1000 });
     }
     this.openJobs.set(team, (this.openJobs.get(team) ?? 0) + taken);
@@ -399,10 +399,10 @@
       for (let i = 0; i < 10; i++) {
         const id = `j-1${++uid}`;
         const decision = cluster.node(name).admission.decide(id, "red");
-        if (decision.t === "take") continue;
+        if (decision.kind === "take") continue;
         assert.ok(decision.afterS >= 1 && decision.afterS <= 30);
         const again = cluster.node(name).admission.decide(id, "red");
-        if (again.t === "wait")
+        if (again.kind === "wait")
           assert.ok(again.afterS <= decision.afterS, "the same submission, the same time");
         else early++;
         if (decision.afterS < 30) {
@@ -413,7 +413,7 @@
       // Each comes back to another node than the one that refused it.
       const due = back.get(second)?.filter((_, i) => i % NODES.length === k) ?? [];
       for (const id of due) {
-        if (cluster.node(name).admission.decide(id, "red").t === "take") kept++;
+        if (cluster.node(name).admission.decide(id, "red").kind === "take") kept++;
         else broken++;
       }
     }
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { Turns } from "../src/admission/round-robin-turns.js";
-import type { UserAnswer } from "../src/core/types.js";
-import { readPeerMessage } from "../src/protocol/peers.js";
+import type { UserResponse } from "../src/core/messages/users.js";
+import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peers.js";
 import { renderMetrics } from "../src/shell/metrics.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
@@ -16,13 +16,13 @@
 }
 
 /** Submits jobs of a team until one is turned away; returns its answer and the ids that were taken. */
-function flood(b: Bench, team: string, from: number, most = 500): { refused: UserAnswer; taken: string[] } {
+function flood(b: Bench, team: string, from: number, most = 500): { refused: UserResponse; taken: string[] } {
   const taken: string[] = [];
   for (let i = 0; i < most; i++) {
     const uid = `j-${from + i}`;
     const answer = b.submit(job(uid, { team }));
-    if (answer?.t === "overloaded") return { refused: answer, taken };
-    assert.equal(answer?.t, "accepted");
+    if (answer?.kind === "throttled") return { refused: answer, taken };
+    assert.equal(answer?.kind, "accepted");
     taken.push(uid);
   }
   throw new Error(`${most} were taken`);
@@ -32,17 +32,17 @@
   const b = leading();
   b.pass(5000);
   const { refused, taken } = flood(b, "red", 1000);
-  assert.ok(refused.t === "overloaded" && refused.afterS >= 1 && refused.afterS <= 30);
+  assert.ok(refused.kind === "throttled" && refused.retryAfterS >= 1 && refused.retryAfterS <= 30);
   assert.match(refused.error, /red/);
   const written = [...b.state.items.keys()].filter((key) => key.startsWith("j/"));
   assert.equal(written.length, taken.length, "what is refused is not written");
   const [first = ""] = taken;
   const repeat = b.submit(job(first, { team: "red" }));
-  assert.ok(repeat?.t === "accepted" && repeat.known);
-  assert.equal(b.poll(first)?.t, "view");
-  assert.equal(b.cancel(first)?.t, "view");
-  assert.equal(b.submit(job("j-5000", { team: "blue" }))?.t, "accepted", "another team's is taken");
-  assert.equal(b.submit(job("j-5001", { team: "green" }))?.t, "never");
+  assert.ok(repeat?.kind === "accepted" && repeat.known);
+  assert.equal(b.poll(first)?.kind, "status");
+  assert.equal(b.cancel(first)?.kind, "status");
+  assert.equal(b.submit(job("j-5000", { team: "blue" }))?.kind, "accepted", "another team's is taken");
+  assert.equal(b.submit(job("j-5001", { team: "green" }))?.kind, "unsatisfiable");
 });
 
 test("a repeat of a job that another node accepted is 200 under overload, whatever state the job is in", () => {
@@ -51,19 +51,19 @@
   const other = new Bench("n1", state);
   other.now = b.now;
   other.pass(500);
-  for (const uid of ["j-1", "j-2"]) assert.equal(other.submit(job(uid))?.t, "accepted");
-  assert.equal(other.cancel("j-2")?.t, "view");
+  for (const uid of ["j-1", "j-2"]) assert.equal(other.submit(job(uid))?.kind, "accepted");
+  assert.equal(other.cancel("j-2")?.kind, "status");
   flood(b, "red", 1000);
   for (const uid of ["j-1", "j-2"]) {
     const answer = b.submit(job(uid));
-    assert.ok(answer?.t === "accepted" && answer.known, uid);
+    assert.ok(answer?.kind === "accepted" && answer.known, uid);
   }
 });
 
 test("a team that the settings no longer name: its work goes on, a repeat of it is 200, what is new is refused for good", () => {
   const state = new StateService();
   const before = leading(state);
-  assert.equal(before.submit(job("j-1", { team: "blue" }))?.t, "accepted");
+  assert.equal(before.submit(job("j-1", { team: "blue" }))?.kind, "accepted");
   const teams = before.core.ctx.deployment.teams.filter(({ name }) => name !== "blue");
   const after = new Bench("n0", state, "n0-2", { teams }, 0, true);
   after.now = before.now + 5000;
@@ -71,15 +71,15 @@
   after.lead();
   after.pass(3000);
   const repeat = after.submit(job("j-1", { team: "blue" }));
-  assert.ok(repeat?.t === "accepted" && repeat.known);
-  assert.equal(after.submit(job("j-2", { team: "blue" }))?.t, "never");
-  assert.equal(after.submit(job("j-3", { team: "red" }))?.t, "accepted");
+  assert.ok(repeat?.kind === "accepted" && repeat.known);
+  assert.equal(after.submit(job("j-2", { team: "blue" }))?.kind, "unsatisfiable");
+  assert.equal(after.submit(job("j-3", { team: "red" }))?.kind, "accepted");
   const { admission } = after.core.status() as { admission: { teams: { name: string }[] } };
   assert.deepEqual(
     admission.teams.map(({ name }) => name),
     ["red"],
   );
-  assert.equal(after.cancel("j-1")?.t, "view");
+  assert.equal(after.cancel("j-1")?.kind, "status");
 });
 
 test("submissions that are turned away cost the state service one request for many; without its answer they get 503", () => {
@@ -87,16 +87,16 @@
   flood(b, "red", 1000);
   let asked = 0;
   b.stateRule = (call) => {
-    if (call.t === "txn" && call.changes.length === 0) asked++;
+    if (call.kind === "transaction" && call.changes.length === 0) asked++;
     return null;
   };
   for (let i = 0; i < 40; i++)
-    b.give({ t: "submit", req: 9000 + i, uid: `j-${7000 + i}`, spec: job(`j-${7000 + i}`) });
-  b.give({ t: "tick" });
-  assert.ok(Array.from({ length: 40 }, (_, i) => b.toldUser(9000 + i)).every((a) => a?.t === "overloaded"));
+    b.give({ kind: "submit", requestId: 9000 + i, uid: `j-${7000 + i}`, spec: job(`j-${7000 + i}`) });
+  b.give({ kind: "tick" });
+  assert.ok(Array.from({ length: 40 }, (_, i) => b.toldUser(9000 + i)).every((a) => a?.kind === "throttled"));
   assert.ok(asked <= 3, `${asked} requests for 40`);
-  b.stateRule = (call) => (call.t === "txn" ? { t: "refused", why: "outage" } : null);
-  assert.equal(b.submit(job("j-8000"))?.t, "later");
+  b.stateRule = (call) => (call.kind === "transaction" ? { kind: "unavailable", reason: "outage" } : null);
+  assert.equal(b.submit(job("j-8000"))?.kind, "unavailable");
 });
 
 test("a permit that was not used is given back: a repeat, or a write that was refused", () => {
@@ -107,8 +107,9 @@
     return admission.teams.find(({ name }) => name === "red")?.available;
   };
   const before = available();
-  b.stateRule = (call) => (call.t === "txn" && call.changes.length === 1 ? { t: "throttled" } : null);
-  assert.equal(b.submit(job("j-1"))?.t, "later");
+  b.stateRule = (call) =>
+    call.kind === "transaction" && call.changes.length === 1 ? { kind: "throttled" } : null;
+  assert.equal(b.submit(job("j-1"))?.kind, "unavailable");
   assert.equal(available(), before);
   b.stateRule = null;
   b.submit(job("j-1"));
@@ -117,11 +118,11 @@
 
 test("weights and bounds: checked, effective at once, kept out of the way of the version before", () => {
   const b = leading();
-  const set = (values: Record<string, unknown>) => b.admin({ t: "change", values });
-  assert.equal(set({ admission_weights: { nobody: 1 } })?.t, "bad");
-  assert.equal(set({ admission_weights: { red: -1 } })?.t, "bad");
-  assert.equal(set({ admission_turn_s: 1 })?.t, "bad");
-  assert.equal(set({ admission_rate: 2, admission_weights: { blue: 7 } })?.t, "ok");
+  const set = (values: Record<string, unknown>) => b.admin({ kind: "changeSettings", values });
+  assert.equal(set({ admission_weights: { nobody: 1 } })?.kind, "invalid");
+  assert.equal(set({ admission_weights: { red: -1 } })?.kind, "invalid");
+  assert.equal(set({ admission_turn_s: 1 })?.kind, "invalid");
+  assert.equal(set({ admission_rate: 2, admission_weights: { blue: 7 } })?.kind, "ok");
   const { admission } = b.core.status() as {
     admission: { rate: number; teams: { name: string; weight: number }[] };
   };
@@ -133,19 +134,21 @@
   const b = leading();
   b.pass(2000);
   const beat = b.heartbeats.get("n1");
-  assert.ok(beat?.t === "beat" && beat.admission);
-  assert.ok(productionHears(beat));
+  assert.ok(beat?.kind === "heartbeat" && beat.admission);
+  assert.ok(productionHears(encodePeerMessage(beat)));
   const plain = new Bench().lead().heartbeats.get("n1");
-  assert.ok(plain?.t === "beat" && plain.admission === undefined);
+  assert.ok(plain?.kind === "heartbeat" && plain.admission === undefined);
 });
 
 test("a word of admission that can't be read costs that word, not the heartbeat", () => {
   const b = leading();
   b.pass(2000);
   const beat = b.heartbeats.get("n1");
-  assert.ok(beat?.t === "beat" && beat.admission);
-  const asSent = JSON.parse(JSON.stringify(beat));
-  assert.deepEqual(JSON.parse(JSON.stringify(readPeerMessage(asSent))), asSent);
+  assert.ok(beat?.kind === "heartbeat" && beat.admission);
+  const asSent = JSON.parse(JSON.stringify(encodePeerMessage(beat)));
+  const read = decodePeerMessage(asSent);
+  assert.ok(read);
+  assert.deepEqual(JSON.parse(JSON.stringify(encodePeerMessage(read))), asSent);
   const { report } = beat.admission;
   const malformed = [
     "yes",
@@ -154,11 +157,11 @@
     { report, slice: { token: "x" } },
   ];
   for (const admission of malformed) {
-    const heard = readPeerMessage({ ...beat, admission });
-    assert.ok(heard?.t === "beat" && heard.admission === undefined, JSON.stringify(admission));
+    const heard = decodePeerMessage({ ...asSent, admission });
+    assert.ok(heard?.kind === "heartbeat" && heard.admission === undefined, JSON.stringify(admission));
   }
-  const later = readPeerMessage({ ...beat, admission: { ...beat.admission, more: 1 } });
-  assert.ok(later?.t === "beat" && later.admission, "unknown fields are a later version's");
+  const later = decodePeerMessage({ ...asSent, admission: { ...beat.admission, more: 1 } });
+  assert.ok(later?.kind === "heartbeat" && later.admission, "unknown fields are a later version's");
 });
 
 test("metrics and status tell of each team what was taken, refused and how long it waits", async () => {
@@ -244,7 +247,7 @@
 test("under a flood of small jobs a huge array of another team has its turn, also under a new leader", () => {
   const state = new StateService();
   const settings = { admission_rate: 10_000, admission_turn_s: 30 };
-  state.run({ t: "txn", conditions: [], changes: [{ put: "c/settings", value: settings }] }, 0);
+  state.run({ kind: "transaction", conditions: [], changes: [{ put: "c/settings", value: settings }] }, 0);
   const held = new Map<string, Said[]>([["A", []]]);
   let uid = 100;
   const begun = () => live(held, "A", "j-7").length;
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -6,7 +6,7 @@
 import { runInNewContext } from "node:vm";
 import { isMainThread, parentPort, Worker } from "node:worker_threads";
 import { parseSettings } from "../src/config/settings.js";
-import type { PeerMessage } from "../src/core/types.js";
+import type { PeerMessage } from "../src/core/messages/peers.js";
 import { createServer, type RequestHandler } from "../src/shell/api.js";
 import { Peers } from "../src/shell/peers.js";
 import { shareSockets } from "../src/shell/sockets.js";
@@ -50,7 +50,7 @@
   let sent = 0;
   while (!links.includes(false)) {
     const body = { pieces: Array.from({ length: 1024 }, () => "0123456789ab") };
-    const message: PeerMessage = { t: "reports", list: [{ id: 1, body }] };
+    const message: PeerMessage = { kind: "forwardedHeartbeats", heartbeats: [{ id: 1, body }] };
     peers.send("n1", message);
     if (links.includes(true)) sent++;
     if (sent % 100 === 1) kept = Math.max(kept, inUse() - before);
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -100,8 +100,8 @@
   assert.deepEqual(b.ops("stop", "j-1"), []);
   b.submit(job("j-3", { shape: "service", priority: 3, estimateS: 0 }));
   b.pass(200);
-  const stop = b.sent.flatMap((s) => s.orders).find((o) => o.op === "stop");
-  assert.ok(stop?.op === "stop" && stop.graceS >= 2);
+  const stop = b.sent.flatMap((s) => s.orders).find((o) => o.kind === "stop");
+  assert.ok(stop?.kind === "stop" && stop.graceS >= 2);
 });
 
 test("on a notice what can save is stopped in time to do so, and nothing new is given to the machine", () => {
@@ -112,11 +112,11 @@
   b.submit(job("j-1", { spot: true, checkpointS: 5, saveS: 2 }));
   b.submit(job("j-2", { spot: true }));
   settle(b, held, spot);
-  b.report("A", live(held, "A"), { ...spot.A, noticeS: 12 });
+  b.report("A", live(held, "A"), { ...spot.A, reclaimNoticeS: 12 });
   b.pass(200);
-  const stops = b.sent.flatMap((s) => s.orders).filter((o) => o.op === "stop");
+  const stops = b.sent.flatMap((s) => s.orders).filter((o) => o.kind === "stop");
   assert.deepEqual(
-    stops.map((o) => [o.uid, o.op === "stop" && o.graceS >= 2]),
+    stops.map((o) => [o.uid, o.kind === "stop" && o.graceS >= 2]),
     [["j-1", true]],
   );
   b.submit(job("j-3", { spot: true }));
@@ -166,40 +166,40 @@
   b.report("A");
   b.submit(job("j-1", { tasks: 12, estimateS: 200 }));
   b.pass(3000);
-  const hires = b.cloudCalls.filter((c) => c.t === "hire");
+  const hires = b.cloudCalls.filter((c) => c.kind === "create");
   assert.ok(hires.length > 0);
-  assert.equal(new Set(hires.map((c) => c.t === "hire" && c.request)).size, hires.length);
+  assert.equal(new Set(hires.map((c) => c.kind === "create" && c.requestId)).size, hires.length);
   b.cancel("j-1");
   const quiet = new Bench().lead();
   for (let s = 0; s < 110; s++) {
     quiet.report("A");
     quiet.pass(1000);
   }
-  assert.ok(quiet.cloudCalls.some((c) => c.t === "release" && c.machines.includes("A")));
+  assert.ok(quiet.cloudCalls.some((c) => c.kind === "delete" && c.machines.includes("A")));
 });
 
 test("a hire request without an answer is repeated under its name, and no other is made for it meanwhile", () => {
   const b = new Bench().lead();
   b.report("A");
   const rest = b.cloudRule;
-  b.cloudRule = (call) => (call.t === "hire" ? { t: "silent" } : rest(call));
+  b.cloudRule = (call) => (call.kind === "create" ? { kind: "timeout" } : rest(call));
   b.submit(job("j-1", { tasks: 8, estimateS: 200, zone: "a", types: ["small"] }));
   b.pass(1800);
-  const names = b.cloudCalls.flatMap((c) => (c.t === "hire" ? [c.request] : []));
+  const names = b.cloudCalls.flatMap((c) => (c.kind === "create" ? [c.requestId] : []));
   assert.equal(names.length, 2);
   assert.equal(new Set(names).size, 1);
-  b.cloudRule = (call) => (call.t === "hire" ? { t: "hired", machines: ["H"] } : rest(call));
+  b.cloudRule = (call) => (call.kind === "create" ? { kind: "created", machines: ["H"] } : rest(call));
   b.pass(1500);
   assert.ok([...(b.core.leaderTerm?.tables.machines.values() ?? [])].some((m) => m.name === "H"));
 });
 
 test("operators' settings: stored, effective at once, and nothing changes on a bad value", () => {
   const b = new Bench().lead();
-  assert.equal(b.admin({ t: "change", values: { move_low: 2 } })?.t, "bad");
-  assert.equal(b.admin({ t: "change", values: { no_such: 1 } })?.t, "bad");
-  assert.equal(b.admin({ t: "change", values: { move_drain_s: "long" } })?.t, "bad");
+  assert.equal(b.admin({ kind: "changeSettings", values: { move_low: 2 } })?.kind, "invalid");
+  assert.equal(b.admin({ kind: "changeSettings", values: { no_such: 1 } })?.kind, "invalid");
+  assert.equal(b.admin({ kind: "changeSettings", values: { move_drain_s: "long" } })?.kind, "invalid");
   assert.equal(b.core.ctx.settings.move_low, 0.3);
-  assert.equal(b.admin({ t: "change", values: { move_low: 0.2 } })?.t, "ok");
+  assert.equal(b.admin({ kind: "changeSettings", values: { move_low: 0.2 } })?.kind, "ok");
   assert.equal(b.core.ctx.settings.move_low, 0.2);
   const other = new Bench("n1", b.state);
   other.now = b.now;
@@ -220,11 +220,11 @@
   assert.equal(live(held, "A", "j-11").length, 1);
   b.report("B");
   held.set("B", []);
-  b.admin({ t: "machine", name: "A", mode: "cordon" });
+  b.admin({ kind: "setMachineMode", name: "A", mode: "cordon" });
   b.submit(job("j-10", { ...service, tasks: 2 }));
   settle(b, held);
   assert.equal(live(held, "B", "j-10").length, 2);
-  b.admin({ t: "machine", name: "A", mode: "open" });
+  b.admin({ kind: "setMachineMode", name: "A", mode: "open" });
   beat(b, held, {}, 20);
   const record = b.state.items.get("c/move")?.value as { job?: string } | undefined;
   assert.equal(record?.job, "j-11", "the move is on record");
@@ -274,8 +274,8 @@
   const released: string[] = [];
   const rule = b.cloudRule;
   b.cloudRule = (call) => {
-    if (call.t === "release") released.push(...call.machines);
-    return call.t === "release" ? { t: "released" } : rule(call);
+    if (call.kind === "delete") released.push(...call.machines);
+    return call.kind === "delete" ? { kind: "deleted" } : rule(call);
   };
   const zoneB = ["B0", "B1", "B2", "B3"];
   const zoneA = ["A0", "A1", "A2", "A3", "A4", "A5", "A6", "A7", "A8"];
@@ -497,8 +497,8 @@
     settle(b, held);
     b.submit(job("j-2", { shape: "service", priority: 3, estimateS: 0 }));
     b.pass(200);
-    const stop = b.sent.flatMap((s) => s.orders).find((o) => o.op === "stop");
-    assert.ok(stop?.op === "stop");
+    const stop = b.sent.flatMap((s) => s.orders).find((o) => o.kind === "stop");
+    assert.ok(stop?.kind === "stop");
     assert.equal(stop.graceS > 0, graceful, `saving takes ${saveS} s of 5`);
   }
 });
--- a/test/many-machines.test.ts
+++ b/test/many-machines.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import type { CloudMachine, CloudRequest } from "../src/core/messages/cloud.js";
 import { readChunks } from "../src/core/store/stored-chunks.js";
-import type { CloudCall, ListedMachine } from "../src/core/types.js";
 import { Bench, job } from "./support/controller-harness.js";
 
 const MACHINES = 6000;
@@ -17,13 +17,13 @@
 function listOf(b: Bench, refuses: (call: number) => boolean): { calls: number } {
   const counter = { calls: 0 };
   const others = b.cloudRule;
-  b.cloudRule = (call: CloudCall) => {
-    if (call.t !== "list") return others(call);
+  b.cloudRule = (call: CloudRequest) => {
+    if (call.kind !== "list") return others(call);
     counter.calls++;
-    if (refuses(counter.calls)) return { t: "refused", why: "status 429" };
+    if (refuses(counter.calls)) return { kind: "unavailable", reason: "status 429" };
     const from = call.after === null ? 0 : NAMES.indexOf(call.after) + 1;
     const machines = NAMES.slice(from, from + PAGE).map(
-      (name): ListedMachine => ({
+      (name): CloudMachine => ({
         name,
         address: `${name}:1`,
         type: "small",
@@ -33,7 +33,7 @@
         ageS: 1,
       }),
     );
-    return { t: "page", machines, more: from + PAGE < NAMES.length };
+    return { kind: "page", machines, more: from + PAGE < NAMES.length };
   };
   return counter;
 }
@@ -45,7 +45,7 @@
     NAMES.slice(from, from + 40).map((name) => [name, `${name}:1`, "small", "a", false]);
   for (let i = 0; i < MACHINES / 40; i++) {
     const changes = [{ put: `m/${i}`, value: { machines: machines(i * 40) } }];
-    b.state.run({ t: "txn", conditions: [], changes }, 0);
+    b.state.run({ kind: "transaction", conditions: [], changes }, 0);
   }
   b.lead();
   assert.equal(b.core.leaderTerm?.tables.machines.size, MACHINES);
@@ -79,7 +79,7 @@
   const b = new Bench();
   listOf(b, () => false);
   b.state.run(
-    { t: "txn", conditions: [], changes: [{ put: "c/settings", value: { max_machines: 2000 } }] },
+    { kind: "transaction", conditions: [], changes: [{ put: "c/settings", value: { max_machines: 2000 } }] },
     0,
   );
   b.lead();
@@ -88,7 +88,7 @@
   assert.equal(b.core.leaderTerm?.tables.machines.size, MACHINES);
   assert.ok(b.logged.includes("more machines than max_machines"));
   assert.deepEqual(
-    b.cloudCalls.filter(({ t }) => t === "hire"),
+    b.cloudCalls.filter(({ kind }) => kind === "create"),
     [],
   );
 });
--- a/test/model/days.ts
+++ b/test/model/days.ts
@@ -1,4 +1,4 @@
-import type { JobSpec, Priority, Shape } from "../../src/core/types.js";
+import type { JobShape, JobSpec, Priority } from "../../src/core/model/job-spec.js";
 import { job } from "../support/controller-harness.js";
 import { NO_TROUBLE } from "./troubles.js";
 import { type EffectObserver, type Trouble, World } from "./world.js";
@@ -9,7 +9,7 @@
 const SETTLED_S = TROUBLE_S + 65;
 
 function randomJob(world: World, n: number, scale: number): JobSpec {
-  const shape = (["array", "array", "service", "gang"] as const)[world.between(0, 3)] as Shape;
+  const shape = (["array", "array", "service", "gang"] as const)[world.between(0, 3)] as JobShape;
   const gang = shape === "gang";
   const service = shape === "service";
   const size = scale === 1 ? 1 : world.between(1, gang ? 4 : scale);
--- a/test/model/left-waiting.ts
+++ b/test/model/left-waiting.ts
@@ -1,4 +1,6 @@
-import type { Amount, Deployment, JobSpec } from "../../src/core/types.js";
+import type { Deployment } from "../../src/core/model/deployment.js";
+import type { JobSpec } from "../../src/core/model/job-spec.js";
+import type { Resources } from "../../src/core/model/resources.js";
 import type { Job, Worker } from "./truth.js";
 
 export interface LeftWaitingWorld {
@@ -31,7 +33,7 @@
    * team is under its limit? It may not be so for 90 s.
    */
   look(now: number): void {
-    const free = new Map<Worker, Amount>();
+    const free = new Map<Worker, Resources>();
     const used = new Map<string, { cpu: number; gpu: number }>();
     for (const w of this.#workers.values()) {
       if (!w.alive || now < w.upAt || w.noticeAt !== null) continue;
@@ -59,7 +61,7 @@
     }
   }
 
-  #isLeft(spec: JobSpec, free: ReadonlyMap<Worker, Amount>, use: { cpu: number; gpu: number }): boolean {
+  #isLeft(spec: JobSpec, free: ReadonlyMap<Worker, Resources>, use: { cpu: number; gpu: number }): boolean {
     // Where the tasks must be spread, the zone with room may be the one that has its half.
     if (spec.spread) return false;
     const running = new Set<number>();
--- a/test/model/on-machines.ts
+++ b/test/model/on-machines.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from "../../src/core/types.js";
+import type { JobSpec } from "../../src/core/model/job-spec.js";
 import type { Worker, WorkerTask } from "./truth.js";
 
 /** What is on which machine at this moment, by job and team: the truth that starts are checked against. */
--- a/test/model/truth.ts
+++ b/test/model/truth.ts
@@ -1,4 +1,6 @@
-import type { JobSpec, MachineType, Report, TaskState } from "../../src/core/types.js";
+import type { Heartbeat } from "../../src/core/messages/agents.js";
+import type { MachineType } from "../../src/core/model/deployment.js";
+import type { JobSpec, TaskState } from "../../src/core/model/job-spec.js";
 
 /** What the model world knows of workers and jobs: the truth that the service is checked against. */
 
@@ -7,7 +9,7 @@
   readonly task: number;
   readonly attempt: number;
   state: TaskState;
-  cause: Report["tasks"][number]["cause"];
+  cause: Heartbeat["tasks"][number]["exitReason"];
   saved: boolean;
   until: number;
 }
