--- a/test/model/world.ts
+++ b/test/model/world.ts
@@ -1,21 +1,14 @@
 import { Controller } from "../../src/core/controller.js";
+import type { AgentCommand, Heartbeat, HeartbeatReply } from "../../src/core/messages/agents.js";
+import type { CloudRequest, CloudResponse } from "../../src/core/messages/cloud.js";
+import type { Command } from "../../src/core/messages/commands.js";
+import type { Effect } from "../../src/core/messages/effects.js";
+import type { StoreRequest, StoreResponse } from "../../src/core/messages/store.js";
+import type { UserResponse } from "../../src/core/messages/users.js";
+import type { Deployment, MachineType } from "../../src/core/model/deployment.js";
+import type { JobSpec } from "../../src/core/model/job-spec.js";
+import type { Resources } from "../../src/core/model/resources.js";
 import { int, seeded } from "../../src/core/random.js";
-import type {
-  Amount,
-  CloudAnswer,
-  CloudCall,
-  Command,
-  Deployment,
-  Effect,
-  JobSpec,
-  MachineType,
-  Order,
-  Report,
-  ReportAnswer,
-  StateAnswer,
-  StateCall,
-  UserAnswer,
-} from "../../src/core/types.js";
 import { deployment, NODES, TYPES } from "../support/deployment.js";
 import { StateService } from "../support/fake-store.js";
 import { productionReads } from "../support/production-readers.js";
@@ -137,8 +130,8 @@
   #copiesUntil = 0;
   #nextMachine = 1;
   #nextReq = 1;
-  readonly #answers = new Map<number, (a: UserAnswer) => void>();
-  readonly #reportAnswers = new Map<number, (a: ReportAnswer) => void>();
+  readonly #answers = new Map<number, (a: UserResponse) => void>();
+  readonly #reportAnswers = new Map<number, (a: HeartbeatReply) => void>();
 
   /** Machines of each type, zone and kind, times four; the teams' limits grow with them. */
   readonly #scale: number;
@@ -279,11 +272,11 @@
       admission: this.#admission && !node.old,
     });
     for (const other of this.nodes) {
-      if (other !== node) this.#give(node, { t: "peerLink", node: other.name, up: true });
+      if (other !== node) this.#give(node, { kind: "peerLinkChanged", node: other.name, up: true });
     }
     const tick = () => {
       if (node.epoch !== epoch || !node.core) return;
-      this.#give(node, { t: "tick" });
+      this.#give(node, { kind: "tick" });
       this.#at(100, tick);
     };
     this.#at(this.between(200, 900), tick);
@@ -291,7 +284,7 @@
 
   #deployment(name: string): Deployment {
     const { teams, ...rest } = deployment(name);
-    const grown = ({ cpu, gpu, ram }: Amount) => ({
+    const grown = ({ cpu, gpu, ram }: Resources) => ({
       cpu: cpu * this.#scale,
       gpu: gpu * this.#scale,
       ram: ram * this.#scale,
@@ -357,37 +350,38 @@
 
   #effect(node: Node, epoch: number, effect: Effect): void {
     if (node.core) this.#observer?.(node.core, node.name, this.now, effect);
-    switch (effect.t) {
-      case "answer":
-        this.#answers.get(effect.req)?.(effect.answer);
-        this.#answers.delete(effect.req);
+    switch (effect.kind) {
+      case "respondToUser":
+        this.#answers.get(effect.requestId)?.(effect.response);
+        this.#answers.delete(effect.requestId);
         break;
-      case "reportAnswer":
-        this.#reportAnswers.get(effect.req)?.(this.#portable(node, effect.answer));
-        this.#reportAnswers.delete(effect.req);
+      case "replyToAgent":
+        this.#reportAnswers.get(effect.requestId)?.(this.#portable(node, effect.reply));
+        this.#reportAnswers.delete(effect.requestId);
         break;
-      case "relay": {
+      case "forwardHeartbeat": {
         const to = this.nodes.find((n) => n.name === effect.to);
         if (!to || this.#peersCut(node, to)) break;
-        const { req, raw } = effect;
-        const report = raw as (node: Node) => Report;
+        const { requestId: req, body: raw } = effect;
+        const report = raw as (node: Node) => Heartbeat;
         this.#at(this.between(1, 8), () => {
-          if (to.core) this.#give(to, { t: "peerReport", from: node.name, id: req, report: report(to) });
+          if (to.core)
+            this.#give(to, { kind: "forwardedHeartbeat", from: node.name, id: req, heartbeat: report(to) });
         });
         break;
       }
-      case "peerReportAnswer": {
+      case "replyToForwardedHeartbeat": {
         const back = this.nodes.find((n) => n.name === effect.to);
         if (!back || this.#peersCut(node, back)) break;
         const { id } = effect;
-        const answer = this.#portable(node, effect.answer);
+        const answer = this.#portable(node, effect.reply);
         this.#at(this.chance(0.01) ? this.between(1000, 3000) : this.between(1, 8), () => {
           this.#reportAnswers.get(id)?.(answer);
           this.#reportAnswers.delete(id);
         });
         break;
       }
-      case "adminAnswer":
+      case "respondToOperator":
         break;
       case "log":
         if (effect.text === "leader ready")
@@ -395,24 +389,28 @@
         if (effect.level !== "debug")
           this.logs.push(`${this.now} ${node.name} ${effect.text} ${JSON.stringify(effect.data)}`);
         break;
-      case "state":
-        this.#stateCall(node, epoch, effect.id, effect.call, effect.timeoutMs);
+      case "callStore":
+        this.#stateCall(node, epoch, effect.id, effect.request, effect.timeoutMs);
         break;
-      case "cloud":
-        this.#cloudCall(node, epoch, effect.id, effect.call);
+      case "callCloud":
+        this.#cloudCall(node, epoch, effect.id, effect.request);
         break;
-      case "peerSend": {
+      case "sendToPeer": {
         const to = this.nodes.find((n) => n.name === effect.to);
         if (!to || this.#peersCut(node, to)) break;
         const copy = structuredClone(effect.message);
         const message =
-          copy.t === "beat" && (node.old || to.old)
+          copy.kind === "heartbeat" && (node.old || to.old)
             ? { ...copy, protocol: undefined, standby: undefined, admission: undefined }
             : copy;
-        this.#giveLater(to, to.epoch, this.between(1, 8), () => ({ t: "peer", from: node.name, message }));
+        this.#giveLater(to, to.epoch, this.between(1, 8), () => ({
+          kind: "peerMessage",
+          from: node.name,
+          message,
+        }));
         break;
       }
-      case "do":
+      case "sendAgentCommands":
         this.#direct(node, epoch, effect);
         break;
       default:
@@ -425,44 +423,44 @@
   }
 
   /** Orders name jobs by the sender's indices; outside they go by name. */
-  #orderNames = new WeakMap<Order, string>();
+  #orderNames = new WeakMap<AgentCommand, string>();
 
-  #portable(node: Node, answer: ReportAnswer): ReportAnswer {
-    if (answer.t === "orders") this.#nameOrders(node, answer.orders);
+  #portable(node: Node, answer: HeartbeatReply): HeartbeatReply {
+    if (answer.kind === "commands") this.#nameOrders(node, answer.commands);
     return answer;
   }
 
-  #nameOrders(node: Node, orders: readonly Order[]): void {
+  #nameOrders(node: Node, orders: readonly AgentCommand[]): void {
     for (const order of orders) this.#orderNames.set(order, node.core?.directory.jobs.name(order.job) ?? "?");
   }
 
-  #stateCall(node: Node, epoch: number, id: number, call: StateCall, timeoutMs: number): void {
-    const answer = (ms: number, a: StateAnswer) => {
-      this.#giveLater(node, epoch, ms, () => ({ t: "state", id, answer: a }));
+  #stateCall(node: Node, epoch: number, id: number, call: StoreRequest, timeoutMs: number): void {
+    const answer = (ms: number, a: StoreResponse) => {
+      this.#giveLater(node, epoch, ms, () => ({ kind: "storeResponded", id, response: a }));
     };
     const cut = this.now < Math.max(node.cutUntil, node.stateCutUntil);
     if (!cut) this.stateCalls.count(this.now);
-    if (call.t === "renew") this.#noteRenewal(node);
-    if (call.t === "follow") {
+    if (call.kind === "renewLease") this.#noteRenewal(node);
+    if (call.kind === "watch") {
       const until = this.now + call.waitMs;
       const look = () => {
         if (node.epoch !== epoch) return;
         if (this.now < Math.max(node.cutUntil, node.stateCutUntil, node.followsHangUntil)) {
-          answer(timeoutMs, { t: "silent" });
+          answer(timeoutMs, { kind: "timeout" });
           return;
         }
         const open = this.now >= this.state.outageUntil && this.now >= node.refusedUntil;
         const found = open ? this.state.since(call.prefix, call.after) : null;
         if (found) answer(3, found);
         else if (open && this.now >= until)
-          answer(3, { t: "events", events: [], revision: this.state.revision });
+          answer(3, { kind: "events", events: [], revision: this.state.revision });
         else this.#at(20, look);
       };
       this.#at(3, look);
       return;
     }
     if (cut) {
-      answer(timeoutMs, { t: "silent" });
+      answer(timeoutMs, { kind: "timeout" });
       if (node.holds) {
         // The packets come through when the cut is over, long after the caller has given up.
         const end = Math.max(node.cutUntil, node.stateCutUntil);
@@ -473,11 +471,11 @@
       return;
     }
     if (this.now < this.state.outageUntil || this.now < node.refusedUntil) {
-      answer(4, { t: "refused", why: "outage" });
+      answer(4, { kind: "unavailable", reason: "outage" });
       return;
     }
-    if (call.t === "txn" && this.now < this.lateWritesUntil && this.chance(0.3)) {
-      answer(timeoutMs, { t: "silent" });
+    if (call.kind === "transaction" && this.now < this.lateWritesUntil && this.chance(0.3)) {
+      answer(timeoutMs, { kind: "timeout" });
       this.#at(this.between(2000, 12_000), () => {
         if (this.now >= this.state.outageUntil) this.state.run(call, this.now);
       });
@@ -487,11 +485,11 @@
     const slowMs = this.now < this.slowStateUntil ? this.between(0, 900) : 0;
     this.#at(slowMs + this.between(1, 4), () => {
       if (this.now < this.state.outageUntil) {
-        answer(3, { t: "refused", why: "outage" });
+        answer(3, { kind: "unavailable", reason: "outage" });
         return;
       }
       const result = this.state.run(call, this.now);
-      if (lost) answer(timeoutMs, { t: "silent" });
+      if (lost) answer(timeoutMs, { kind: "timeout" });
       else answer(this.between(1, 5), result);
     });
   }
@@ -542,45 +540,45 @@
     return worker;
   }
 
-  #cloudCall(node: Node, epoch: number, id: number, call: CloudCall): void {
-    const answer = (ms: number, a: CloudAnswer) => {
-      this.#giveLater(node, epoch, ms, () => ({ t: "cloud", id, answer: a }));
+  #cloudCall(node: Node, epoch: number, id: number, call: CloudRequest): void {
+    const answer = (ms: number, a: CloudResponse) => {
+      this.#giveLater(node, epoch, ms, () => ({ kind: "cloudResponded", id, response: a }));
     };
     if (this.now < node.cutUntil) {
-      answer(5000, { t: "silent" });
+      answer(5000, { kind: "timeout" });
       return;
     }
     this.cloudCalls.count(this.now);
     this.#at(60, () => answer(60, this.#cloud(call)));
   }
 
-  #cloud(call: CloudCall): CloudAnswer {
-    switch (call.t) {
-      case "types":
-        return { t: "types", types: TYPES };
-      case "hire": {
-        const before = this.#hires.get(call.request);
-        if (before) return { t: "hired", machines: before };
+  #cloud(call: CloudRequest): CloudResponse {
+    switch (call.kind) {
+      case "listTypes":
+        return { kind: "types", types: TYPES };
+      case "create": {
+        const before = this.#hires.get(call.requestId);
+        if (before) return { kind: "created", machines: before };
         const type = TYPES.find((x) => x.name === call.type);
         const there = [...this.workers.values()].filter(
           (w) => w.alive && w.type.name === call.type && w.zone === call.zone && w.spot === call.spot,
         ).length;
         const count = Math.min(call.count, 4 * this.#scale - there);
-        if (!type || count <= 0) return { t: "no_capacity" };
+        if (!type || count <= 0) return { kind: "noCapacity" };
         const names: string[] = [];
         for (let i = 0; i < count; i++) {
           const bootMs = this.chance(0.05) ? 3_600_000 : type.bootS * this.between(600, 1500);
           names.push(this.#rent(type, call.zone, call.spot, bootMs).name);
         }
-        this.#hires.set(call.request, names);
-        return { t: "hired", machines: names };
+        this.#hires.set(call.requestId, names);
+        return { kind: "created", machines: names };
       }
-      case "release":
+      case "delete":
         for (const name of call.machines) {
           const worker = this.workers.get(name);
           if (worker) this.#die(worker);
         }
-        return { t: "released" };
+        return { kind: "deleted" };
       case "list": {
         const seen = this.now - this.between(3000, 6000);
         const { after } = call;
@@ -596,7 +594,7 @@
           phase: w.upAt <= seen ? ("running" as const) : ("booting" as const),
           ageS: (seen - w.hiredAt) / 1000,
         }));
-        return { t: "page", machines, more: listed.length > LIST_PAGE };
+        return { kind: "page", machines, more: listed.length > LIST_PAGE };
       }
     }
   }
@@ -757,7 +755,7 @@
   }
 
   /** What a worker says, in the form of the node it says it to: a copy made now may be read by any node later. */
-  #report(worker: Worker): (node: Node) => Report {
+  #report(worker: Worker): (node: Node) => Heartbeat {
     worker.sequence++;
     const { session, sequence, token, noticeAt } = worker;
     const noticeS = noticeAt === null ? null : Math.max(0, (noticeAt - this.now) / 1000);
@@ -769,7 +767,7 @@
         task: t.task,
         attempt: t.attempt,
         state: t.state,
-        cause: t.cause,
+        exitReason: t.cause,
         saved: t.saved,
       }));
       const machine = core.directory.machines.intern(worker.name);
@@ -780,10 +778,10 @@
         type: type.name,
         zone,
         spot,
-        session,
+        incarnation: session,
         sequence,
-        token,
-        noticeS,
+        fencingToken: token,
+        reclaimNoticeS: noticeS,
         tasks: entries,
       };
     };
@@ -816,7 +814,7 @@
         if (this.now < Math.max(node.cutUntil, node.workersCutUntil, worker.cutUntil, worker.deafUntil))
           return;
         worker.inFlight = 0;
-        if (answer.t === "elsewhere") {
+        if (answer.kind === "redirect") {
           const to = this.nodes.findIndex((n) => n.name === answer.node);
           if (to >= 0 && to !== worker.node) {
             worker.node = to;
@@ -827,20 +825,20 @@
           }
           return;
         }
-        if (answer.t === "later") {
+        if (answer.kind === "unavailable") {
           worker.inFlight = id;
           fail();
           return;
         }
         worker.nextReport = this.now + 2000 * (this.between(75, 125) / 100);
         this.#lease(worker);
-        if (session !== worker.session || answer.token < worker.token) return;
-        if (answer.token > worker.token) {
-          worker.token = answer.token;
+        if (session !== worker.session || answer.fencingToken < worker.token) return;
+        if (answer.fencingToken > worker.token) {
+          worker.token = answer.fencingToken;
           worker.nextReport = this.now + 500;
         }
         worker.leaseFrom = sent;
-        for (const order of answer.orders) this.#execute(worker, order);
+        for (const order of answer.commands) this.#execute(worker, order);
       });
     });
     this.#at(4000, fail);
@@ -848,26 +846,32 @@
     this.#at(this.between(1, 6), () => {
       if (node.epoch !== epoch || !node.core) return;
       const report = this.#report(worker);
-      this.#give(node, { t: "report", req, report: report(node), raw: report });
+      this.#give(node, { kind: "heartbeat", requestId: req, heartbeat: report(node), body: report });
       if (!this.chance(this.now < this.#copiesUntil ? 0.5 : this.#trouble.copies)) return;
       // From seconds to several leases later, at any node, also when the machine is gone.
       this.#at(this.between(500, 60_000), () => {
         const to = this.nodes[this.between(0, this.nodes.length - 1)];
-        if (to?.core) this.#give(to, { t: "report", req: this.#nextReq++, report: report(to), raw: report });
+        if (to?.core)
+          this.#give(to, {
+            kind: "heartbeat",
+            requestId: this.#nextReq++,
+            heartbeat: report(to),
+            body: report,
+          });
       });
     });
   }
 
-  #direct(node: Node, epoch: number, effect: Extract<Effect, { t: "do" }>): void {
-    this.#nameOrders(node, effect.orders);
+  #direct(node: Node, epoch: number, effect: Extract<Effect, { kind: "sendAgentCommands" }>): void {
+    this.#nameOrders(node, effect.commands);
     const worker = node.core
       ? this.workers.get(node.core.directory.machines.name(effect.machine))
       : undefined;
-    const done = (ms: number, report: (() => Report | null) | null, executed: boolean) => {
+    const done = (ms: number, report: (() => Heartbeat | null) | null, executed: boolean) => {
       this.#giveLater(node, epoch, ms, () => ({
-        t: "doDone",
+        kind: "agentReplied",
         id: effect.id,
-        report: report?.() ?? null,
+        heartbeat: report?.() ?? null,
         executed,
       }));
     };
@@ -875,13 +879,13 @@
       done(1500, null, false);
       return;
     }
-    const run = (): { report: (() => Report | null) | null; executed: boolean } => {
+    const run = (): { report: (() => Heartbeat | null) | null; executed: boolean } => {
       if (!worker.alive || this.now < worker.upAt) return { report: null, executed: false };
       this.#lease(worker);
-      const executed = effect.token >= worker.token && effect.session === worker.session;
+      const executed = effect.fencingToken >= worker.token && effect.incarnation === worker.session;
       if (executed) {
-        worker.token = effect.token;
-        for (const order of effect.orders) this.#execute(worker, order);
+        worker.token = effect.fencingToken;
+        for (const order of effect.commands) this.#execute(worker, order);
       }
       const report = this.#report(worker);
       return { report: () => (node.core ? report(node) : null), executed };
@@ -910,13 +914,13 @@
     });
   }
 
-  #execute(worker: Worker, order: Order): void {
+  #execute(worker: Worker, order: AgentCommand): void {
     const uid = this.#orderNames.get(order) ?? "?";
     const job = this.jobs.get(uid);
     const held = worker.tasks.find(
       (t) => t.uid === uid && t.task === order.task && t.attempt === order.attempt,
     );
-    switch (order.op) {
+    switch (order.kind) {
       case "start": {
         if (held) return;
         const task: WorkerTask = {
@@ -947,7 +951,7 @@
           held.until = this.now + job.spec.saveS * 1000;
         } else this.#end(worker, held, "stopped");
         break;
-      case "forget":
+      case "acknowledge":
         if (held?.state === "ended") worker.tasks.splice(worker.tasks.indexOf(held), 1);
         break;
     }
@@ -969,7 +973,7 @@
 
   #ask(
     make: (req: number) => Command,
-    then: (a: UserAnswer | null) => void,
+    then: (a: UserResponse | null) => void,
     node = this.nodes[this.between(0, this.nodes.length - 1)],
   ): void {
     if (!node?.core || this.now < node.cutUntil) {
@@ -1006,16 +1010,16 @@
     this.jobs.set(spec.uid, job);
     const attempt = (tries: number) => {
       this.#ask(
-        (req) => ({ t: "submit", req, uid: spec.uid, spec }),
+        (req) => ({ kind: "submit", requestId: req, uid: spec.uid, spec }),
         (a) => {
-          if (a?.t === "accepted") {
+          if (a?.kind === "accepted") {
             job.acceptedAt ??= this.now;
             this.#pollOn(job);
-          } else if (a?.t === "never" || a?.t === "malformed") {
+          } else if (a?.kind === "unsatisfiable" || a?.kind === "invalid") {
             this.fault("forgotten", `${spec.uid} was turned away: ${a.error}`);
           } else if (tries > 0) {
             // Who is told when to come back does so.
-            const named = a?.t === "overloaded" && a.afterS < 30 ? a.afterS : null;
+            const named = a?.kind === "throttled" && a.retryAfterS < 30 ? a.retryAfterS : null;
             this.turnedAway.push({ team: spec.team, at: this.now, afterS: named });
             this.#at(Math.max(1500, (named ?? 0) * 1000), () => attempt(tries - 1));
           }
@@ -1037,14 +1041,14 @@
     const before = { cancelled: job.cancelledAt !== null, done: job.toldDone };
     const orphaned = this.#someNeed(job, (need) => need.cancelledAt !== null);
     this.#ask(
-      (req) => ({ t: "poll", req, uid }),
+      (req) => ({ kind: "poll", requestId: req, uid }),
       (a) => {
-        if (a?.t === "unknown") this.fault("forgotten", `${uid} got 404`);
-        if (a?.t !== "view") return;
+        if (a?.kind === "notFound") this.fault("forgotten", `${uid} got 404`);
+        if (a?.kind !== "status") return;
         // The rule leaves `cancel_s` for this; what is derived from the records needs none of it.
-        if (orphaned && a.view.phase !== "cancelled") this.fault("orphaned", `${uid} is ${a.view.phase}`);
+        if (orphaned && a.status.phase !== "cancelled") this.fault("orphaned", `${uid} is ${a.status.phase}`);
         job.answeredAt = this.now;
-        this.#told(job, a.view.phase, before);
+        this.#told(job, a.status.phase, before);
       },
       node,
     );
@@ -1106,10 +1110,10 @@
     const attempt = (tries: number) => {
       const before = { cancelled: job.cancelledAt !== null, done: job.toldDone };
       this.#ask(
-        (req) => ({ t: "cancel", req, uid }),
+        (req) => ({ kind: "cancel", requestId: req, uid }),
         (a) => {
-          if (a?.t === "view") this.#told(job, a.view.phase, before);
-          else if (a?.t === "unknown") this.fault("forgotten", `${uid} got 404 on its cancellation`);
+          if (a?.kind === "status") this.#told(job, a.status.phase, before);
+          else if (a?.kind === "notFound") this.fault("forgotten", `${uid} got 404 on its cancellation`);
           else if (tries > 0) this.#at(1500, () => attempt(tries - 1));
         },
       );
@@ -1145,10 +1149,11 @@
     const before = { cancelled: job.cancelledAt !== null, done: job.toldDone };
     const spec = this.chance(0.3) ? "shape: missing" : job.spec;
     this.#ask(
-      (req) => ({ t: "submit", req, uid, spec }),
+      (req) => ({ kind: "submit", requestId: req, uid, spec }),
       (a) => {
-        if (a?.t === "accepted" && a.known) this.#told(job, a.view.phase, before);
-        else if (a !== null && a.t !== "later") this.fault("forgotten", `${uid}: ${a.t} to a repeat`);
+        if (a?.kind === "accepted" && a.known) this.#told(job, a.status.phase, before);
+        else if (a !== null && a.kind !== "unavailable")
+          this.fault("forgotten", `${uid}: ${a.kind} to a repeat`);
       },
     );
   }
@@ -1157,9 +1162,9 @@
   submitOdd(odd: JobSpec): void {
     const spec = this.chance(0.5) ? "pieces: missing" : odd;
     this.#ask(
-      (req) => ({ t: "submit", req, uid: odd.uid, spec }),
+      (req) => ({ kind: "submit", requestId: req, uid: odd.uid, spec }),
       (a) => {
-        if (a?.t === "accepted") this.fault("accepted_odd", odd.uid);
+        if (a?.kind === "accepted") this.fault("accepted_odd", odd.uid);
       },
     );
   }
@@ -1172,9 +1177,9 @@
   /** Asks about a job nobody has submitted. */
   askForNothing(): void {
     this.#ask(
-      (req) => ({ t: "poll", req, uid: "j-999999999" }),
+      (req) => ({ kind: "poll", requestId: req, uid: "j-999999999" }),
       (a) => {
-        if (a?.t === "view") this.fault("invented", "j-999999999");
+        if (a?.kind === "status") this.fault("invented", "j-999999999");
       },
     );
   }
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -5,7 +5,7 @@
 import { fileURLToPath } from "node:url";
 import { isMainThread, parentPort, Worker } from "node:worker_threads";
 import { parseSettings, type Settings } from "../src/config/settings.js";
-import type { PeerMessage } from "../src/core/types.js";
+import type { PeerMessage } from "../src/core/messages/peers.js";
 import { Peers } from "../src/shell/peers.js";
 import { SETTINGS } from "./support/settings.js";
 
@@ -31,8 +31,11 @@
 }
 
 const LIST = [1, 2, 3].map((id) => ({ id, body: { host: `i-${id}` } }));
-const REPORTS: PeerMessage = { t: "reports", list: LIST };
-const ANSWERS: PeerMessage = { t: "reportAnswers", list: [{ id: 2, status: 200, body: { baton: 5 } }] };
+const REPORTS: PeerMessage = { kind: "forwardedHeartbeats", heartbeats: LIST };
+const ANSWERS: PeerMessage = {
+  kind: "forwardedReplies",
+  replies: [{ id: 2, status: 200, body: { baton: 5 } }],
+};
 
 /** Two nodes, in a thread of their own, as links are kept up for as long as a node runs. */
 async function talk(): Promise<[string, PeerMessage][]> {
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,17 +1,29 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import type { PeerMessage } from "../src/core/messages/peers.js";
+import type { StoreRequest } from "../src/core/messages/store.js";
+import type { UserResponse } from "../src/core/messages/users.js";
+import type { JobSpec } from "../src/core/model/job-spec.js";
 import { guaranteedJobs } from "../src/core/scheduling/guaranteed-quota.js";
 import { readFinal } from "../src/core/store/records.js";
-import type { JobSpec, PeerMessage, StateCall, UserAnswer } from "../src/core/types.js";
 import { encodeView, parseJob } from "../src/protocol/jobs.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
 
-const UNHEARD = { t: "refused", why: "outage" } as const;
-const NEW_BEAT = { t: "beat", token: 0, leader: null, stateOk: true, workersHeard: 0, protocol: 2 } as const;
+const UNHEARD = { kind: "unavailable", reason: "outage" } as const;
+const NEW_BEAT = {
+  kind: "heartbeat",
+  fencingToken: 0,
+  leader: null,
+  storeHealthy: true,
+  agentsHeard: 0,
+  protocol: 2,
+} as const;
 
-function phaseOf(answer: UserAnswer | undefined): string {
-  return answer?.t === "view" || answer?.t === "accepted" ? answer.view.phase : (answer?.t ?? "nothing");
+function phaseOf(answer: UserResponse | undefined): string {
+  return answer?.kind === "status" || answer?.kind === "accepted"
+    ? answer.status.phase
+    : (answer?.kind ?? "nothing");
 }
 
 /** A leader with machine A; j-1 runs there, and j-2 waits for it. */
@@ -28,8 +40,10 @@
   return { b, said };
 }
 
-function touchesFinal(call: StateCall, uid: string): boolean {
-  return call.t === "txn" && call.changes.some((change) => "put" in change && change.put === `f/${uid}`);
+function touchesFinal(call: StoreRequest, uid: string): boolean {
+  return (
+    call.kind === "transaction" && call.changes.some((change) => "put" in change && change.put === `f/${uid}`)
+  );
 }
 
 function end(b: Bench, said: Said): void {
@@ -48,8 +62,8 @@
   assert.equal(phaseOf(b.poll("j-2")), "queued");
   b.stateRule = null;
   const hung = b.hung.pop();
-  assert.ok(hung && hung.call.t !== "follow");
-  b.give({ t: "state", id: hung.id, answer: b.state.run(hung.call, b.now) });
+  assert.ok(hung && hung.call.kind !== "watch");
+  b.give({ kind: "storeResponded", id: hung.id, response: b.state.run(hung.call, b.now) });
   b.pass(500);
   assert.equal(b.starts("j-2").length, 1);
 });
@@ -61,8 +75,8 @@
     if (!touchesFinal(call, "j-1") || lost > 0) return null;
     lost++;
     // Carried out; only the answer is lost.
-    if (call.t !== "follow") b.state.run(call, b.now);
-    return { t: "silent" };
+    if (call.kind !== "watch") b.state.run(call, b.now);
+    return { kind: "timeout" };
   };
   end(b, said);
   assert.equal(lost, 1);
@@ -78,7 +92,7 @@
       // The other node's write is in before the leader's; the leader has yet to learn of it.
       const other = new Bench("n1", b.state);
       other.pass(300);
-      b.stateRule = (call) => (call.t === "follow" ? UNHEARD : null);
+      b.stateRule = (call) => (call.kind === "watch" ? UNHEARD : null);
       assert.equal(phaseOf(other.cancel("j-1")), "cancelled");
       assert.equal(phaseOf(other.poll("j-2")), "cancelled", "at once, on the node that confirmed it");
       end(b, said);
@@ -105,7 +119,7 @@
   const b = new Bench("n1", old.state);
   b.now = old.now + 60_000;
   // j-1 is over: what it says lies under its final key alone, which can't be read for now.
-  b.stateRule = (call) => (call.t === "get" && call.key.startsWith("f/") ? UNHEARD : null);
+  b.stateRule = (call) => (call.kind === "get" && call.key.startsWith("f/") ? UNHEARD : null);
   b.lead();
   b.pass(3000);
   b.report("B");
@@ -137,7 +151,7 @@
   assert.equal(phaseOf(other.poll("j-3")), "cancelled");
   assert.equal(phaseOf(other.submit(job("j-3", { awaits: ["j-2"] }))), "cancelled", "a repeat");
   assert.equal(phaseOf(other.submit(job("j-4", { awaits: ["j-3"] }))), "cancelled", "accepted all the same");
-  assert.equal(phaseOf(b.poll("j-3")), "later", "nothing older is said");
+  assert.equal(phaseOf(b.poll("j-3")), "unavailable", "nothing older is said");
   const third = new Bench("n2", b.state);
   third.pass(300);
   assert.equal(phaseOf(third.poll("j-4")), "cancelled", "on a node that has read nothing yet");
@@ -161,7 +175,7 @@
   other.stateRule = (call) => {
     if (
       !asked &&
-      call.t === "txn" &&
+      call.kind === "transaction" &&
       call.changes.some((change) => "put" in change && change.put === "j/j-9")
     ) {
       asked = true;
@@ -170,7 +184,7 @@
     }
     return null;
   };
-  assert.equal(other.submit(job("j-9", { awaits: ["j-1"] }))?.t, "accepted");
+  assert.equal(other.submit(job("j-9", { awaits: ["j-1"] }))?.kind, "accepted");
   assert.ok(asked);
   assert.equal(phaseOf(other.poll("j-9")), "cancelled");
   assert.equal(phaseOf(new Bench("n2", b.state).lead().poll("j-9")), "cancelled");
@@ -245,13 +259,13 @@
   assert.equal(phaseOf(b.poll("j-2")), "queued");
   assert.equal(second.pending, 0);
   assert.deepEqual(leaderTerm.scheduler.blocked, []);
-  assert.equal(b.cloudCalls.filter(({ t }) => t === "hire").length, 0);
+  assert.equal(b.cloudCalls.filter(({ kind }) => kind === "create").length, 0);
   assert.ok(guaranteedJobs(b.core.ctx.deployment.teams, [first]).has(first));
   const { awaiting } = b.core.status() as { awaiting: unknown[] };
   assert.deepEqual(awaiting, [{ job: "j-2", tasks: 6, awaits: ["j-1"] }]);
   const poll = b.poll("j-2");
-  assert.ok(poll?.t === "view");
-  assert.deepEqual(encodeView(poll.view), {
+  assert.ok(poll?.kind === "status");
+  assert.deepEqual(encodeView(poll.status), {
     uid: "j-2",
     phase: "queued",
     done: 0,
@@ -263,7 +277,7 @@
   b.pass(1000);
   assert.equal(second.pending, 6);
   assert.ok(b.core.ctx.wallMs - second.since < 2000);
-  assert.ok(b.cloudCalls.some(({ t }) => t === "hire"));
+  assert.ok(b.cloudCalls.some(({ kind }) => kind === "create"));
   assert.ok(!b.logged.includes("job still waits"), "not aged by the wait for others");
 });
 
@@ -339,25 +353,25 @@
   b.submit(job("j-2", { shape: "service" }));
   b.submit(job("j-3"));
   b.cancel("j-3");
-  assert.equal(b.submit(job("j-4", { awaits: ["j-9"] }))?.t, "never", "never accepted");
-  assert.equal(b.submit(job("j-5", { awaits: ["j-5"] }))?.t, "never", "itself");
-  assert.equal(b.submit(job("j-6", { awaits: ["j-1", "j-2"] }))?.t, "never", "a service");
+  assert.equal(b.submit(job("j-4", { awaits: ["j-9"] }))?.kind, "unsatisfiable", "never accepted");
+  assert.equal(b.submit(job("j-5", { awaits: ["j-5"] }))?.kind, "unsatisfiable", "itself");
+  assert.equal(b.submit(job("j-6", { awaits: ["j-1", "j-2"] }))?.kind, "unsatisfiable", "a service");
   b.cancel("j-2");
   b.pass(2000);
   const other = new Bench("n1", b.state);
   other.pass(300);
   assert.equal(
-    other.submit(job("j-6", { awaits: ["j-2"] }))?.t,
-    "never",
+    other.submit(job("j-6", { awaits: ["j-2"] }))?.kind,
+    "unsatisfiable",
     "a service that is over, on another node",
   );
   assert.equal(phaseOf(other.submit(job("j-7", { awaits: ["j-3"] }))), "cancelled");
-  other.stateRule = (call) => (call.t === "get" && call.key === "j/j-1" ? UNHEARD : null);
-  assert.equal(other.submit(job("j-8", { awaits: ["j-1"] }))?.t, "later", "can't be known now");
+  other.stateRule = (call) => (call.kind === "get" && call.key === "j/j-1" ? UNHEARD : null);
+  assert.equal(other.submit(job("j-8", { awaits: ["j-1"] }))?.kind, "unavailable", "can't be known now");
   other.stateRule = null;
-  assert.equal(other.submit(job("j-8", { awaits: ["j-1"] }))?.t, "accepted");
+  assert.equal(other.submit(job("j-8", { awaits: ["j-1"] }))?.kind, "accepted");
   const repeat = other.submit(job("j-8", { awaits: ["j-9", "j-8", "j-2"] }));
-  assert.deepEqual([repeat?.t, phaseOf(repeat)], ["accepted", "queued"], "known, whatever it names");
+  assert.deepEqual([repeat?.kind, phaseOf(repeat)], ["accepted", "queued"], "known, whatever it names");
 });
 
 test("awaits: null, absent or empty is none; anything but a list of a hundred well-formed ids is refused", () => {
@@ -399,17 +413,17 @@
   const b = new Bench().lead();
   b.submit(job("j-1"));
   const { protocol: _, ...oldBeat } = NEW_BEAT;
-  const hear = (message: PeerMessage) => b.give({ t: "peer", from: "n1", message });
+  const hear = (message: PeerMessage) => b.give({ kind: "peerMessage", from: "n1", message });
   hear(oldBeat);
-  assert.equal(b.submit(job("j-2", { awaits: ["j-1"] }))?.t, "later");
-  assert.equal(b.submit(job("j-3"))?.t, "accepted", "all else goes on");
+  assert.equal(b.submit(job("j-2", { awaits: ["j-1"] }))?.kind, "unavailable");
+  assert.equal(b.submit(job("j-3"))?.kind, "accepted", "all else goes on");
   hear(NEW_BEAT);
-  assert.equal(b.submit(job("j-2", { awaits: ["j-1"] }))?.t, "accepted");
+  assert.equal(b.submit(job("j-2", { awaits: ["j-1"] }))?.kind, "accepted");
   hear(oldBeat);
   assert.equal(phaseOf(b.submit(job("j-2", { awaits: ["j-1"] }))), "queued", "a repeat is never refused");
   // A node that is down or cut off does not block pipelines for ever.
   b.pass(16_000);
-  assert.equal(b.submit(job("j-4", { awaits: ["j-1"] }))?.t, "accepted");
+  assert.equal(b.submit(job("j-4", { awaits: ["j-1"] }))?.kind, "accepted");
 });
 
 test("a poll that waits to be compared while its job is read as over is answered with that, never with less", () => {
@@ -421,23 +435,23 @@
   assert.equal(phaseOf(other.poll("j-2")), "queued");
   end(b, said);
   b.pass(500);
-  other.give({ t: "poll", req: 901, uid: "j-1" }, { t: "poll", req: 902, uid: "j-2" });
+  other.give({ kind: "poll", requestId: 901, uid: "j-1" }, { kind: "poll", requestId: 902, uid: "j-2" });
   // A repeated submission reads what is on record, in the same tick.
   assert.equal(phaseOf(other.submit(job("j-1"))), "done");
-  other.give({ t: "tick" });
+  other.give({ kind: "tick" });
   assert.equal(phaseOf(other.toldUser(901)), "done");
   assert.equal(phaseOf(other.toldUser(902)), "queued");
 });
 
 test("polls of pipelines compare within the operations limit, and re-read only what failed", () => {
-  const b = new Bench("n0", new StateService(), "n0-1", { txnOps: 4, stateNext: null }).lead();
+  const b = new Bench("n0", new StateService(), "n0-1", { txnOps: 4, nextStoreLimits: null }).lead();
   for (let i = 1; i <= 30; i++)
     b.submit(job(`j-${i}`, i > 1 ? { awaits: [`j-${i - 1}`, ...(i > 2 ? ["j-1"] : [])] } : {}));
   b.pass(1000);
   const sizes: number[] = [];
   b.state.limits = { valueBytes: 8192, txnOps: 4, writeRps: 1000 };
   b.stateRule = (call) => {
-    if (call.t === "txn" && call.changes.length === 0) sizes.push(call.conditions.length);
+    if (call.kind === "transaction" && call.changes.length === 0) sizes.push(call.conditions.length);
     return null;
   };
   for (let i = 1; i <= 30; i++) assert.equal(phaseOf(b.poll(`j-${i}`)), "queued", `j-${i}`);
--- a/test/record-cache.test.ts
+++ b/test/record-cache.test.ts
@@ -2,10 +2,10 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { Context } from "../src/core/context.js";
+import type { StoreRequest, StoreResponse, WatchEvent } from "../src/core/messages/store.js";
 import { Directory } from "../src/core/model/interner.js";
 import { seeded } from "../src/core/random.js";
 import { type LoadedRecords, RecordReader, type StoredRecords } from "../src/core/store/record-reader.js";
-import type { StateAnswer, StateCall, StateEvent } from "../src/core/types.js";
 import { CacheFeed } from "../src/standby/cache-feed.js";
 import { RecordCache } from "../src/standby/record-cache.js";
 import { WarmStart } from "../src/standby/warm-start.js";
@@ -17,11 +17,11 @@
 const TICK_MS = 500;
 
 type Step =
-  | { readonly t: "put"; readonly key: string; readonly value: number }
-  | { readonly t: "remove"; readonly key: string }
+  | { readonly kind: "put"; readonly key: string; readonly value: number }
+  | { readonly kind: "remove"; readonly key: string }
   /** Time passes; the calls under way are answered in this manner. */
-  | { readonly t: "tick"; readonly manner: Manner }
-  | { readonly t: "compact" };
+  | { readonly kind: "tick"; readonly manner: Manner }
+  | { readonly kind: "compact" };
 
 type Manner = "right" | "lost" | "hangs" | "twice" | "shuffled" | "pages of one";
 
@@ -37,20 +37,20 @@
 );
 const key = fc.constantFrom(...KEYS);
 const step: fc.Arbitrary<Step> = fc.oneof(
-  { weight: 4, arbitrary: fc.record({ t: fc.constant("put" as const), key, value: fc.nat() }) },
-  { weight: 2, arbitrary: fc.record({ t: fc.constant("remove" as const), key }) },
-  { weight: 6, arbitrary: fc.record({ t: fc.constant("tick" as const), manner }) },
-  { weight: 1, arbitrary: fc.record({ t: fc.constant("compact" as const) }) },
+  { weight: 4, arbitrary: fc.record({ kind: fc.constant("put" as const), key, value: fc.nat() }) },
+  { weight: 2, arbitrary: fc.record({ kind: fc.constant("remove" as const), key }) },
+  { weight: 6, arbitrary: fc.record({ kind: fc.constant("tick" as const), manner }) },
+  { weight: 1, arbitrary: fc.record({ kind: fc.constant("compact" as const) }) },
 );
 
 /** A node's calls to a store, answered as the history says. */
 class Play {
   readonly store = new StateService();
   readonly ctx = new Context(deployment("n1"), new Directory(), seeded(1), 0);
-  readonly #hanging: { id: number; call: StateCall }[] = [];
+  readonly #hanging: { id: number; call: StoreRequest }[] = [];
 
   write(change: { put: string; value: unknown } | { remove: string }): void {
-    this.store.run({ t: "txn", conditions: [], changes: [change] }, 0);
+    this.store.run({ kind: "transaction", conditions: [], changes: [change] }, 0);
   }
 
   /** Answers what is under way until nothing more is asked for; what is asked again for a lost answer waits. */
@@ -64,31 +64,31 @@
     }
   }
 
-  #collect(calls: { id: number; call: StateCall }[]): void {
+  #collect(calls: { id: number; call: StoreRequest }[]): void {
     for (const effect of this.ctx.takeEffects())
-      if (effect.t === "state") calls.push({ id: effect.id, call: effect.call });
+      if (effect.kind === "callStore") calls.push({ id: effect.id, call: effect.request });
   }
 
-  #answer(id: number, call: StateCall, how: Manner): void {
+  #answer(id: number, call: StoreRequest, how: Manner): void {
     if (how === "lost") {
-      this.ctx.stateAnswered(id, { t: "silent" });
+      this.ctx.stateAnswered(id, { kind: "timeout" });
       return;
     }
     this.store.page = how === "pages of one" ? 1 : 20;
-    const answer = call.t === "follow" ? this.#follow(call) : this.store.run(call, 0);
+    const answer = call.kind === "watch" ? this.#follow(call) : this.store.run(call, 0);
     this.ctx.stateAnswered(id, distort(answer, how));
   }
 
-  #follow({ prefix, after }: Extract<StateCall, { t: "follow" }>): StateAnswer {
+  #follow({ prefix, after }: Extract<StoreRequest, { kind: "watch" }>): StoreResponse {
     const found = this.store.since(prefix, after);
-    return found ?? { t: "events", events: [], revision: this.store.revision };
+    return found ?? { kind: "events", events: [], revision: this.store.revision };
   }
 }
 
 /** Changes delivered twice or out of order. */
-function distort(answer: StateAnswer, how: Manner): StateAnswer {
-  if (answer.t !== "events") return answer;
-  const events: readonly StateEvent[] = answer.events;
+function distort(answer: StoreResponse, how: Manner): StoreResponse {
+  if (answer.kind !== "events") return answer;
+  const events: readonly WatchEvent[] = answer.events;
   if (how === "twice") return { ...answer, events: [...events, ...events] };
   if (how === "shuffled") return { ...answer, events: [...events].reverse() };
   return answer;
@@ -116,9 +116,9 @@
         const cache = new RecordCache();
         const feed = new CacheFeed(play.ctx, cache);
         for (const next of steps) {
-          if (next.t === "put") play.write({ put: next.key, value: next.value });
-          else if (next.t === "remove") play.write({ remove: next.key });
-          else if (next.t === "compact") play.store.compactedThrough = play.store.revision;
+          if (next.kind === "put") play.write({ put: next.key, value: next.value });
+          else if (next.kind === "remove") play.write({ remove: next.key });
+          else if (next.kind === "compact") play.store.compactedThrough = play.store.revision;
           else {
             play.ctx.now += TICK_MS;
             feed.tick();
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import type { StoreRequest } from "../src/core/messages/store.js";
 import { tokenOf } from "../src/core/model/attempt-number.js";
-import type { StateCall } from "../src/core/types.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
 
@@ -24,32 +24,40 @@
 test("a start is sent only after its placement is on record", () => {
   const b = new Bench().lead();
   b.report("A");
-  b.stateRule = (call) => (call.t === "txn" && JSON.stringify(call).includes("p/j-1") ? "hang" : null);
+  b.stateRule = (call) =>
+    call.kind === "transaction" && JSON.stringify(call).includes("p/j-1") ? "hang" : null;
   b.submit(job("j-1"));
   b.pass(500);
   assert.deepEqual(b.starts("j-1"), []);
   const { id, call } = only(b.hung);
-  assert.ok(call.t === "txn");
-  b.give({ t: "state", id, answer: b.state.run(call, b.now) });
+  assert.ok(call.kind === "transaction");
+  b.give({ kind: "storeResponded", id, response: b.state.run(call, b.now) });
   assert.equal(b.starts("j-1").length, 1);
 });
 
-const UNHEARD = { t: "refused", why: "outage" } as const;
+const UNHEARD = { kind: "unavailable", reason: "outage" } as const;
 
 test("a leader that may not know of cancellations answers no report beyond what they leave room for", () => {
   // Renewals succeed, or not: what counts is the last time at which the job keys were known. `cancel_s` is 40, a lease 12.
   for (const renewals of [true, false]) {
     const { b, attempt } = running();
-    b.stateRule = (call) => (renewals && (call.t === "renew" || call.t === "txn") ? null : UNHEARD);
+    b.stateRule = (call) =>
+      renewals && (call.kind === "renewLease" || call.kind === "transaction") ? null : UNHEARD;
     const from = b.now;
     // Confirmed by another node in the next instant; no word of it comes here.
     let last = from;
     while (b.now < from + 60_000) {
       // In an outage that all share the peers are heard, and the hold is the longest.
-      const beat = { t: "beat", token: 1, leader: null, stateOk: false, workersHeard: 0 } as const;
-      b.give({ t: "peer", from: "n1", message: beat });
+      const beat = {
+        kind: "heartbeat",
+        fencingToken: 1,
+        leader: null,
+        storeHealthy: false,
+        agentsHeard: 0,
+      } as const;
+      b.give({ kind: "peerMessage", from: "n1", message: beat });
       const answer = b.report("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
-      if (answer?.t === "orders") last = b.now;
+      if (answer?.kind === "commands") last = b.now;
       b.pass(500);
     }
     assert.ok(last - from + 12_000 < 40_000, `a lease renewed ${last - from} ms after the confirmation`);
@@ -63,7 +71,7 @@
     const b = new Bench("n0", new StateService(), "n0-1", { leaseS: 4, cancelS }).lead();
     const token = b.core.leadership.term?.firstToken;
     for (let i = 0; i < 60; i++) {
-      assert.equal(b.report("A")?.t, "orders", `${cancelS} s: ${i / 2} s`);
+      assert.equal(b.report("A")?.kind, "commands", `${cancelS} s: ${i / 2} s`);
       b.pass(500);
     }
     assert.equal(b.core.leadership.term?.firstToken, token, `${cancelS} s`);
@@ -73,13 +81,19 @@
 test("a leader that has stood still answers nothing it finds waiting, if it may not know of cancellations by then", () => {
   const { b, attempt } = running();
   // Renewals are answered to the last, the follow is not; then it stands still, and finds a peer's word and a report.
-  b.stateRule = (call) => (call.t === "follow" ? UNHEARD : null);
+  b.stateRule = (call) => (call.kind === "watch" ? UNHEARD : null);
   b.pass(6000);
   b.now += 21_000;
-  const beat = { t: "beat", token: 1, leader: null, stateOk: false, workersHeard: 0 } as const;
-  b.give({ t: "peer", from: "n1", message: beat });
+  const beat = {
+    kind: "heartbeat",
+    fencingToken: 1,
+    leader: null,
+    storeHealthy: false,
+    agentsHeard: 0,
+  } as const;
+  b.give({ kind: "peerMessage", from: "n1", message: beat });
   const answer = b.report("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
-  assert.notEqual(answer?.t, "orders");
+  assert.notEqual(answer?.kind, "commands");
 });
 
 test("a leader that has not read the records yet renews no lease: it knows of no cancellation", () => {
@@ -87,14 +101,14 @@
   old.state.expire(old.now + 60_000);
   const b = new Bench("n1", old.state);
   b.now = old.now + 60_000;
-  b.stateRule = (call) => (call.t === "list" && call.prefix === "j/" ? UNHEARD : null);
+  b.stateRule = (call) => (call.kind === "list" && call.prefix === "j/" ? UNHEARD : null);
   b.lead();
   const said = [{ uid: "j-1", task: 0, attempt, state: "running" }] as const;
   assert.equal(b.core.leaderTerm?.fleet.loaded, false);
   assert.equal(b.report("A", said), undefined, "held, for the leader to be");
   b.stateRule = null;
   b.pass(1000);
-  assert.equal(b.report("A", said)?.t, "orders");
+  assert.equal(b.report("A", said)?.kind, "commands");
 });
 
 test("a start is not sent, nor repeated, on old knowledge that its job is not cancelled", () => {
@@ -104,7 +118,7 @@
   b.pass(200);
   b.silenceDo();
   // The follow hangs; another node cancels.
-  b.stateRule = (call) => (call.t === "follow" ? UNHEARD : null);
+  b.stateRule = (call) => (call.kind === "watch" ? UNHEARD : null);
   for (let i = 0; i < 4; i++) {
     b.pass(2000);
     b.report("A");
@@ -114,7 +128,7 @@
   const before = b.starts("j-1").length;
   const answers = [b.report("A"), b.report("A")];
   b.pass(4000);
-  assert.ok(answers.every((a) => a?.t === "orders" && a.orders.length === 0));
+  assert.ok(answers.every((a) => a?.kind === "commands" && a.commands.length === 0));
   assert.equal(b.starts("j-1").length, before);
 });
 
@@ -133,7 +147,7 @@
   b.pass(3000);
   const answer = b.report("A");
   assert.ok(
-    answer?.t === "orders" && answer.orders.every((o) => b.core.directory.jobs.name(o.job) !== "j-1"),
+    answer?.kind === "commands" && answer.commands.every((o) => b.core.directory.jobs.name(o.job) !== "j-1"),
   );
   b.pass(500);
   assert.deepEqual(b.starts("j-1"), []);
@@ -155,12 +169,13 @@
   assert.equal(ended.length, 2);
   const first: Said[] = ended.map((s, i) => (i === 0 ? s : { ...s, state: "running" }));
   first.push({ uid: "j-1", task: 0, attempt, state: "running" });
-  b.stateRule = (call) => (call.t === "txn" && JSON.stringify(call).includes("p/j-2") ? "hang" : null);
+  b.stateRule = (call) =>
+    call.kind === "transaction" && JSON.stringify(call).includes("p/j-2") ? "hang" : null;
   const forgotten: string[] = [];
   for (let i = 0; i < 45; i++) {
     const answer = b.report("A", first);
-    if (answer?.t === "orders")
-      for (const o of answer.orders) if (o.op === "forget") forgotten.push(`${o.task}`);
+    if (answer?.kind === "commands")
+      for (const o of answer.commands) if (o.kind === "acknowledge") forgotten.push(`${o.task}`);
     b.pass(1000);
   }
   assert.ok(b.hung.length > 0, "the mark is under way");
@@ -171,22 +186,22 @@
 test("a leader that the state service refuses launches nothing, answers reports for a time, then no more", () => {
   const { b, attempt } = running();
   const token = b.core.leadership.term?.token;
-  b.stateRule = () => ({ t: "refused", why: "outage" });
+  b.stateRule = () => ({ kind: "unavailable", reason: "outage" });
   b.pass(4000);
   assert.equal(b.core.leadership.confirmed, false);
   const answer = b.report("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
-  assert.ok(answer?.t === "orders" && answer.token === token);
-  assert.equal(b.submit(job("j-2"))?.t, "later");
+  assert.ok(answer?.kind === "commands" && answer.fencingToken === token);
+  assert.equal(b.submit(job("j-2"))?.kind, "unavailable");
   b.pass(40_000);
   assert.equal(b.core.leaderTerm, null);
-  assert.notEqual(b.report("A")?.t, "orders");
+  assert.notEqual(b.report("A")?.kind, "commands");
 });
 
 test("a leader whose grant is gone, or that sees a higher token, steps down at once", () => {
   for (const way of ["grant", "token"]) {
     const { b } = running();
-    if (way === "grant") b.stateRule = (call) => (call.t === "renew" ? { t: "absent" } : null);
-    else b.report("B", [], { token: 99 });
+    if (way === "grant") b.stateRule = (call) => (call.kind === "renewLease" ? { kind: "notFound" } : null);
+    else b.report("B", [], { fencingToken: 99 });
     b.pass(1000);
     if (way === "grant") b.stateRule = null;
     assert.ok(b.core.leaderTerm === null || b.core.leaderTerm.term.token > 1, way);
@@ -197,17 +212,18 @@
   const state = new StateService();
   const b = new Bench("n0", state).lead();
   b.report("A");
-  b.stateRule = (call) => (call.t === "txn" && JSON.stringify(call).includes("p/j-1") ? "hang" : null);
+  b.stateRule = (call) =>
+    call.kind === "transaction" && JSON.stringify(call).includes("p/j-1") ? "hang" : null;
   b.submit(job("j-1"));
   b.pass(300);
   const { call } = only(b.hung);
-  assert.ok(call.t === "txn");
+  assert.ok(call.kind === "transaction");
   state.expire(b.now + 60_000);
   const next = new Bench("n1", state);
   next.now = b.now + 60_000;
   next.lead();
   assert.ok(next.core.leaderTerm);
-  assert.equal(state.run(call, next.now).t, "conflict");
+  assert.equal(state.run(call, next.now).kind, "conflict");
   assert.equal(state.items.has("p/j-1/0"), false);
 });
 
@@ -243,7 +259,7 @@
 test("a new leader starts a recorded task nowhere else until its machine carries the new token without it", () => {
   const { b, attempt } = succeeded();
   assert.deepEqual(b.starts("j-1"), [], "nothing is known of A yet");
-  b.report("A", [], { token: 1 });
+  b.report("A", [], { fencingToken: 1 });
   b.pass(300);
   assert.equal(b.core.leaderTerm?.tables.jobByUid("j-1")?.held.get(0)?.attempt, attempt);
   assert.deepEqual(
@@ -262,12 +278,15 @@
   b.report("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
   b.pass(2000);
   assert.deepEqual(b.starts("j-1"), []);
-  assert.deepEqual(b.poll("j-1"), { t: "view", view: { uid: "j-1", phase: "running", done: 0, running: 1 } });
+  assert.deepEqual(b.poll("j-1"), {
+    kind: "status",
+    status: { uid: "j-1", phase: "running", done: 0, running: 1 },
+  });
 });
 
 test("an unadopted machine is waited out for the former leader's hold and the lease, not less", () => {
   const { b } = succeeded();
-  b.cloudRule = () => ({ t: "refused", why: "down" });
+  b.cloudRule = () => ({ kind: "unavailable", reason: "down" });
   const since = b.core.leaderTerm?.term.since ?? 0;
   const boundMs = b.core.leadership.holdMs + 3000 + 12_000;
   const keepAlive = () => b.report("B", [], { zone: "b" });
@@ -285,7 +304,7 @@
 
 /** How long after its election the leader starts j-1 anew, machine A being silent and B alive. */
 function startsAfterMs(b: Bench, each: () => void = () => {}): number {
-  b.cloudRule = () => ({ t: "refused", why: "down" });
+  b.cloudRule = () => ({ kind: "unavailable", reason: "down" });
   const since = b.core.leaderTerm?.term.since ?? 0;
   while (b.starts("j-1").length === 0 && b.now < since + 60_000) {
     b.report("B", [], { zone: "b" });
@@ -301,8 +320,14 @@
     const token = b.core.leaderTerm?.term.token ?? 0;
     const show = (value: number) => {
       for (const from of shown) {
-        const message = { t: "beat", token: value, leader: null, stateOk: true, workersHeard: 1 } as const;
-        b.give({ t: "peer", from, message });
+        const message = {
+          kind: "heartbeat",
+          fencingToken: value,
+          leader: null,
+          storeHealthy: true,
+          agentsHeard: 1,
+        } as const;
+        b.give({ kind: "peerMessage", from, message });
       }
     };
     show(token - 1);
@@ -318,7 +343,7 @@
 test("a leader that follows itself, nobody between, knows until when it answered; after anyone else it does not", () => {
   for (const between of [false, true]) {
     const { b } = running();
-    b.stateRule = () => ({ t: "refused", why: "cut off" });
+    b.stateRule = () => ({ kind: "unavailable", reason: "cut off" });
     let steppedDown = 0;
     const leads = () => b.core.leadership.term;
     while (leads()) {
@@ -331,7 +356,11 @@
       const epoch = b.state.items.get("c/epoch");
       const write = { put: "c/epoch", value: { token: 2 } };
       b.state.run(
-        { t: "txn", conditions: [{ key: "c/epoch", version: epoch?.version ?? 0 }], changes: [write] },
+        {
+          kind: "transaction",
+          conditions: [{ key: "c/epoch", version: epoch?.version ?? 0 }],
+          changes: [write],
+        },
         b.now,
       );
     }
@@ -356,17 +385,17 @@
 
   const session = running();
   session.b.report("B", [], { zone: "b" });
-  session.b.report("A", [], { session: 2 });
+  session.b.report("A", [], { incarnation: 2 });
   session.b.pass(300);
   assert.equal(session.b.starts("j-1").length, 2, "later session");
 
   const released = running();
   released.b.report("B", [], { zone: "b" });
   released.b.cloudRule = (call) => {
-    if (call.t === "release") return { t: "released" };
-    if (call.t !== "list") return { t: "refused", why: "" };
+    if (call.kind === "delete") return { kind: "deleted" };
+    if (call.kind !== "list") return { kind: "unavailable", reason: "" };
     const at = { address: "A:1", type: "small", zone: "a", spot: false, ageS: 5 };
-    return { t: "page", machines: [{ name: "A", phase: "failed", ...at }], more: false };
+    return { kind: "page", machines: [{ name: "A", phase: "failed", ...at }], more: false };
   };
   released.b.pass(3000);
   released.b.report("B", [], { zone: "b" });
@@ -374,7 +403,7 @@
   assert.deepEqual(released.b.starts("j-1").at(-1)?.machine, "B", "release");
 
   const lease = running();
-  lease.b.cloudRule = () => ({ t: "refused", why: "" });
+  lease.b.cloudRule = () => ({ kind: "unavailable", reason: "" });
   for (let s = 0; s < 11; s++) {
     lease.b.report("B", [], { zone: "b" });
     lease.b.pass(1000);
@@ -390,19 +419,19 @@
 test("a worker back with a new session gets work once it reports, not by direct answers alone, and has its full lease", () => {
   // Found by the property test: it was taken for dead by the lease of its former session (ran_twice).
   const { b } = running();
-  b.cloudRule = () => ({ t: "refused", why: "" });
+  b.cloudRule = () => ({ kind: "unavailable", reason: "" });
   b.pass(14_000);
-  const reports = () => b.answerDo("A", [], { session: 2 });
+  const reports = () => b.answerDo("A", [], { incarnation: 2 });
   b.core.leaderTerm?.fleet.fence([...(b.core.leaderTerm?.tables.machines.values() ?? [])][0] as never);
-  b.give({ t: "tick" });
+  b.give({ kind: "tick" });
   reports();
   b.pass(300);
   // A worker that reaches no controller, while direct commands reach it, loses whatever is started there.
   assert.equal(b.starts("j-1").length, 1, "only the first attempt while it doesn't report");
-  b.report("A", [], { session: 2 });
+  b.report("A", [], { incarnation: 2 });
   b.pass(300);
   const { attempt } = b.starts("j-1").at(-1) ?? { attempt: 0 };
-  b.answerDo("A", [{ uid: "j-1", task: 0, attempt, state: "running" }], { session: 2 });
+  b.answerDo("A", [{ uid: "j-1", task: 0, attempt, state: "running" }], { incarnation: 2 });
   b.pass(5000);
   assert.equal(
     b.starts("j-1").filter((s) => s.attempt !== attempt).length,
@@ -426,7 +455,7 @@
   assert.ok(starts.length >= 1);
   assert.equal(new Set(starts.map((s) => `${s.machine} ${s.attempt}`)).size, 1);
   const answer = b.report("A");
-  assert.ok(answer?.t === "orders");
+  assert.ok(answer?.kind === "commands");
 });
 
 test("a cancelled task whose start may be on its way is started and stopped, so that the start can't come later", () => {
@@ -439,7 +468,7 @@
   b.pass(2000);
   const last = b.sent.at(-1);
   assert.deepEqual(
-    last?.orders.map((o) => o.op),
+    last?.orders.map((o) => o.kind),
     ["start", "stop"],
   );
 });
@@ -448,14 +477,14 @@
   const { b, attempt } = running();
   const ended = { uid: "j-1", task: 0, attempt, state: "ended", cause: "done" } as const;
   const early = b.report("A", [ended]);
-  assert.ok(early?.t === "orders" && early.orders.every((o) => o.op !== "forget"));
+  assert.ok(early?.kind === "commands" && early.commands.every((o) => o.kind !== "acknowledge"));
   for (let i = 0; i < 33; i++) {
     b.pass(1000);
     b.report("A", [ended]);
   }
   assert.ok((b.core.leadership.term?.token ?? 0) > tokenOf(attempt));
   const late = b.report("A", [ended]);
-  assert.ok(late?.t === "orders" && late.orders.some((o) => o.op === "forget"));
+  assert.ok(late?.kind === "commands" && late.commands.some((o) => o.kind === "acknowledge"));
 });
 
 test("of cancelling and completing just one wins, and it stays", () => {
@@ -463,23 +492,23 @@
   b.report("A", [{ uid: "j-1", task: 0, attempt, state: "ended", cause: "done" }]);
   b.pass(500);
   const answer = b.cancel("j-1");
-  assert.ok(answer?.t === "view" && answer.view.phase === "done");
+  assert.ok(answer?.kind === "status" && answer.status.phase === "done");
 
   const other = running();
   const cancelled = other.b.cancel("j-1");
-  assert.ok(cancelled?.t === "view" && cancelled.view.phase === "cancelled");
+  assert.ok(cancelled?.kind === "status" && cancelled.status.phase === "cancelled");
   other.b.report("A", [{ uid: "j-1", task: 0, attempt: other.attempt, state: "ended", cause: "done" }]);
   other.b.pass(3000);
   const after = other.b.poll("j-1");
-  assert.ok(after?.t === "view" && after.view.phase === "cancelled");
-  assert.equal(other.b.submit(job("j-1"))?.t, "accepted");
+  assert.ok(after?.kind === "status" && after.status.phase === "cancelled");
+  assert.equal(other.b.submit(job("j-1"))?.kind, "accepted");
 });
 
 test("reports that are late, repeated or from an earlier session change nothing", () => {
   const { b, attempt } = running();
   const old = b.makeReport("A", [{ uid: "j-1", task: 0, attempt, state: "ended", cause: "done" }]);
   b.report("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
-  b.give({ t: "report", req: 900, report: old, raw: null });
+  b.give({ kind: "heartbeat", requestId: 900, heartbeat: old, body: null });
   b.pass(500);
   assert.equal(b.core.leaderTerm?.counts("j-1")?.done, 0);
 });
@@ -487,13 +516,17 @@
 test("neither an old list nor a late report brings a released machine back into use", () => {
   const b = new Bench().lead();
   const listed = (phase: "failed" | "running") => ({
-    t: "page" as const,
+    kind: "page" as const,
     machines: [{ name: "A", address: "A:1", type: "small", zone: "a", spot: false, phase, ageS: 5 }],
     more: false,
   });
   let phase: "failed" | "running" = "failed";
   b.cloudRule = (call) =>
-    call.t === "list" ? listed(phase) : call.t === "release" ? { t: "released" } : { t: "refused", why: "" };
+    call.kind === "list"
+      ? listed(phase)
+      : call.kind === "delete"
+        ? { kind: "deleted" }
+        : { kind: "unavailable", reason: "" };
   b.report("A");
   b.pass(5000);
   phase = "running";
@@ -506,30 +539,37 @@
 
 test("404 needs proof: without the state service nothing is said to be unknown", () => {
   const b = new Bench().lead();
-  assert.equal(b.poll("j-5")?.t, "unknown");
-  b.stateRule = () => ({ t: "silent" });
-  assert.equal(b.poll("j-5")?.t, "later");
+  assert.equal(b.poll("j-5")?.kind, "notFound");
+  b.stateRule = () => ({ kind: "timeout" });
+  assert.equal(b.poll("j-5")?.kind, "unavailable");
 });
 
 test("a known job is never turned away, however its repeated submission looks", () => {
   const b = new Bench().lead();
   b.submit(job("j-1"));
-  assert.equal(b.submit(job("j-1", { team: "nobody" }))?.t, "accepted");
-  b.give({ t: "submit", req: 500, uid: "j-1", spec: "cpus: missing" });
-  assert.equal(b.submit(job("j-2", { team: "nobody" }))?.t, "never");
-  assert.equal(b.submit(job("j-3", { need: { cpu: 99_000, gpu: 0, ram: 0 } }))?.t, "never");
-  assert.equal(b.submit(job("j-4", { shape: "gang", tasks: 25 }))?.t, "never", "more than the team's limit");
-  assert.equal(b.submit(job("j-6", { tasks: 25 }))?.t, "accepted", "an array needs room for one task");
+  assert.equal(b.submit(job("j-1", { team: "nobody" }))?.kind, "accepted");
+  b.give({ kind: "submit", requestId: 500, uid: "j-1", spec: "cpus: missing" });
+  assert.equal(b.submit(job("j-2", { team: "nobody" }))?.kind, "unsatisfiable");
+  assert.equal(b.submit(job("j-3", { need: { cpu: 99_000, gpu: 0, ram: 0 } }))?.kind, "unsatisfiable");
+  assert.equal(
+    b.submit(job("j-4", { shape: "gang", tasks: 25 }))?.kind,
+    "unsatisfiable",
+    "more than the team's limit",
+  );
+  assert.equal(b.submit(job("j-6", { tasks: 25 }))?.kind, "accepted", "an array needs room for one task");
 });
 
 test("a fault in the core costs the office, not the process", () => {
   const { b } = running();
   // An index that no name has: the fault. The poll behind it in the same batch is answered all the same.
   const report = { ...b.makeReport("A"), machine: 9999 };
-  b.give({ t: "report", req: 800, report, raw: null }, { t: "poll", req: 801, uid: "j-1" });
-  b.give({ t: "tick" });
+  b.give(
+    { kind: "heartbeat", requestId: 800, heartbeat: report, body: null },
+    { kind: "poll", requestId: 801, uid: "j-1" },
+  );
+  b.give({ kind: "tick" });
   assert.deepEqual(b.faults, ["fault in the core"]);
-  assert.equal(b.toldUser(801)?.t, "view");
+  assert.equal(b.toldUser(801)?.kind, "status");
   assert.equal(b.core.leaderName === null || b.core.leadership.term === null, true);
   b.pass(6000);
   assert.ok(b.core.leadership.term, "it leads again");
@@ -539,11 +579,17 @@
 test("a leader that hears no worker while a peer does hands over and stays out of the race", () => {
   const b = new Bench().lead();
   for (const name of ["A", "B", "C"]) b.report(name);
-  const beat = (workersHeard: number) =>
+  const beat = (agentsHeard: number) =>
     b.give({
-      t: "peer",
+      kind: "peerMessage",
       from: "n1",
-      message: { t: "beat", token: 0, leader: null, stateOk: true, workersHeard },
+      message: {
+        kind: "heartbeat",
+        fencingToken: 0,
+        leader: null,
+        storeHealthy: true,
+        agentsHeard: agentsHeard,
+      },
     });
   for (let s = 0; s < 10; s++) {
     beat(0);
@@ -571,19 +617,22 @@
   for (const uid of uids) b.submit(job(uid));
   const calls: string[] = [];
   b.stateRule = (call) => {
-    calls.push(call.t);
+    calls.push(call.kind);
     return null;
   };
-  for (const [i, uid] of uids.entries()) b.give({ t: "poll", req: 700 + i, uid });
-  b.give({ t: "tick" });
-  assert.deepEqual(calls, ["txn"]);
-  for (const i of uids.keys()) assert.equal(b.toldUser(700 + i)?.t, "view");
-  assert.equal(other.cancel("j-2")?.t, "view");
-  assert.deepEqual(b.poll("j-1"), { t: "view", view: { uid: "j-1", phase: "queued", done: 0, running: 0 } });
+  for (const [i, uid] of uids.entries()) b.give({ kind: "poll", requestId: 700 + i, uid });
+  b.give({ kind: "tick" });
+  assert.deepEqual(calls, ["transaction"]);
+  for (const i of uids.keys()) assert.equal(b.toldUser(700 + i)?.kind, "status");
+  assert.equal(other.cancel("j-2")?.kind, "status");
+  assert.deepEqual(b.poll("j-1"), {
+    kind: "status",
+    status: { uid: "j-1", phase: "queued", done: 0, running: 0 },
+  });
   const told = b.poll("j-2");
-  assert.ok(told?.t === "view" && told.view.phase === "cancelled");
-  b.stateRule = () => ({ t: "silent" });
-  assert.equal(b.poll("j-1")?.t, "later", "what can't be compared is not answered from memory");
+  assert.ok(told?.kind === "status" && told.status.phase === "cancelled");
+  b.stateRule = () => ({ kind: "timeout" });
+  assert.equal(b.poll("j-1")?.kind, "unavailable", "what can't be compared is not answered from memory");
 });
 
 test("a follower passes reports on to a leader it hears, sends workers to one it does not, and never answers itself", () => {
@@ -591,10 +640,16 @@
   const b = new Bench("n1", leader.state);
   b.now = leader.now;
   b.pass(500);
-  b.give({ t: "peerLink", node: "n0", up: true });
-  assert.deepEqual(b.report("C"), { t: "elsewhere", node: "n0" }, "the link alone proves nothing");
-  const message = { t: "beat", token: 1, leader: "n0", stateOk: true, workersHeard: 1 } as const;
-  b.give({ t: "peer", from: "n0", message });
+  b.give({ kind: "peerLinkChanged", node: "n0", up: true });
+  assert.deepEqual(b.report("C"), { kind: "redirect", node: "n0" }, "the link alone proves nothing");
+  const message = {
+    kind: "heartbeat",
+    fencingToken: 1,
+    leader: "n0",
+    storeHealthy: true,
+    agentsHeard: 1,
+  } as const;
+  b.give({ kind: "peerMessage", from: "n0", message });
   assert.equal(b.report("C"), undefined, "no answer of its own");
   assert.deepEqual(b.relays, ["n0"]);
   for (let s = 0; s < 4; s++) {
@@ -602,17 +657,17 @@
     leader.pass(1000);
     b.pass(1000);
   }
-  assert.deepEqual(b.report("C"), { t: "elsewhere", node: "n0" }, "it is heard no more");
+  assert.deepEqual(b.report("C"), { kind: "redirect", node: "n0" }, "it is heard no more");
 });
 
 test("a follower without a leader holds a report for a while, then sends the worker to the next node", () => {
   const b = new Bench("n1");
-  b.stateRule = () => ({ t: "refused", why: "" });
-  b.give({ t: "report", req: 77, report: b.makeReport("C"), raw: null });
+  b.stateRule = () => ({ kind: "unavailable", reason: "" });
+  b.give({ kind: "heartbeat", requestId: 77, heartbeat: b.makeReport("C"), body: null });
   b.pass(1000);
   assert.equal(b.answered(77), undefined);
   b.pass(1500);
-  assert.deepEqual(b.answered(77), { t: "elsewhere", node: null });
+  assert.deepEqual(b.answered(77), { kind: "redirect", node: null });
 });
 
 test("a node back at once waits out the leader before its former self, too", () => {
@@ -626,7 +681,7 @@
   b.now = first.now + 100;
   b.lead();
   assert.ok(b.core.leaderTerm, "it takes over from its former self at once");
-  b.cloudRule = () => ({ t: "refused", why: "down" });
+  b.cloudRule = () => ({ kind: "unavailable", reason: "down" });
   const holdMs = b.core.leadership.holdMs;
   const endsAt = b.now + holdMs + 12_000;
   while (b.now < endsAt - 1000) {
@@ -642,11 +697,12 @@
     const released: string[] = [];
     const rule = b.cloudRule;
     b.cloudRule = (call) => {
-      if (call.t === "release") released.push(...call.machines);
+      if (call.kind === "delete") released.push(...call.machines);
       return rule(call);
     };
     const others = (token?: number) => {
-      for (const name of ["B", "C", "D"]) b.report(name, [], { zone: "b", ...(token && { token }) });
+      for (const name of ["B", "C", "D"])
+        b.report(name, [], { zone: "b", ...(token && { fencingToken: token }) });
     };
     b.report("A");
     b.submit(job("j-1", { zone: "a" }));
@@ -696,13 +752,13 @@
 test("a lease that runs out under answers shows that they don't arrive; one that ran out in silence does not", () => {
   for (const silentMs of [0, 13_000]) {
     const { b } = running();
-    b.cloudRule = () => ({ t: "refused", why: "" });
+    b.cloudRule = () => ({ kind: "unavailable", reason: "" });
     b.pass(silentMs);
-    b.report("A", [], { session: 2 });
+    b.report("A", [], { incarnation: 2 });
     for (let s = 0; s < 3; s++) {
       b.pass(500);
       b.silenceDo();
-      b.report("A", [], { session: 2 });
+      b.report("A", [], { incarnation: 2 });
     }
     const again = b.starts("j-1").length > 1;
     assert.equal(again, silentMs > 0, `silent for ${silentMs} ms`);
@@ -712,7 +768,7 @@
 test("where most workers don't hear the leader, it hands over", () => {
   const b = new Bench().lead();
   for (let s = 0; s < 8; s++) {
-    for (const name of ["A", "B", "C"]) b.report(name, [], { token: 0 });
+    for (const name of ["A", "B", "C"]) b.report(name, [], { fencingToken: 0 });
     b.pass(1000);
     b.silenceDo();
   }
@@ -723,25 +779,25 @@
   const b = new Bench().lead();
   const released: string[] = [];
   b.cloudRule = (call) => {
-    if (call.t === "types") return { t: "types", types: b.types };
-    if (call.t === "release") released.push(...call.machines);
-    if (call.t !== "list") return call.t === "release" ? { t: "released" } : { t: "no_capacity" };
+    if (call.kind === "listTypes") return { kind: "types", types: b.types };
+    if (call.kind === "delete") released.push(...call.machines);
+    if (call.kind !== "list") return call.kind === "delete" ? { kind: "deleted" } : { kind: "noCapacity" };
     const at = { address: "A:1", type: "small", zone: "a", spot: false, ageS: 5 };
-    return { t: "page", machines: [{ name: "A", phase: "failed", ...at }], more: false };
+    return { kind: "page", machines: [{ name: "A", phase: "failed", ...at }], more: false };
   };
   b.report("A");
   b.pass(5000);
   assert.deepEqual(released, ["A"]);
   b.pass(30_000);
   const copy = b.makeReport("A");
-  b.give({ t: "report", req: 900, report: copy, raw: null });
+  b.give({ kind: "heartbeat", requestId: 900, heartbeat: copy, body: null });
   b.pass(5000);
-  assert.deepEqual(b.answered(900), { t: "later" });
+  assert.deepEqual(b.answered(900), { kind: "unavailable" });
   assert.deepEqual(released, ["A"], "it is not released again");
   assert.equal(b.core.leaderTerm?.tables.machines.size, 0);
 
   const next = new Bench().lead();
-  next.report("A", [], { token: 0 });
+  next.report("A", [], { fencingToken: 0 });
   next.submit(job("j-1"));
   next.pass(3000);
   assert.deepEqual(next.starts("j-1"), [], "the report carries no token of this term");
@@ -752,12 +808,12 @@
   const b = new Bench("n1", leader.state);
   b.now = leader.now;
   b.pass(500);
-  b.give({ t: "peerLink", node: "n0", up: true });
+  b.give({ kind: "peerLinkChanged", node: "n0", up: true });
   const report = b.makeReport("C");
-  b.give({ t: "report", req: 901, report, raw: null });
-  b.give({ t: "report", req: 902, report, raw: null });
-  assert.deepEqual(b.answered(901), { t: "elsewhere", node: "n0" });
-  assert.deepEqual(b.answered(902), { t: "later" });
+  b.give({ kind: "heartbeat", requestId: 901, heartbeat: report, body: null });
+  b.give({ kind: "heartbeat", requestId: 902, heartbeat: report, body: null });
+  assert.deepEqual(b.answered(901), { kind: "redirect", node: "n0" });
+  assert.deepEqual(b.answered(902), { kind: "unavailable" });
   assert.deepEqual(b.relays, []);
 });
 
@@ -768,21 +824,27 @@
       for (let s = 0; s < n; s++) {
         if (!alone)
           b.give({
-            t: "peer",
+            kind: "peerMessage",
             from: "n1",
-            message: { t: "beat", token: 0, leader: null, stateOk: false, workersHeard: 0 },
+            message: {
+              kind: "heartbeat",
+              fencingToken: 0,
+              leader: null,
+              storeHealthy: false,
+              agentsHeard: 0,
+            },
           });
         b.pass(1000);
       }
     };
     step(1);
-    b.stateRule = () => ({ t: "refused", why: "cut off" });
+    b.stateRule = () => ({ kind: "unavailable", reason: "cut off" });
     step(6);
-    assert.equal(b.report("A")?.t, "orders", "within the hold");
+    assert.equal(b.report("A")?.kind, "commands", "within the hold");
     step(6);
-    assert.equal(b.report("A")?.t === "orders", !alone, `alone: ${alone}`);
+    assert.equal(b.report("A")?.kind === "commands", !alone, `alone: ${alone}`);
     assert.equal(b.core.ready, !alone, "an outage that all share leaves a node ready");
-    assert.equal(b.poll("j-1")?.t, "later", "users are answered at once");
+    assert.equal(b.poll("j-1")?.kind, "unavailable", "users are answered at once");
   }
 });
 
@@ -790,7 +852,7 @@
   const { b: old, attempt } = running();
   old.submit(job("j-2"));
   const put = (key: string, value: unknown) =>
-    old.state.run({ t: "txn", conditions: [], changes: [{ put: key, value }] }, old.now);
+    old.state.run({ kind: "transaction", conditions: [], changes: [{ put: key, value }] }, old.now);
   put("p/j-1/0", { held: "?" });
   put("j/j-3", ["?"]);
   put("m/7", 12);
@@ -803,15 +865,19 @@
   assert.ok(b.faults.length >= 3 && b.faults.every((text) => text === "a record can't be read"));
   b.report("B", [], { zone: "b" });
   const runs: Said = { uid: "j-1", task: 0, attempt, state: "running" };
-  b.report("A", [runs], { token: 1 });
+  b.report("A", [runs], { fencingToken: 1 });
   b.pass(1000);
-  assert.deepEqual(b.report("A", [runs]), { t: "orders", token: 2, orders: [] }, "and what runs is let run");
+  assert.deepEqual(
+    b.report("A", [runs]),
+    { kind: "commands", fencingToken: 2, commands: [] },
+    "and what runs is let run",
+  );
   b.pass(60_000);
   b.report("B", [], { zone: "b" });
   b.pass(500);
   assert.deepEqual(b.starts("j-1"), [], "it may be running");
   assert.deepEqual(old.state.items.get("p/j-1/0")?.value, { held: "?" }, "kept");
-  assert.equal(b.poll("j-3")?.t, "later");
+  assert.equal(b.poll("j-3")?.kind, "unavailable");
   const queue = b.core.status().queue as { job: string; why: string }[];
   assert.ok(queue.some((q) => q.job === "j-1" && q.why.includes("read")));
 });
@@ -840,9 +906,9 @@
 
 test("every write of a leader depends on what it replaces: none that is carried out late undoes a newer one", () => {
   const b = new Bench().lead();
-  const sent: StateCall[] = [];
+  const sent: StoreRequest[] = [];
   b.stateRule = (call) => {
-    if (call.t === "txn" && call.changes.length > 0) sent.push(call);
+    if (call.kind === "transaction" && call.changes.length > 0) sent.push(call);
     return null;
   };
   // Work that begins and ends, a machine that goes, machine types that change, a token that is raised.
@@ -865,12 +931,14 @@
   b.core.leaderTerm?.recorder.setMove(null, () => {});
   b.pass(300);
   const writes = new Set(
-    sent.flatMap((c) => (c.t === "txn" ? c.changes.map((x) => ("put" in x ? x.put : x.remove)) : [])),
+    sent.flatMap((c) =>
+      c.kind === "transaction" ? c.changes.map((x) => ("put" in x ? x.put : x.remove)) : [],
+    ),
   );
   for (const key of ["c/move", "c/types", "c/epoch", "j/j-1", "f/j-1", "p/j-2/0", "m/0"])
     assert.ok(writes.has(key), `${key} was written`);
   b.stateRule = null;
   const before = JSON.stringify([...b.state.items]);
-  for (const call of sent) if (call.t !== "follow") b.state.run(call, b.now);
+  for (const call of sent) if (call.kind !== "watch") b.state.run(call, b.now);
   assert.equal(JSON.stringify([...b.state.items]), before);
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -32,15 +32,15 @@
       let list = this.held.get(machine) ?? [];
       for (const o of orders) {
         const known = list.find((s) => s.uid === o.uid && s.task === o.task && s.attempt === o.attempt);
-        if (o.op === "start" && !known) {
+        if (o.kind === "start" && !known) {
           // Not all alike: places come free one by one.
           const until = b.now + runMs + (o.attempt % 7) * 900;
           list.push({ uid: o.uid, task: o.task, attempt: o.attempt, state: "running", until });
           if (!this.begun.has(o.uid)) this.begun.set(o.uid, b.now);
-        } else if (o.op === "stop" && known) {
+        } else if (o.kind === "stop" && known) {
           known.until = 0;
           Object.assign(known, { state: "ended", cause: "stopped" });
-        } else if (o.op === "forget") list = list.filter((s) => s !== known);
+        } else if (o.kind === "acknowledge") list = list.filter((s) => s !== known);
       }
       this.held.set(machine, list);
       b.answerDo(machine, list, this.#more[machine] ?? {});
@@ -215,7 +215,7 @@
   assert.ok(next.core.leaderTerm?.fleet.loaded);
   assert.equal(placements(next), MANY * EACH);
   const beat = (alive: readonly [string, (typeof held)[number][1]][], token: number) => {
-    for (const [name, list] of alive) next.report(name, list, { token });
+    for (const [name, list] of alive) next.report(name, list, { fencingToken: token });
   };
   const token = next.core.leaderTerm?.term.token ?? 0;
   beat(held, 1);
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { StateAnswer, StateCall } from "../src/core/types.js";
+import type { StoreRequest, StoreResponse } from "../src/core/messages/store.js";
 import { renderMetrics } from "../src/shell/metrics.js";
 import { standsBy } from "../src/standby/role.js";
 import { Bench, job } from "./support/controller-harness.js";
@@ -15,7 +15,7 @@
   for (const name of MACHINES) {
     const started = leader.sent
       .filter(({ machine }) => machine === name)
-      .flatMap(({ orders }) => orders.filter(({ op }) => op === "start"));
+      .flatMap(({ orders }) => orders.filter(({ kind: op }) => op === "start"));
     leader.report(
       name,
       started.map(({ uid, task, attempt }) => ({ uid, task, attempt, state: "running" as const })),
@@ -110,15 +110,15 @@
   const { leader, follower, both } = pair();
   both(6000);
   // From here on the follower's watches hang; a third node confirms a cancellation, the leader places another job.
-  const isWatch = (call: StateCall) =>
-    call.t === "follow" && call.waitMs > 0 && RECORDS.includes(call.prefix);
+  const isWatch = (call: StoreRequest) =>
+    call.kind === "watch" && call.waitMs > 0 && RECORDS.includes(call.prefix);
   follower.stateRule = (call) => (isWatch(call) ? "hang" : null);
   const third = new Bench("n2", leader.state);
   third.now = leader.now;
   third.pass(1000);
   leader.submit(job("j-3", { tasks: 1, estimateS: 600 }));
   leader.pass(500);
-  assert.equal(third.cancel("j-1")?.t, "view");
+  assert.equal(third.cancel("j-1")?.kind, "status");
   takeOver(follower);
   assert.equal(follower.core.succession.takeover.source, "warm");
   const jobs = follower.core.leaderTerm?.tables;
@@ -130,10 +130,13 @@
   const { leader, follower, both } = pair();
   both(6000);
   const before = [...leader.state.items.keys()].filter((key) => key.startsWith("p/"));
-  const isWatch = (call: StateCall) =>
-    call.t === "follow" && call.waitMs > 0 && RECORDS.includes(call.prefix);
+  const isWatch = (call: StoreRequest) =>
+    call.kind === "watch" && call.waitMs > 0 && RECORDS.includes(call.prefix);
   follower.stateRule = (call) => (isWatch(call) ? "hang" : null);
-  leader.state.run({ t: "txn", conditions: [], changes: [{ put: "c/features", value: { layout: 2 } }] }, 0);
+  leader.state.run(
+    { kind: "transaction", conditions: [], changes: [{ put: "c/features", value: { layout: 2 } }] },
+    0,
+  );
   leader.pass(1000);
   leader.submit(job("j-5", { tasks: 2, estimateS: 600 }));
   leader.pass(500);
@@ -149,21 +152,21 @@
 
 // Guarded against: a leader that acts on a copy it can't prove to be the latest.
 for (const [what, answer, why] of [
-  ["the changes since are no longer kept", { t: "compacted" }, "changes no longer kept"],
+  ["the changes since are no longer kept", { kind: "compacted" }, "changes no longer kept"],
   [
     "the state service has gone back",
-    { t: "events", events: [], revision: 1 },
+    { kind: "events", events: [], revision: 1 },
     "the state service went back",
   ],
-  ["no answer comes", { t: "silent" }, "no answer"],
-] as readonly [string, StateAnswer, string][]) {
+  ["no answer comes", { kind: "timeout" }, "no answer"],
+] as readonly [string, StoreResponse, string][]) {
   test(`a cache is refused, and the records are read, if ${what}`, () => {
     const { leader, follower, both } = pair();
     both(6000);
     assert.equal(standbyOf(follower).state, "warm");
     leader.submit(job("j-9", { tasks: 1, estimateS: 600 }));
     leader.pass(500);
-    follower.stateRule = (call) => (call.t === "follow" && call.waitMs === 0 ? answer : null);
+    follower.stateRule = (call) => (call.kind === "watch" && call.waitMs === 0 ? answer : null);
     takeOver(follower);
     assert.equal(follower.core.succession.takeover.source, "cold");
     assert.equal(follower.core.succession.takeover.why, why);
@@ -179,7 +182,7 @@
   // The watches under way answer with the next change; those after them get no answer.
   leader.submit(job("j-4", { tasks: 1, estimateS: 600 }));
   both(200);
-  follower.stateRule = (call) => (call.t === "follow" ? { t: "silent" } : null);
+  follower.stateRule = (call) => (call.kind === "watch" ? { kind: "timeout" } : null);
   both(1000);
   assert.equal(standbyOf(follower).state, "cold");
   assert.equal(standbyOf(follower).why, "the state service does not answer");
@@ -224,7 +227,11 @@
   state.page = 5;
   for (let i = 0; i < 50; i++)
     state.run(
-      { t: "txn", conditions: [], changes: [{ put: `p/j-9${i}/0`, value: { t: "x".repeat(100) } }] },
+      {
+        kind: "transaction",
+        conditions: [],
+        changes: [{ put: `p/j-9${i}/0`, value: { kind: "x".repeat(100) } }],
+      },
       0,
     );
   const leader = new Bench("n0", state).lead();
@@ -241,7 +248,10 @@
 
 test("a record that can't be read is told of as in a cold read, and stays", () => {
   const { follower, both } = pair();
-  follower.state.run({ t: "txn", conditions: [], changes: [{ put: "m/7", value: { machines: "?" } }] }, 0);
+  follower.state.run(
+    { kind: "transaction", conditions: [], changes: [{ put: "m/7", value: { machines: "?" } }] },
+    0,
+  );
   both(6000);
   takeOver(follower);
   assert.equal(follower.core.succession.takeover.source, "warm");
@@ -253,7 +263,7 @@
   const { follower, both } = pair();
   both(6000);
   follower.now += 5000;
-  follower.give({ t: "tick" });
+  follower.give({ kind: "tick" });
   assert.equal(standbyOf(follower).why, "this node is behind with its work");
 });
 
@@ -277,16 +287,16 @@
   other.now = leader.now;
   other.pass(1000);
   const beat = {
-    t: "beat",
-    token: 1,
+    kind: "heartbeat",
+    fencingToken: 1,
     leader: "n0",
-    stateOk: true,
-    workersHeard: 0,
+    storeHealthy: true,
+    agentsHeard: 0,
     standby: "warm",
   } as const;
   const electedAfter = (isWarm: boolean) => {
     const message = isWarm ? beat : { ...beat, standby: "cold" as const };
-    other.give({ t: "peer", from: "n1", message });
+    other.give({ kind: "peerMessage", from: "n1", message });
     state.expire(other.now + 10_000);
     const begin = other.now;
     while (!other.core.leaderTerm && other.now - begin < 3000) other.pass(100);
--- a/test/support/controller-harness.ts
+++ b/test/support/controller-harness.ts
@@ -1,23 +1,19 @@
 import { Controller } from "../../src/core/controller.js";
+import type { AdminRequest, AdminResponse } from "../../src/core/messages/administration.js";
 import type {
-  AdminAnswer,
-  AdminAsk,
-  CloudAnswer,
-  CloudCall,
-  Command,
-  Deployment,
-  Effect,
-  JobSpec,
-  MachineType,
-  Order,
-  PeerMessage,
-  Report,
-  ReportAnswer,
+  AgentCommand,
+  Heartbeat,
+  HeartbeatReply,
   ReportedTask,
-  StateAnswer,
-  StateCall,
-  UserAnswer,
-} from "../../src/core/types.js";
+} from "../../src/core/messages/agents.js";
+import type { CloudRequest, CloudResponse } from "../../src/core/messages/cloud.js";
+import type { Command } from "../../src/core/messages/commands.js";
+import type { Effect } from "../../src/core/messages/effects.js";
+import type { PeerMessage } from "../../src/core/messages/peers.js";
+import type { StoreRequest, StoreResponse } from "../../src/core/messages/store.js";
+import type { UserResponse } from "../../src/core/messages/users.js";
+import type { Deployment, MachineType } from "../../src/core/model/deployment.js";
+import type { JobSpec } from "../../src/core/model/job-spec.js";
 import { deployment, TYPES } from "./deployment.js";
 import { StateService } from "./fake-store.js";
 
@@ -25,7 +21,7 @@
   readonly machine: string;
   readonly token: number;
   readonly session: number;
-  readonly orders: readonly (Order & { uid: string })[];
+  readonly orders: readonly (AgentCommand & { uid: string })[];
 }
 
 export interface Said {
@@ -33,7 +29,7 @@
   readonly task: number;
   readonly attempt: number;
   readonly state: ReportedTask["state"];
-  readonly cause?: ReportedTask["cause"];
+  readonly cause?: ReportedTask["exitReason"];
 }
 
 /** One controller under a fake clock, with a scripted outside: nothing answers unless the test lets it. */
@@ -44,7 +40,7 @@
   /** Direct commands sent; those not yet answered wait in `unanswered`. */
   readonly sent: SentOrders[] = [];
   readonly unanswered: { id: number; machine: string }[] = [];
-  readonly cloudCalls: CloudCall[] = [];
+  readonly cloudCalls: CloudRequest[] = [];
   readonly faults: string[] = [];
   readonly logged: string[] = [];
   /** The prefixes of which pages were asked for. */
@@ -54,18 +50,18 @@
   /** The nodes that reports were passed on to. */
   readonly relays: string[] = [];
   /** What the state service does with a call; null answers for real. */
-  stateRule: ((call: StateCall) => StateAnswer | "hang" | null) | null = null;
-  hung: { id: number; call: StateCall }[] = [];
-  cloudRule: (call: CloudCall) => CloudAnswer = (call) => {
-    switch (call.t) {
-      case "types":
-        return { t: "types", types: this.types };
-      case "hire":
-        return { t: "no_capacity" };
-      case "release":
-        return { t: "released" };
+  stateRule: ((call: StoreRequest) => StoreResponse | "hang" | null) | null = null;
+  hung: { id: number; call: StoreRequest }[] = [];
+  cloudRule: (call: CloudRequest) => CloudResponse = (call) => {
+    switch (call.kind) {
+      case "listTypes":
+        return { kind: "types", types: this.types };
+      case "create":
+        return { kind: "noCapacity" };
+      case "delete":
+        return { kind: "deleted" };
       case "list":
-        return { t: "page", machines: [], more: false };
+        return { kind: "page", machines: [], more: false };
     }
   };
   types: readonly MachineType[] = TYPES;
@@ -73,10 +69,10 @@
   #req = 1;
   readonly #gathers: boolean;
   #sequence = new Map<string, number>();
-  readonly #users = new Map<number, UserAnswer>();
-  readonly #reports = new Map<number, ReportAnswer>();
-  readonly #admins = new Map<number, AdminAnswer>();
-  readonly #follows: { id: number; call: Extract<StateCall, { t: "follow" }>; at: number }[] = [];
+  readonly #users = new Map<number, UserResponse>();
+  readonly #reports = new Map<number, HeartbeatReply>();
+  readonly #admins = new Map<number, AdminResponse>();
+  readonly #follows: { id: number; call: Extract<StoreRequest, { kind: "watch" }>; at: number }[] = [];
 
   constructor(
     node = "n0",
@@ -103,41 +99,41 @@
 
   #run(effects: readonly Effect[]): void {
     for (const effect of effects) {
-      switch (effect.t) {
-        case "answer":
-          this.#users.set(effect.req, effect.answer);
+      switch (effect.kind) {
+        case "respondToUser":
+          this.#users.set(effect.requestId, effect.response);
           break;
-        case "adminAnswer":
-          this.#admins.set(effect.req, effect.answer);
+        case "respondToOperator":
+          this.#admins.set(effect.requestId, effect.response);
           break;
-        case "reportAnswer":
-          this.#reports.set(effect.req, effect.answer);
+        case "replyToAgent":
+          this.#reports.set(effect.requestId, effect.reply);
           break;
-        case "do": {
+        case "sendAgentCommands": {
           const machine = this.core.directory.machines.name(effect.machine);
-          const orders = effect.orders.map((o) => ({ ...o, uid: this.core.directory.jobs.name(o.job) }));
-          this.sent.push({ machine, token: effect.token, session: effect.session, orders });
+          const orders = effect.commands.map((o) => ({ ...o, uid: this.core.directory.jobs.name(o.job) }));
+          this.sent.push({ machine, token: effect.fencingToken, session: effect.incarnation, orders });
           this.unanswered.push({ id: effect.id, machine });
           break;
         }
-        case "state":
-          this.#stateCall(effect.id, effect.call);
+        case "callStore":
+          this.#stateCall(effect.id, effect.request);
           break;
-        case "cloud":
-          this.cloudCalls.push(effect.call);
-          this.give({ t: "cloud", id: effect.id, answer: this.cloudRule(effect.call) });
+        case "callCloud":
+          this.cloudCalls.push(effect.request);
+          this.give({ kind: "cloudResponded", id: effect.id, response: this.cloudRule(effect.request) });
           break;
         case "log":
           if (effect.level === "error") this.faults.push(effect.text);
           this.logged.push(effect.text);
           break;
-        case "relay":
+        case "forwardHeartbeat":
           this.relays.push(effect.to);
           break;
-        case "peerSend":
-          if (effect.message.t === "beat") this.heartbeats.set(effect.to, effect.message);
+        case "sendToPeer":
+          if (effect.message.kind === "heartbeat") this.heartbeats.set(effect.to, effect.message);
           break;
-        case "peerReportAnswer":
+        case "replyToForwardedHeartbeat":
           break;
         default:
           effect satisfies never;
@@ -145,23 +141,23 @@
     }
   }
 
-  #stateCall(id: number, call: StateCall): void {
-    if (call.t === "list") this.lists.push(call.prefix);
+  #stateCall(id: number, call: StoreRequest): void {
+    if (call.kind === "list") this.lists.push(call.prefix);
     const ruled = this.stateRule?.(call) ?? null;
     if (
-      call.t === "follow" &&
+      call.kind === "watch" &&
       call.waitMs > 0 &&
-      (ruled === null || ruled === "hang" || ruled.t !== "silent")
+      (ruled === null || ruled === "hang" || ruled.kind !== "timeout")
     ) {
       this.#follows.push({ id, call, at: this.now });
       return;
     }
     if (ruled === "hang") this.hung.push({ id, call });
-    else if (call.t === "follow") {
+    else if (call.kind === "watch") {
       const found = ruled ?? this.state.since(call.prefix, call.after);
-      const none = { t: "events", events: [], revision: this.state.revision } as const;
-      this.give({ t: "state", id, answer: found ?? none });
-    } else this.give({ t: "state", id, answer: ruled ?? this.state.run(call, this.now) });
+      const none = { kind: "events", events: [], revision: this.state.revision } as const;
+      this.give({ kind: "storeResponded", id, response: found ?? none });
+    } else this.give({ kind: "storeResponded", id, response: ruled ?? this.state.run(call, this.now) });
   }
 
   /** Lets time pass in ticks of 100 ms. */
@@ -174,13 +170,13 @@
         // Where calls are refused, open watches wait.
         const open = (this.stateRule?.(follow.call) ?? null) === null;
         const found = open ? this.state.since(follow.call.prefix, follow.call.after) : null;
-        if (found) this.give({ t: "state", id: follow.id, answer: found });
+        if (found) this.give({ kind: "storeResponded", id: follow.id, response: found });
         else if (open && this.now >= follow.at + follow.call.waitMs) {
-          const answer = { t: "events", events: [], revision: this.state.revision } as const;
-          this.give({ t: "state", id: follow.id, answer });
+          const answer = { kind: "events", events: [], revision: this.state.revision } as const;
+          this.give({ kind: "storeResponded", id: follow.id, response: answer });
         } else this.#follows.push(follow);
       }
-      this.give({ t: "tick" });
+      this.give({ kind: "tick" });
     }
   }
 
@@ -189,35 +185,35 @@
     return this;
   }
 
-  submit(spec: JobSpec): UserAnswer | undefined {
+  submit(spec: JobSpec): UserResponse | undefined {
     const req = this.#req++;
-    this.give({ t: "submit", req, uid: spec.uid, spec });
+    this.give({ kind: "submit", requestId: req, uid: spec.uid, spec });
     // What is turned away is answered with the next tick.
-    if (!this.#users.has(req) && this.#gathers) this.give({ t: "tick" });
+    if (!this.#users.has(req) && this.#gathers) this.give({ kind: "tick" });
     return this.#users.get(req);
   }
 
-  poll(uid: string): UserAnswer | undefined {
+  poll(uid: string): UserResponse | undefined {
     const req = this.#req++;
-    this.give({ t: "poll", req, uid });
+    this.give({ kind: "poll", requestId: req, uid });
     // Polls of known jobs are gathered until the next tick.
-    this.give({ t: "tick" });
+    this.give({ kind: "tick" });
     return this.#users.get(req);
   }
 
-  cancel(uid: string): UserAnswer | undefined {
+  cancel(uid: string): UserResponse | undefined {
     const req = this.#req++;
-    this.give({ t: "cancel", req, uid });
+    this.give({ kind: "cancel", requestId: req, uid });
     return this.#users.get(req);
   }
 
-  admin(ask: AdminAsk): AdminAnswer | undefined {
+  admin(ask: AdminRequest): AdminResponse | undefined {
     const req = this.#req++;
-    this.give({ t: "admin", req, ask });
+    this.give({ kind: "administer", requestId: req, request: ask });
     return this.#admins.get(req);
   }
 
-  makeReport(name: string, said: readonly Said[] = [], more: Partial<Report> = {}): Report {
+  makeReport(name: string, said: readonly Said[] = [], more: Partial<Heartbeat> = {}): Heartbeat {
     const sequence = (this.#sequence.get(name) ?? 0) + 1;
     this.#sequence.set(name, sequence);
     return {
@@ -226,62 +222,76 @@
       type: "small",
       zone: "a",
       spot: false,
-      session: 1,
+      incarnation: 1,
       sequence,
-      token: this.core.leadership.term?.token ?? 0,
-      noticeS: null,
+      fencingToken: this.core.leadership.term?.token ?? 0,
+      reclaimNoticeS: null,
       tasks: said.map(({ uid, task, attempt, state, cause }) => ({
         job: this.core.directory.jobs.intern(uid),
         task,
         attempt,
         state,
-        cause: cause ?? null,
+        exitReason: cause ?? null,
         saved: false,
       })),
       ...more,
     };
   }
 
-  report(name: string, said: readonly Said[] = [], more: Partial<Report> = {}): ReportAnswer | undefined {
+  report(
+    name: string,
+    said: readonly Said[] = [],
+    more: Partial<Heartbeat> = {},
+  ): HeartbeatReply | undefined {
     const req = this.#req++;
-    this.give({ t: "report", req, report: this.makeReport(name, said, more), raw: null });
+    this.give({
+      kind: "heartbeat",
+      requestId: req,
+      heartbeat: this.makeReport(name, said, more),
+      body: null,
+    });
     return this.#reports.get(req);
   }
 
-  toldUser(req: number): UserAnswer | undefined {
+  toldUser(req: number): UserResponse | undefined {
     return this.#users.get(req);
   }
 
-  answered(req: number): ReportAnswer | undefined {
+  answered(req: number): HeartbeatReply | undefined {
     return this.#reports.get(req);
   }
 
   /** Answers every direct command under way to this machine with a report. */
-  answerDo(name: string, said: readonly Said[] = [], more: Partial<Report> = {}): void {
+  answerDo(name: string, said: readonly Said[] = [], more: Partial<Heartbeat> = {}): void {
     for (const entry of this.unanswered.splice(0)) {
       if (entry.machine !== name) this.unanswered.push(entry);
       else
-        this.give({ t: "doDone", id: entry.id, report: this.makeReport(name, said, more), executed: true });
+        this.give({
+          kind: "agentReplied",
+          id: entry.id,
+          heartbeat: this.makeReport(name, said, more),
+          executed: true,
+        });
     }
   }
 
   /** Direct commands under way get no answer. */
   silenceDo(): void {
     for (const { id } of this.unanswered.splice(0))
-      this.give({ t: "doDone", id, report: null, executed: false });
+      this.give({ kind: "agentReplied", id, heartbeat: null, executed: false });
   }
 
   starts(uid: string): { machine: string; task: number; attempt: number }[] {
     return this.sent.flatMap(({ machine, orders }) =>
       orders
-        .filter((o) => o.op === "start" && o.uid === uid)
+        .filter((o) => o.kind === "start" && o.uid === uid)
         .map(({ task, attempt }) => ({ machine, task, attempt })),
     );
   }
 
-  ops(op: Order["op"], uid: string): string[] {
+  ops(op: AgentCommand["kind"], uid: string): string[] {
     return this.sent.flatMap(({ machine, orders }) =>
-      orders.filter((o) => o.op === op && o.uid === uid).map((o) => `${machine} ${o.task}`),
+      orders.filter((o) => o.kind === op && o.uid === uid).map((o) => `${machine} ${o.task}`),
     );
   }
 }
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -1,4 +1,4 @@
-import type { Deployment, MachineType } from "../../src/core/types.js";
+import type { Deployment, MachineType } from "../../src/core/model/deployment.js";
 
 /** The small deployment that most tests play: two zones, two teams, three nodes. */
 
@@ -45,16 +45,16 @@
       },
     ],
     objectives: [],
-    reportS: 2,
+    heartbeatIntervalS: 2,
     leaseS: 12,
     gangWaitS: 40,
     gangPeerS: 5,
     cancelS: 40,
-    stateRps: 250,
-    stateWriteRps: 100,
+    storeRps: 250,
+    storeWriteRps: 100,
     valueBytes: 8192,
     txnOps: 32,
-    stateNext: { rps: 250, writeRps: 70, valueBytes: 2048, txnOps: 10 },
+    nextStoreLimits: { rps: 250, writeRps: 70, valueBytes: 2048, txnOps: 10 },
     cloudRps: 5,
     listLagS: 3,
   };
--- a/test/support/fake-store.ts
+++ b/test/support/fake-store.ts
@@ -1,4 +1,4 @@
-import type { StateAnswer, StateCall, StateItem } from "../../src/core/types.js";
+import type { StoreEntry, StoreRequest, StoreResponse } from "../../src/core/messages/store.js";
 
 export interface Limits {
   readonly valueBytes: number;
@@ -13,10 +13,10 @@
 
 /** A stand-in for the state service, in memory and in virtual time. */
 export class StateService {
-  readonly items = new Map<string, StateItem>();
+  readonly items = new Map<string, StoreEntry>();
   readonly grants = new Map<number, { until: number; lifeMs: number }>();
   readonly #owned = new Map<string, number>();
-  readonly log: { key: string; item: StateItem | null; revision: number }[] = [];
+  readonly log: { key: string; item: StoreEntry | null; revision: number }[] = [];
   revision = 0;
   outageUntil = 0;
   page = PAGE;
@@ -51,41 +51,41 @@
     this.log.push({ key, item: null, revision });
   }
 
-  run(call: Exclude<StateCall, { t: "follow" }>, now: number): StateAnswer {
-    switch (call.t) {
+  run(call: Exclude<StoreRequest, { kind: "watch" }>, now: number): StoreResponse {
+    switch (call.kind) {
       case "get": {
         const item = this.items.get(call.key);
-        return item ? { t: "item", item: structuredClone(item) } : { t: "absent" };
+        return item ? { kind: "found", entry: structuredClone(item) } : { kind: "notFound" };
       }
       case "list": {
         const keys = [...this.items.keys()].filter((k) => k.startsWith(call.prefix)).sort();
         const from = call.after === null ? keys : keys.filter((k) => k > (call.after ?? ""));
         const items = from.slice(0, this.page).flatMap((key) => this.items.get(key) ?? []);
         const more = from.length > this.page;
-        return { t: "page", items: structuredClone(items), more, revision: this.revision };
+        return { kind: "page", entries: structuredClone(items), more, revision: this.revision };
       }
-      case "grant": {
+      case "grantLease": {
         const grant = this.#nextGrant++;
-        this.grants.set(grant, { until: now + call.lifeMs, lifeMs: call.lifeMs });
-        return { t: "granted", grant };
+        this.grants.set(grant, { until: now + call.ttlMs, lifeMs: call.ttlMs });
+        return { kind: "leaseGranted", leaseId: grant };
       }
-      case "renew": {
-        const grant = this.grants.get(call.grant);
-        if (!grant) return { t: "absent" };
+      case "renewLease": {
+        const grant = this.grants.get(call.leaseId);
+        if (!grant) return { kind: "notFound" };
         grant.until = now + grant.lifeMs;
-        return { t: "ok", revision: this.revision };
+        return { kind: "ok", revision: this.revision };
       }
-      case "drop":
-        this.drop(call.grant);
-        return { t: "ok", revision: this.revision };
-      case "txn": {
+      case "revokeLease":
+        this.drop(call.leaseId);
+        return { kind: "ok", revision: this.revision };
+      case "transaction": {
         const beyond = this.#beyondLimits(call, now);
         if (beyond) return beyond;
         const failed = call.conditions.filter((c) => (this.items.get(c.key)?.version ?? 0) !== c.version);
-        if (failed.length > 0) return { t: "conflict", failed: failed.map((c) => c.key) };
+        if (failed.length > 0) return { kind: "conflict", failed: failed.map((c) => c.key) };
         for (const change of call.changes) {
-          if ("put" in change && change.grant !== undefined && !this.grants.has(change.grant)) {
-            return { t: "invalid", why: "no such lease" };
+          if ("put" in change && change.leaseId !== undefined && !this.grants.has(change.leaseId)) {
+            return { kind: "invalid", reason: "no such lease" };
           }
         }
         const revision = ++this.revision;
@@ -97,16 +97,16 @@
           const item = { key: change.put, value: structuredClone(change.value), version: revision };
           this.items.set(change.put, item);
           this.written?.(item.key, item.value);
-          if (change.grant === undefined) this.#owned.delete(change.put);
-          else this.#owned.set(change.put, change.grant);
+          if (change.leaseId === undefined) this.#owned.delete(change.put);
+          else this.#owned.set(change.put, change.leaseId);
           this.log.push({ key: change.put, item, revision });
         }
-        return { t: "ok", revision };
+        return { kind: "ok", revision };
       }
     }
   }
 
-  #beyondLimits(call: Extract<StateCall, { t: "txn" }>, now: number): StateAnswer | null {
+  #beyondLimits(call: Extract<StoreRequest, { kind: "transaction" }>, now: number): StoreResponse | null {
     if (!this.limits) return null;
     const { valueBytes, txnOps, writeRps } = this.limits;
     const bytes = (value: unknown) => Buffer.byteLength(JSON.stringify(value));
@@ -114,13 +114,13 @@
     const many = call.changes.length > txnOps || call.conditions.length > CONDITIONS * txnOps;
     if (large || many || bytes(call) > TXN_BYTES) {
       this.invalid++;
-      return { t: "invalid", why: large ? "value too large" : "too many operations" };
+      return { kind: "invalid", reason: large ? "value too large" : "too many operations" };
     }
     this.#changesLeft = Math.min(writeRps, this.#changesLeft + ((now - this.#changesAt) * writeRps) / 1000);
     this.#changesAt = now;
     if (call.changes.length > this.#changesLeft) {
       this.throttled++;
-      return { t: "throttled" };
+      return { kind: "throttled" };
     }
     this.#changesLeft -= call.changes.length;
     return null;
@@ -140,17 +140,17 @@
   /** Changes up to this revision are no longer kept. */
   compactedThrough = 0;
 
-  since(prefix: string, after: number): StateAnswer | null {
-    if (after < this.compactedThrough) return { t: "compacted" };
+  since(prefix: string, after: number): StoreResponse | null {
+    if (after < this.compactedThrough) return { kind: "compacted" };
     const found = this.log.slice(this.#firstAfter(after)).filter((e) => e.key.startsWith(prefix));
     if (found.length === 0) return null;
     return {
-      t: "events",
+      kind: "events",
       revision: this.revision,
       events: found.map((e) =>
         e.item
-          ? { t: "put", item: structuredClone(e.item) }
-          : { t: "removed", key: e.key, version: e.revision },
+          ? { kind: "put", entry: structuredClone(e.item) }
+          : { kind: "removed", key: e.key, version: e.revision },
       ),
     };
   }
--- a/test/support/scripted-agents.ts
+++ b/test/support/scripted-agents.ts
@@ -9,9 +9,9 @@
       const list = held.get(machine) ?? [];
       for (const o of orders) {
         const at = list.findIndex((s) => s.uid === o.uid && s.task === o.task && s.attempt === o.attempt);
-        if (o.op === "start" && at < 0)
+        if (o.kind === "start" && at < 0)
           list.push({ uid: o.uid, task: o.task, attempt: o.attempt, state: "running" });
-        if (o.op === "stop" && at >= 0)
+        if (o.kind === "stop" && at >= 0)
           list[at] = { ...(list[at] as Said), state: "ended", cause: "stopped" };
       }
       held.set(machine, list);
--- a/test/support/trace-digest.ts
+++ b/test/support/trace-digest.ts
@@ -1,10 +1,12 @@
 import { createHash } from "node:crypto";
 import { Packr } from "msgpackr";
 import type { Controller } from "../../src/core/controller.js";
-import type { Effect, UserAnswer } from "../../src/core/types.js";
+import type { Effect } from "../../src/core/messages/effects.js";
+import type { UserResponse } from "../../src/core/messages/users.js";
 import { encodeDo, encodeReportAnswer } from "../../src/protocol/agents.js";
 import { encodeCloudCall } from "../../src/protocol/cloud.js";
 import { encodeView } from "../../src/protocol/jobs.js";
+import { encodePeerMessage } from "../../src/protocol/peers.js";
 import { encodeStateCall } from "../../src/protocol/store.js";
 
 /**
@@ -37,31 +39,34 @@
   }
 
   #encode(core: Controller, effect: Effect): string | Uint8Array | null {
-    switch (effect.t) {
-      case "answer":
-        return `user ${effect.req} ${encodeUserAnswer(effect.answer)}`;
-      case "adminAnswer":
-        return `operator ${effect.req} ${JSON.stringify(effect.answer)}`;
-      case "reportAnswer": {
-        const { status, body } = encodeReportAnswer(effect.answer, core.directory);
-        return `agent ${effect.req} ${status} ${JSON.stringify(body)}`;
+    switch (effect.kind) {
+      case "respondToUser":
+        return `user ${effect.requestId} ${encodeUserAnswer(effect.response)}`;
+      case "respondToOperator":
+        return `operator ${effect.requestId} ${JSON.stringify(effect.response)}`;
+      case "replyToAgent": {
+        const { status, body } = encodeReportAnswer(effect.reply, core.directory);
+        return `agent ${effect.requestId} ${status} ${JSON.stringify(body)}`;
       }
-      case "peerReportAnswer": {
-        const { status, body } = encodeReportAnswer(effect.answer, core.directory);
+      case "replyToForwardedHeartbeat": {
+        const { status, body } = encodeReportAnswer(effect.reply, core.directory);
         return `forwarded ${effect.to} ${effect.id} ${status} ${JSON.stringify(body)}`;
       }
-      case "relay":
-        return `forward ${effect.to} ${effect.req}`;
-      case "do": {
-        const body = encodeDo(effect.token, effect.session, effect.orders, core.directory);
+      case "forwardHeartbeat":
+        return `forward ${effect.to} ${effect.requestId}`;
+      case "sendAgentCommands": {
+        const body = encodeDo(effect.fencingToken, effect.incarnation, effect.commands, core.directory);
         return `command ${effect.id} ${effect.address} ${JSON.stringify(body)}`;
       }
-      case "state":
-        return `store ${effect.id} ${effect.timeoutMs} ${JSON.stringify(encodeStateCall(effect.call))}`;
-      case "cloud":
-        return `cloud ${effect.id} ${JSON.stringify(encodeCloudCall(effect.call))}`;
-      case "peerSend":
-        return Buffer.concat([Buffer.from(`peer ${effect.to} `), this.#packr.pack(effect.message)]);
+      case "callStore":
+        return `store ${effect.id} ${effect.timeoutMs} ${JSON.stringify(encodeStateCall(effect.request))}`;
+      case "callCloud":
+        return `cloud ${effect.id} ${JSON.stringify(encodeCloudCall(effect.request))}`;
+      case "sendToPeer":
+        return Buffer.concat([
+          Buffer.from(`peer ${effect.to} `),
+          this.#packr.pack(encodePeerMessage(effect.message)),
+        ]);
       case "log":
         return null;
     }
@@ -69,21 +74,21 @@
 }
 
 /** Status, body and `Retry-After`, as the HTTP server answers a user. */
-function encodeUserAnswer(answer: UserAnswer): string {
-  switch (answer.t) {
+function encodeUserAnswer(answer: UserResponse): string {
+  switch (answer.kind) {
     case "accepted":
-      return `${answer.known ? 200 : 201} ${JSON.stringify(encodeView(answer.view))}`;
-    case "view":
-      return `200 ${JSON.stringify(encodeView(answer.view))}`;
-    case "unknown":
+      return `${answer.known ? 200 : 201} ${JSON.stringify(encodeView(answer.status))}`;
+    case "status":
+      return `200 ${JSON.stringify(encodeView(answer.status))}`;
+    case "notFound":
       return "404";
-    case "never":
+    case "unsatisfiable":
       return `422 ${answer.error}`;
-    case "malformed":
+    case "invalid":
       return `400 ${answer.error}`;
-    case "later":
-      return `503 ${answer.afterS} ${answer.error}`;
-    case "overloaded":
-      return `429 ${answer.afterS} ${answer.error}`;
+    case "unavailable":
+      return `503 ${answer.retryAfterS} ${answer.error}`;
+    case "throttled":
+      return `429 ${answer.retryAfterS} ${answer.error}`;
   }
 }
--- a/test/trace-digest.test.ts
+++ b/test/trace-digest.test.ts
@@ -81,7 +81,7 @@
   const day = (seed: number, trace: TraceDigest) =>
     play(seed, NO_TROUBLE, 1, false, false, (core, node, now, effect) => {
       // One call to the store, a millisecond more patient.
-      const changed = trace === second && trace.effects === 500 && effect.t === "state";
+      const changed = trace === second && trace.effects === 500 && effect.kind === "callStore";
       trace.observe(core, node, now, changed ? { ...effect, timeoutMs: effect.timeoutMs + 1 } : effect);
     });
   day(SEED, first);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -2,12 +2,14 @@
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
 import { parseSettings, SettingsError } from "../src/config/settings.js";
+import type { Effect } from "../src/core/messages/effects.js";
+import type { StoreEntry, StoreRequest } from "../src/core/messages/store.js";
 import { tokenOf } from "../src/core/model/attempt-number.js";
 import { Tables } from "../src/core/model/cluster-state.js";
 import { Directory } from "../src/core/model/interner.js";
 import { MachineRecords } from "../src/core/store/machine-records.js";
 import { readChunks } from "../src/core/store/stored-chunks.js";
-import type { Effect, StateCall, StateItem } from "../src/core/types.js";
+import { encodePeerMessage } from "../src/protocol/peers.js";
 import { Bench, job } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
 import { productionHears, productionReads } from "./support/production-readers.js";
@@ -15,13 +17,19 @@
 
 const FIXTURE = new URL("../../../test/fixtures/production-state.json", import.meta.url);
 const SMALL = { valueBytes: 2048, txnOps: 10, writeRps: 28 };
-const OLD_BEAT = { t: "beat", token: 0, leader: null, stateOk: true, workersHeard: 0 } as const;
+const OLD_BEAT = {
+  kind: "heartbeat",
+  fencingToken: 0,
+  leader: null,
+  storeHealthy: true,
+  agentsHeard: 0,
+} as const;
 const NEW_BEAT = { ...OLD_BEAT, protocol: 2 } as const;
 
 /** What production's own code had on record, written out at the commit that deploy/service.toml names. */
 function productionState(): StateService {
   const { items, revision } = JSON.parse(readFileSync(FIXTURE, "utf8")) as {
-    items: StateItem[];
+    items: StoreEntry[];
     revision: number;
   };
   const state = new StateService();
@@ -31,7 +39,7 @@
 }
 
 function hearBoth(b: Bench, beat: typeof OLD_BEAT | typeof NEW_BEAT = NEW_BEAT): void {
-  for (const from of ["n1", "n2"]) b.give({ t: "peer", from, message: beat });
+  for (const from of ["n1", "n2"]) b.give({ kind: "peerMessage", from, message: beat });
 }
 
 function valuesOf(state: StateService): [string, number][] {
@@ -85,13 +93,13 @@
   assert.deepEqual(b.core.view.modes, { "i-000050": "drain" });
   assert.equal(b.core.ctx.settings.idle_s, 60);
   assert.deepEqual(b.poll("j-000005"), {
-    t: "view",
-    view: { uid: "j-000005", phase: "done", done: 1, running: 0 },
+    kind: "status",
+    status: { uid: "j-000005", phase: "done", done: 1, running: 0 },
   });
   reportAll(b);
   b.submit(job("j-7", { tasks: 40, team: "blue" }));
   b.cancel("j-000003");
-  b.admin({ t: "machine", name: "i-000051", mode: "cordon" });
+  b.admin({ kind: "setMachineMode", name: "i-000051", mode: "cordon" });
   b.pass(3000);
   reportAll(b);
   b.pass(8000);
@@ -121,9 +129,9 @@
   assert.equal(held.length, 1);
   const { machine, task, attempt } = held[0] ?? assert.fail("nothing held");
   const answer = b.report(machine.name, [{ uid: "j-000003", task, attempt, state: "running" }]);
-  assert.ok(answer?.t === "orders");
-  const stops = answer.orders.filter(
-    ({ op, job: ix }) => op === "stop" && b.core.directory.jobs.name(ix) === "j-000003",
+  assert.ok(answer?.kind === "commands");
+  const stops = answer.commands.filter(
+    ({ kind: op, job: ix }) => op === "stop" && b.core.directory.jobs.name(ix) === "j-000003",
   );
   assert.equal(stops.length, 1, "the cancellation that production confirmed is carried out");
   // What it never learned of as started is started nowhere else before its machine is adopted.
@@ -136,8 +144,8 @@
   const core = new Bench().core;
   const effects: Effect[] = [];
   for (let now = 1000; now < 4000; now += 100)
-    effects.push(...core.handle([{ t: "tick" }], now, { spent: () => false }));
-  const beats = effects.flatMap((e) => (e.t === "peerSend" ? [e.message] : []));
+    effects.push(...core.handle([{ kind: "tick" }], now, { spent: () => false }));
+  const beats = effects.flatMap((e) => (e.kind === "sendToPeer" ? [encodePeerMessage(e.message)] : []));
   assert.ok(beats.length > 0);
   for (const beat of beats) assert.notEqual(productionHears(beat), null, JSON.stringify(beat));
   assert.equal(productionReads("j/j-1", { state: "awaiting", acceptedAt: 1, spec: job("j-1") }), null);
@@ -148,7 +156,7 @@
   b.submit(job("j-1"));
   b.submit(job("j-2", { awaits: ["j-1"] }));
   assert.equal(productionReads("j/j-2", b.state.items.get("j/j-2")?.value), null);
-  b.stateRule = (call) => (call.t === "follow" ? { t: "refused", why: "" } : null);
+  b.stateRule = (call) => (call.kind === "watch" ? { kind: "unavailable", reason: "" } : null);
   new Bench("n1", b.state).lead().cancel("j-2");
   assert.notEqual(productionReads("j/j-2", b.state.items.get("j/j-2")?.value), null);
 });
@@ -157,10 +165,10 @@
   const b = new Bench().lead();
   hearBoth(b, OLD_BEAT);
   b.pass(2000);
-  b.give({ t: "peer", from: "n1", message: NEW_BEAT });
+  b.give({ kind: "peerMessage", from: "n1", message: NEW_BEAT });
   b.pass(5000);
   assert.equal(b.core.view.layout, 1, "n2 is old");
-  b.give({ t: "peer", from: "n2", message: NEW_BEAT });
+  b.give({ kind: "peerMessage", from: "n2", message: NEW_BEAT });
   b.pass(500);
   assert.equal(b.core.view.layout, 2);
   // Another node knows it from the record, also a new leader that has heard nobody; an old word closes nothing.
@@ -168,7 +176,7 @@
   const next = new Bench("n1", b.state);
   next.now = b.now + 60_000;
   next.lead();
-  next.give({ t: "peer", from: "n0", message: OLD_BEAT });
+  next.give({ kind: "peerMessage", from: "n0", message: OLD_BEAT });
   next.pass(3000);
   assert.equal(next.core.view.layout, 2);
 });
@@ -218,9 +226,9 @@
   );
   // A job with both kinds of records completes, and leaves none of them.
   next.cancel("j-000001");
-  for (const machine of machines) next.report(machine.name, [], { session: 2 });
+  for (const machine of machines) next.report(machine.name, [], { incarnation: 2 });
   next.pass(15_000);
-  for (const machine of machines) next.report(machine.name, [], { session: 2 });
+  for (const machine of machines) next.report(machine.name, [], { incarnation: 2 });
   next.pass(15_000);
   assert.deepEqual(
     [...state.items.keys()].filter((key) => key.startsWith("p/j-000001/")),
@@ -230,12 +238,12 @@
 
 /** A leader that has heard no peer, with 60 machines, and every transaction that was refused for what is in it. */
 function unprepared(next: boolean): { b: Bench; refused: string[] } {
-  const b = new Bench("n0", new StateService(), "n0-1", next ? {} : { stateNext: null }).lead();
+  const b = new Bench("n0", new StateService(), "n0-1", next ? {} : { nextStoreLimits: null }).lead();
   const refused: string[] = [];
-  b.stateRule = (call: StateCall) => {
-    if (call.t !== "txn") return null;
+  b.stateRule = (call: StoreRequest) => {
+    if (call.kind !== "transaction") return null;
     const answer = b.state.run(call, b.now);
-    if (answer.t === "invalid") refused.push(JSON.stringify(call));
+    if (answer.kind === "invalid") refused.push(JSON.stringify(call));
     return answer;
   };
   for (let i = 0; i < 60; i++) b.report(`i-${i}`);
@@ -287,23 +295,23 @@
 test("a job with long lists: refused under the smaller limit; one stored before can be cancelled, and completed", () => {
   const types = ["small", ...Array.from({ length: 300 }, (_, i) => `another-type-${i}`)];
   const state = new StateService();
-  const old = new Bench("n0", state, "n0-1", { stateNext: null }).lead();
+  const old = new Bench("n0", state, "n0-1", { nextStoreLimits: null }).lead();
   old.report("A");
-  for (const uid of ["j-1", "j-2"]) assert.equal(old.submit(job(uid, { types }))?.t, "accepted");
+  for (const uid of ["j-1", "j-2"]) assert.equal(old.submit(job(uid, { types }))?.kind, "accepted");
   old.pass(300);
   state.limits = SMALL;
   state.expire(old.now + 60_000);
   const b = new Bench("n1", state);
   b.now = old.now + 60_000;
   b.lead();
-  assert.match(JSON.stringify(b.submit(job("j-3", { types }))), /malformed.*too large/);
-  assert.equal(b.submit(job("j-1", { types }))?.t, "accepted", "a repeat");
-  assert.equal(b.cancel("j-1")?.t, "view");
+  assert.match(JSON.stringify(b.submit(job("j-3", { types }))), /invalid.*too large/);
+  assert.equal(b.submit(job("j-1", { types }))?.kind, "accepted", "a repeat");
+  assert.equal(b.cancel("j-1")?.kind, "status");
   assert.equal(state.invalid, 0);
   const starts = old.starts("j-2");
   assert.equal(starts.length, 1);
   const attempt = starts[0]?.attempt ?? 0;
-  b.report("A", [{ uid: "j-2", task: 0, attempt, state: "ended", cause: "done" }], { token: 2 });
+  b.report("A", [{ uid: "j-2", task: 0, attempt, state: "ended", cause: "done" }], { fencingToken: 2 });
   b.pass(3000);
   for (const uid of ["j-1", "j-2"]) assert.ok(state.items.has(`f/${uid}`), uid);
 });
@@ -312,8 +320,8 @@
   const b = new Bench().lead();
   let refused = 0;
   for (let i = 0; i < 120; i++) {
-    const answer = b.admin({ t: "machine", name: `machine-${i}`, mode: "drain" });
-    if (answer?.t === "bad") refused++;
+    const answer = b.admin({ kind: "setMachineMode", name: `machine-${i}`, mode: "drain" });
+    if (answer?.kind === "invalid") refused++;
   }
   assert.ok(refused > 0 && refused < 100, `${refused} refused`);
   assert.ok(valuesOf(b.state).every(([, bytes]) => bytes <= SMALL.valueBytes));
@@ -369,7 +377,7 @@
 });
 
 test("of records that cover the same task a smaller one is right, and of smaller ones the newest", () => {
-  const items: StateItem[] = [
+  const items: StoreEntry[] = [
     {
       key: "p/j-1/0",
       version: 5,
@@ -387,7 +395,7 @@
   // The large one may have been carried out late.
   for (const version of [5, 12])
     checkOrders(items.map((item) => (item.key === "p/j-1/0" ? { ...item, version } : item)));
-  const sized: StateItem[] = [
+  const sized: StoreEntry[] = [
     { key: "p/j-2/0.32", version: 5, value: { held: [[20, "A", 1, 7]], done: [] } },
     { key: "p/j-2/0.24", version: 8, value: { held: [[20, "B", 1, 8]], done: [] } },
   ];
@@ -398,7 +406,7 @@
   assert.equal(chunk?.placed[0]?.machine, "B");
 });
 
-function checkOrders(items: readonly StateItem[]): void {
+function checkOrders(items: readonly StoreEntry[]): void {
   for (const order of [items, [...items].reverse()]) {
     const { found, unreadable } = readChunks(order);
     const chunks = found.get("j-1") ?? [];
@@ -418,12 +426,13 @@
   b.submit(job("j-0", { tasks: 8 }));
   b.pass(300);
   live(b, 2);
-  const late: Extract<StateCall, { t: "txn" }>[] = [];
+  const late: Extract<StoreRequest, { kind: "transaction" }>[] = [];
   b.stateRule = (call) => {
-    if (call.t !== "txn" || !call.changes.some((c) => "put" in c && c.put === "p/j-1/0")) return null;
+    if (call.kind !== "transaction" || !call.changes.some((c) => "put" in c && c.put === "p/j-1/0"))
+      return null;
     // Its repeats, too, get no answer until the gate opens.
     if (late.length === 0) late.push(call);
-    return { t: "silent" };
+    return { kind: "timeout" };
   };
   b.submit(job("j-1", { need: { cpu: 0, gpu: 0, ram: 100 } }));
   b.pass(100);
@@ -444,7 +453,7 @@
   const second = b.core.leaderTerm?.tables.jobByUid("j-1")?.held.get(0) ?? assert.fail("not placed again");
   assert.notEqual(second.machine.name, first.machine.name);
   for (const call of late)
-    assert.equal(b.state.run(call, b.now).t, "ok", "nothing that it depends on has changed");
+    assert.equal(b.state.run(call, b.now).kind, "ok", "nothing that it depends on has changed");
   b.state.expire(b.now + 60_000);
   const next = new Bench("n1", b.state);
   next.now = b.now + 60_000;
@@ -456,7 +465,7 @@
 test("chunks never grow again, whatever limits a later leader finds", () => {
   const state = new StateService();
   const at = (valueBytes: number, node: string, now: number) => {
-    const b = new Bench(node, state, `${node}-1`, { valueBytes, stateNext: null });
+    const b = new Bench(node, state, `${node}-1`, { valueBytes, nextStoreLimits: null });
     b.now = now;
     b.lead();
     hearBoth(b);
@@ -481,8 +490,8 @@
 test("settings: the limits to come are optional; impossible ones name their field", () => {
   const withNext = (next: string) =>
     SETTINGS.replace("[deployment.cloud]", `[deployment.state.next]\n${next}\n[deployment.cloud]`);
-  assert.equal(parseSettings(SETTINGS).deployment.stateNext, null);
-  assert.deepEqual(parseSettings(withNext("value_kb = 2.0\ntxn_ops = 10")).deployment.stateNext, {
+  assert.equal(parseSettings(SETTINGS).deployment.nextStoreLimits, null);
+  assert.deepEqual(parseSettings(withNext("value_kb = 2.0\ntxn_ops = 10")).deployment.nextStoreLimits, {
     rps: 250,
     writeRps: 100,
     valueBytes: 2048,
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -3,8 +3,9 @@
 import { test } from "node:test";
 import { changeOperator, defaultOperator, readOperator } from "../src/config/operator.js";
 import { parseSettings, SettingsError } from "../src/config/settings.js";
+import type { AdminRequest } from "../src/core/messages/administration.js";
 import { Directory } from "../src/core/model/interner.js";
-import type { AdminAsk, JobSpec } from "../src/core/types.js";
+import type { JobSpec } from "../src/core/model/job-spec.js";
 import { decodeReport, encodeOrders } from "../src/protocol/agents.js";
 import { decodeCloudAnswer } from "../src/protocol/cloud.js";
 import { parseJob } from "../src/protocol/jobs.js";
@@ -120,9 +121,9 @@
     pieces: [{ piece: "j-1/3", try: 7, phase: "ended", cause: "error", stored: true }],
   };
   const read = decodeReport(report, directory);
-  assert.equal(read?.tasks[0]?.cause, "error");
+  assert.equal(read?.tasks[0]?.exitReason, "error");
   const [order] = encodeOrders(
-    [{ op: "stop", job: read?.tasks[0]?.job ?? -1, task: 3, attempt: 7, graceS: 2 }],
+    [{ kind: "stop", job: read?.tasks[0]?.job ?? -1, task: 3, attempt: 7, graceS: 2 }],
     directory,
   );
   assert.deepEqual(order, { verb: "stop", piece: "j-1/3", try: 7, windup_s: 2 });
@@ -139,16 +140,16 @@
 });
 
 test("answers from outside that make no sense count as none", () => {
-  const txn = { t: "txn", conditions: [], changes: [] } as const;
-  assert.equal(decodeStateAnswer(txn, 200, { ledger: "x" }).t, "silent");
-  assert.equal(decodeStateAnswer(txn, 409, {}).t, "silent");
-  assert.equal(decodeStateAnswer(txn, 503, {}).t, "refused");
-  assert.equal(decodeStateAnswer({ t: "get", key: "a" }, 200, undefined).t, "silent");
-  const hire = { t: "hire", request: "r", type: "t", zone: "z", spot: false, count: 1 } as const;
-  assert.equal(decodeCloudAnswer(hire, 503, { error: "no capacity" }).t, "no_capacity");
-  assert.equal(decodeCloudAnswer(hire, 503, { error: "trouble" }).t, "refused");
-  assert.equal(decodeCloudAnswer(hire, 200, { hosts: 5 }).t, "silent");
-  assert.equal(decodeCloudAnswer({ t: "list", after: null }, 200, { hosts: [{}] }).t, "silent");
+  const txn = { kind: "transaction", conditions: [], changes: [] } as const;
+  assert.equal(decodeStateAnswer(txn, 200, { ledger: "x" }).kind, "timeout");
+  assert.equal(decodeStateAnswer(txn, 409, {}).kind, "timeout");
+  assert.equal(decodeStateAnswer(txn, 503, {}).kind, "unavailable");
+  assert.equal(decodeStateAnswer({ kind: "get", key: "a" }, 200, undefined).kind, "timeout");
+  const hire = { kind: "create", requestId: "r", type: "t", zone: "z", spot: false, count: 1 } as const;
+  assert.equal(decodeCloudAnswer(hire, 503, { error: "no capacity" }).kind, "noCapacity");
+  assert.equal(decodeCloudAnswer(hire, 503, { error: "trouble" }).kind, "unavailable");
+  assert.equal(decodeCloudAnswer(hire, 200, { hosts: 5 }).kind, "timeout");
+  assert.equal(decodeCloudAnswer({ kind: "list", after: null }, 200, { hosts: [{}] }).kind, "timeout");
 });
 
 /** A job as large as a body may be, and larger. */
@@ -163,18 +164,23 @@
   asked: unknown[] = [];
   submit(uid: string, spec: JobSpec | string, then: Parameters<RequestHandler["submit"]>[2]): void {
     this.asked.push(uid);
-    if (typeof spec === "string") then({ t: "malformed", error: spec });
-    else if (uid === "j-77") then({ t: "overloaded", error: "its team's share is used up", afterS: 12 });
-    else then({ t: "accepted", known: false, view: { uid, phase: "queued", done: 0, running: 0 } });
+    if (typeof spec === "string") then({ kind: "invalid", error: spec });
+    else if (uid === "j-77")
+      then({ kind: "throttled", error: "its team's share is used up", retryAfterS: 12 });
+    else then({ kind: "accepted", known: false, status: { uid, phase: "queued", done: 0, running: 0 } });
   }
   poll(_uid: string, then: Parameters<RequestHandler["poll"]>[1]): void {
-    then({ t: "later", error: "no answer", afterS: 2 });
+    then({ kind: "unavailable", error: "no answer", retryAfterS: 2 });
   }
   cancel(_uid: string, then: Parameters<RequestHandler["cancel"]>[1]): void {
-    then({ t: "unknown" });
+    then({ kind: "notFound" });
   }
-  admin(ask: AdminAsk, then: Parameters<RequestHandler["admin"]>[1]): void {
-    then(ask.t === "change" ? { t: "bad", error: "move_low: wrong" } : { t: "ok", body: {} });
+  admin(ask: AdminRequest, then: Parameters<RequestHandler["admin"]>[1]): void {
+    then(
+      ask.kind === "changeSettings"
+        ? { kind: "invalid", error: "move_low: wrong" }
+        : { kind: "ok", body: {} },
+    );
   }
   report(): boolean {
     return false;
--- a/tools/loopback/state-server.ts
+++ b/tools/loopback/state-server.ts
@@ -1,5 +1,5 @@
 import http from "node:http";
-import type { StateCall } from "../../src/core/types.js";
+import type { StoreRequest } from "../../src/core/messages/store.js";
 import { StateService } from "../../test/support/fake-store.js";
 import { readBody, reply } from "./http.js";
 
@@ -62,7 +62,7 @@
     }
     const [status, answer] = this.#run(call);
     reply(res, status, answer);
-    if (call.t === "txn" || call.t === "drop") this.#answerFollows();
+    if (call.kind === "transaction" || call.kind === "revokeLease") this.#answerFollows();
   }
 
   #takes(): boolean {
@@ -76,24 +76,24 @@
     return true;
   }
 
-  #run(call: Exclude<StateCall, { t: "follow" }>): [number, unknown] {
+  #run(call: Exclude<StoreRequest, { kind: "watch" }>): [number, unknown] {
     const answer = this.store.run(call, performance.now());
     const ledger = this.store.revision;
-    switch (answer.t) {
+    switch (answer.kind) {
       case "ok":
         return [200, { ledger: answer.revision }];
       case "conflict":
         return [409, { failed: answer.failed, ledger }];
-      case "item":
-        return [200, encodeItem(answer.item)];
+      case "found":
+        return [200, encodeItem(answer.entry)];
       case "page":
-        return [200, { entries: answer.items.map(encodeItem), more: answer.more, ledger: answer.revision }];
-      case "granted":
-        return [200, { tenure: answer.grant }];
-      case "absent":
+        return [200, { entries: answer.entries.map(encodeItem), more: answer.more, ledger: answer.revision }];
+      case "leaseGranted":
+        return [200, { tenure: answer.leaseId }];
+      case "notFound":
         return [404, { ledger }];
       case "invalid":
-        return [400, { error: answer.why }];
+        return [400, { error: answer.reason }];
       case "throttled":
         return [429, {}];
       default:
@@ -106,10 +106,10 @@
     this.#follows = this.#follows.filter((follow) => {
       const found = this.store.since(follow.prefix, follow.after);
       if (found === null && now < follow.until) return !follow.res.destroyed;
-      const events = found?.t === "events" ? found.events : [];
+      const events = found?.kind === "events" ? found.events : [];
       const log = events.map((event) =>
-        event.t === "put"
-          ? { write: event.item.key, value: event.item.value, stamp: event.item.version }
+        event.kind === "put"
+          ? { write: event.entry.key, value: event.entry.value, stamp: event.entry.version }
           : { delete: event.key, stamp: event.version },
       );
       reply(follow.res, 200, { ledger: this.store.revision, log });
@@ -128,17 +128,17 @@
   parts: readonly string[],
   query: URLSearchParams,
   body: Record<string, never>,
-): Exclude<StateCall, { t: "follow" }> | null {
+): Exclude<StoreRequest, { kind: "watch" }> | null {
   const [root, ...rest] = parts.map(decodeURIComponent);
   if (root === "keys" && rest.length === 0)
-    return { t: "list", prefix: query.get("starts") ?? "", after: query.get("since") };
-  if (root === "keys") return { t: "get", key: rest.join("/") };
+    return { kind: "list", prefix: query.get("starts") ?? "", after: query.get("since") };
+  if (root === "keys") return { kind: "get", key: rest.join("/") };
   if (root === "multi") {
     const conditions: { path: string; stamp: number }[] = body.if ?? [];
     const changes: ({ write: string; value: unknown; tenure?: number } | { delete: string })[] =
       body.then ?? [];
     return {
-      t: "txn",
+      kind: "transaction",
       conditions: conditions.map(({ path, stamp }) => ({ key: path, version: stamp })),
       changes: changes.map((change) => {
         if ("delete" in change) return { remove: change.delete };
@@ -149,6 +149,8 @@
   }
   if (root !== "grants") return null;
   const grant = Number(rest[0]);
-  if (rest.length === 0) return { t: "grant", lifeMs: Number(body.life_ms) };
-  return method === "DELETE" ? { t: "drop", grant } : { t: "renew", grant };
+  if (rest.length === 0) return { kind: "grantLease", ttlMs: Number(body.life_ms) };
+  return method === "DELETE"
+    ? { kind: "revokeLease", leaseId: grant }
+    : { kind: "renewLease", leaseId: grant };
 }
