--- a/src/admission/round-robin-turns.ts
+++ b/src/admission/round-robin-turns.ts
@@ -2,7 +2,7 @@
 export interface WaitingJob {
   readonly spec: { readonly team: string; readonly jobClass: string };
   /** When it began to wait, by the same clock as the other times here. */
-  readonly since: number;
+  readonly queuedSince: number;
 }
 
 /**
@@ -10,7 +10,7 @@
  * turn: its oldest job goes before all that has none, whatever its size. So what others can put in front of a line's next
  * task is bounded: by what is begun within that time, and then by one job of each other line.
  */
-export class Turns {
+export class RoundRobinTurns {
   /** When something of each line last began. */
   readonly #beganAt = new Map<string, number>();
 
@@ -25,14 +25,14 @@
    * come early after a change of leader, never late.
    */
   restore(begun: Iterable<WaitingJob>): void {
-    for (const job of begun) this.began(job, job.since);
+    for (const job of begun) this.began(job, job.queuedSince);
   }
 
   /** Each job's place in its line, the oldest first: lines go in turns, not in one long row. */
   places<J extends WaitingJob>(waiting: readonly J[]): Map<J, number> {
     const lengths = new Map<string, number>();
     const places = new Map<J, number>();
-    for (const job of [...waiting].sort((a, b) => a.since - b.since)) {
+    for (const job of [...waiting].sort((a, b) => a.queuedSince - b.queuedSince)) {
       const place = lengths.get(lineOf(job)) ?? 0;
       places.set(job, place);
       lengths.set(lineOf(job), place + 1);
@@ -46,7 +46,7 @@
     for (const job of waiting) {
       const line = lineOf(job);
       const first = oldest.get(line);
-      if (!first || job.since < first.since) oldest.set(line, job);
+      if (!first || job.queuedSince < first.queuedSince) oldest.set(line, job);
     }
     const due = new Set<J>();
     for (const job of oldest.values()) if (this.#waitMs(job, now) >= afterMs) due.add(job);
@@ -64,7 +64,7 @@
 
   /** For how long a job has waited with nothing of its line beginning. */
   #waitMs(job: WaitingJob, now: number): number {
-    return now - Math.max(job.since, this.#beganAt.get(lineOf(job)) ?? Number.NEGATIVE_INFINITY);
+    return now - Math.max(job.queuedSince, this.#beganAt.get(lineOf(job)) ?? Number.NEGATIVE_INFINITY);
   }
 }
 
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -2,7 +2,7 @@
 import { parse } from "smol-toml";
 import * as v from "valibot";
 import type { Deployment, StoreLimits } from "../core/model/deployment.js";
-import { needOf, offerOf } from "../core/model/resources.js";
+import { roundDownCapacity, roundUpDemand } from "../core/model/resources.js";
 
 const text = v.pipe(v.string(), v.nonEmpty());
 const endpoint = v.pipe(v.string(), v.regex(/^[^\s:]+:\d{1,5}$/, "must be host:port"));
@@ -174,8 +174,8 @@
       zones: d.zones,
       teams: d.teams.map((team) => ({
         name: team.name,
-        guarantee: needOf(team.cpus, team.gpus, 0),
-        limit: offerOf(team.cpus_max, team.gpus_max, 0),
+        guarantee: roundUpDemand(team.cpus, team.gpus, 0),
+        limit: roundDownCapacity(team.cpus_max, team.gpus_max, 0),
       })),
       objectives: d.objectives.map((o) => ({
         kind: o.kind,
--- a/src/core/administration.ts
+++ b/src/core/administration.ts
@@ -1,10 +1,10 @@
 import { changeOperator, readOperator } from "../config/operator.js";
 import type { Context } from "./context.js";
-import { later } from "./jobs/submissions.js";
+import { unavailable } from "./jobs/submissions.js";
 import type { AdminRequest, AdminResponse } from "./messages/administration.js";
-import type { ConfigView } from "./store/config-watch.js";
+import type { ConfigWatch } from "./store/config-watch.js";
 import { KEYS } from "./store/records.js";
-import { bytesOf } from "./store/store-limits.js";
+import { encodedBytes } from "./store/store-limits.js";
 
 const CALL_MS = 1500;
 
@@ -13,10 +13,10 @@
 /** The operators' requests, on every node: their settings, the modes of machines, the status. */
 export class Administration {
   readonly #ctx: Context;
-  readonly #view: ConfigView;
+  readonly #view: ConfigWatch;
   readonly #status: () => Record<string, unknown>;
 
-  constructor(ctx: Context, view: ConfigView, status: () => Record<string, unknown>) {
+  constructor(ctx: Context, view: ConfigWatch, status: () => Record<string, unknown>) {
     this.#ctx = ctx;
     this.#view = view;
     this.#status = status;
@@ -25,10 +25,10 @@
   handle(ask: AdminRequest, answer: Answer): void {
     switch (ask.kind) {
       case "getSettings":
-        this.#ctx.state({ kind: "get", key: KEYS.settings }, CALL_MS, (got) => {
+        this.#ctx.callStore({ kind: "get", key: KEYS.settings }, CALL_MS, (got) => {
           if (got.kind === "found") answer({ kind: "ok", body: { ...readOperator(got.entry.value) } });
           else if (got.kind === "notFound") answer({ kind: "ok", body: { ...readOperator(null) } });
-          else answer(later("the state service does not answer"));
+          else answer(unavailable("the state service does not answer"));
         });
         break;
       case "changeSettings":
@@ -46,9 +46,9 @@
   }
 
   #changeSettings(values: Record<string, unknown>, answer: Answer): void {
-    this.#ctx.state({ kind: "get", key: KEYS.settings }, CALL_MS, (got) => {
+    this.#ctx.callStore({ kind: "get", key: KEYS.settings }, CALL_MS, (got) => {
       if (got.kind !== "found" && got.kind !== "notFound") {
-        answer(later("the state service does not answer"));
+        answer(unavailable("the state service does not answer"));
         return;
       }
       const result = changeOperator(readOperator(got.kind === "found" ? got.entry.value : null), values);
@@ -73,10 +73,10 @@
   }
 
   #changeMode(name: string, mode: "open" | "cordon" | "drain", answer: Answer): void {
-    const modes = { ...this.#view.modes };
+    const modes = { ...this.#view.machineModes };
     if (mode === "open") delete modes[name];
     else modes[name] = mode;
-    this.#writeConfig(KEYS.modes, this.#view.modesVersion, modes, answer, { machine: name, mode });
+    this.#writeConfig(KEYS.modes, this.#view.machineModesVersion, modes, answer, { machine: name, mode });
   }
 
   #writeConfig(
@@ -87,23 +87,23 @@
     body: Record<string, unknown>,
   ): void {
     const tooLarge: AdminResponse = { kind: "invalid", error: "too much to be kept in one record" };
-    if (bytesOf(value) > this.#ctx.limits.valueBytes) {
+    if (encodedBytes(value) > this.#ctx.limits.valueBytes) {
       answer(tooLarge);
       return;
     }
     const conditions = [{ key, version }];
-    this.#ctx.state(
+    this.#ctx.callStore(
       { kind: "transaction", conditions, changes: [{ put: key, value }] },
       CALL_MS,
       (result) => {
         if (result.kind === "ok") {
-          this.#view.note({ key, value, version: result.revision });
+          this.#view.apply({ key, value, version: result.revision });
           answer({ kind: "ok", body });
         } else if (result.kind === "invalid") {
           answer(tooLarge);
         } else {
           answer(
-            later(
+            unavailable(
               result.kind === "conflict" ? "changed at the same time" : "the state service does not answer",
             ),
           );
--- a/src/core/agents/failure-tracking.ts
+++ b/src/core/agents/failure-tracking.ts
@@ -19,16 +19,16 @@
  * Mostly the machine is faulty: one on which different jobs fail is set aside. A job that fails
  * on machine after machine has a mistake in it and must not keep the others waiting.
  */
-export function noteFailure(ctx: Context, { job, machine }: Placement): void {
+export function recordFailure(ctx: Context, { job, machine }: Placement): void {
   job.failures++;
-  job.failedOn.add(machine.ix);
+  job.failedMachines.add(machine.index);
   machine.failures++;
-  machine.failedJobs.add(job.ix);
+  machine.failedJobs.add(job.index);
   if (isFaulty(machine) && machine.mode === "open") {
     machine.mode = "drain";
     ctx.log("info", "machine set aside", { machine: machine.name, failures: machine.failures });
   }
-  if (job.failedOn.size < JOB_FAULTS) return;
+  if (job.failedMachines.size < JOB_FAULTS) return;
   const doublings = Math.min(JOB_BACKOFF_DOUBLINGS, job.failures - JOB_FAULTS);
-  job.notBefore = ctx.now + Math.min(JOB_BACKOFF_MAX_MS, JOB_BACKOFF_MS * 2 ** doublings);
+  job.backoffUntil = ctx.now + Math.min(JOB_BACKOFF_MAX_MS, JOB_BACKOFF_MS * 2 ** doublings);
 }
--- a/src/core/agents/fencing-queue.ts
+++ b/src/core/agents/fencing-queue.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { Term } from "../election/leader-lease.js";
+import type { LeaderLease } from "../election/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 
 /** Workers report by themselves; those that have not after so many intervals are shown the token. */
@@ -14,9 +14,9 @@
  * their number and the lease. Most adopt it by the answer to a report: a restarted controller with a fleet to hear has
  * no time to send all of them what their next reports bring by themselves.
  */
-export class Fencing {
+export class FencingQueue {
   readonly #ctx: Context;
-  readonly #term: Term;
+  readonly #term: LeaderLease;
   readonly #send: (machine: Machine) => void;
   readonly #waiting = new Set<Machine>();
   /** The same as of the last sorting, those with most work last; may still hold machines that wait no more. */
@@ -26,7 +26,7 @@
   #perSecond = LEAST_PER_S;
   #allowance = 0;
 
-  constructor(ctx: Context, term: Term, send: (machine: Machine) => void) {
+  constructor(ctx: Context, term: LeaderLease, send: (machine: Machine) => void) {
     this.#ctx = ctx;
     this.#term = term;
     this.#send = send;
@@ -49,7 +49,7 @@
     const stepMs = Math.min(LONGEST_STEP_MS, now - this.#steppedAt);
     this.#steppedAt = now;
     if (this.#waiting.size === 0) return;
-    if (now - this.#term.since < deployment.heartbeatIntervalS * GRACE_REPORTS * 1000) return;
+    if (now - this.#term.electedAt < deployment.heartbeatIntervalS * GRACE_REPORTS * 1000) return;
     this.#sort();
     const mostAtOnce = Math.ceil((this.#perSecond * LONGEST_STEP_MS) / 1000);
     this.#allowance = Math.min(mostAtOnce, this.#allowance + (this.#perSecond * stepMs) / 1000);
@@ -58,7 +58,7 @@
       if (!machine) return;
       if (!this.#waiting.delete(machine)) continue;
       this.#allowance--;
-      if (machine.doInFlight || now < machine.doRetryAt || machine.address === "") continue;
+      if (machine.isCommandInFlight || now < machine.commandRetryAt || machine.address === "") continue;
       this.#send(machine);
     }
   }
--- a/src/core/agents/reachability-tracker.ts
+++ b/src/core/agents/reachability-tracker.ts
@@ -1,8 +1,8 @@
 import type { Context } from "../context.js";
-import type { Term } from "../election/leader-lease.js";
+import type { LeaderLease } from "../election/leader-lease.js";
 import type { Heartbeat } from "../messages/agents.js";
 import type { Machine } from "../model/machine.js";
-import type { Fencing } from "./fencing-queue.js";
+import type { FencingQueue } from "./fencing-queue.js";
 
 /** What was sent is given this long to show, and at least so many report intervals. */
 const OWED_MS = 4000;
@@ -13,13 +13,13 @@
  * later report does. Answers and commands may be lost while reports arrive; such a machine would be given work for ever
  * that never starts.
  */
-export class Contact {
+export class ReachabilityTracker {
   readonly #ctx: Context;
-  readonly #term: Term;
-  readonly #fencing: Fencing;
+  readonly #term: LeaderLease;
+  readonly #fencing: FencingQueue;
   readonly #changed: () => void;
 
-  constructor(ctx: Context, term: Term, fencing: Fencing, changed: () => void) {
+  constructor(ctx: Context, term: LeaderLease, fencing: FencingQueue, changed: () => void) {
     this.#ctx = ctx;
     this.#term = term;
     this.#fencing = fencing;
@@ -27,28 +27,29 @@
   }
 
   /** Notes that a report was answered: what it was told has to show in the next ones. */
-  answered(machine: Machine): void {
-    if (this.#owes(machine)) machine.owedSince ??= this.#ctx.now;
+  onReplied(machine: Machine): void {
+    if (this.#owes(machine)) machine.acknowledgementOverdueSince ??= this.#ctx.now;
   }
 
   #owes(machine: Machine): boolean {
-    if (machine.report && machine.report.fencingToken < this.#term.token) return true;
-    for (const p of machine.placements) if (p.seen === null && p.sentToken > 0) return true;
+    if (machine.heartbeat && machine.heartbeat.fencingToken < this.#term.fencingToken) return true;
+    for (const p of machine.placements) if (p.observedState === null && p.startSentUnder > 0) return true;
     return false;
   }
 
   /** Judges a new report against the one before it. */
-  judge(machine: Machine, report: Heartbeat): void {
+  observeHeartbeat(machine: Machine, report: Heartbeat): void {
     const { now, deployment } = this.#ctx;
-    const before = machine.report;
+    const before = machine.heartbeat;
     if (before && report.fencingToken > before.fencingToken) this.markReachable(machine);
-    if (machine.owedSince === null) return;
+    if (machine.acknowledgementOverdueSince === null) return;
     const patienceMs = Math.max(OWED_MS, deployment.heartbeatIntervalS * OWED_REPORTS * 1000);
-    if (now - machine.owedSince > patienceMs) this.markUnreachable(machine, "nothing sent to it shows");
+    if (now - machine.acknowledgementOverdueSince > patienceMs)
+      this.markUnreachable(machine, "nothing sent to it shows");
   }
 
   markReachable(machine: Machine): void {
-    machine.owedSince = null;
+    machine.acknowledgementOverdueSince = null;
     if (machine.unreachableSince === null) return;
     machine.unreachableSince = null;
     this.#fencing.remove(machine);
--- a/src/core/agents/task-outcome.ts
+++ b/src/core/agents/task-outcome.ts
@@ -1,8 +1,8 @@
 import type { Context } from "../context.js";
 import type { ExitReason } from "../model/job-spec.js";
 import type { Placement } from "../model/placement.js";
-import type { Recorder } from "../store/record-writer.js";
-import { noteFailure } from "./failure-tracking.js";
+import type { RecordWriter } from "../store/record-writer.js";
+import { recordFailure } from "./failure-tracking.js";
 
 /** A machine that refused a start for want of room, or for its former copy, gets nothing for so long. */
 const REFUSED_MS = 2000;
@@ -10,9 +10,9 @@
 const UNKNOWN_MS = 1000;
 
 /** Draws the conclusions for job and machine from how a placement has ended. */
-export function noteOutcome(
+export function applyTaskOutcome(
   ctx: Context,
-  recorder: Recorder,
+  recorder: RecordWriter,
   placement: Placement,
   cause: ExitReason | "lost",
 ): void {
@@ -21,14 +21,14 @@
   switch (cause) {
     case "done":
       // What a task took after it had saved and been stopped says nothing of the whole.
-      if (placement.runningSince !== null && (job.spec.checkpointS === 0 || !Number.isFinite(job.lastHeldAt)))
+      if (placement.runningSince !== null && (job.spec.checkpointS === 0 || !Number.isFinite(job.lastRanAt)))
         ctx.estimates.observe(job.spec, (now - placement.runningSince) / 1000);
       if (job.spec.shape === "gang") {
         // If one task of a gang is done, all of them are.
         for (let i = 0; i < job.spec.tasks; i++) {
           if (!job.isDone(i)) {
             job.markDone(i);
-            recorder.touch(job, i, false);
+            recorder.markDirty(job, i, false);
           }
         }
       } else if (job.spec.shape === "array") job.markDone(task);
@@ -37,14 +37,14 @@
       machine.failedJobs.clear();
       break;
     case "error":
-      noteFailure(ctx, placement);
+      recordFailure(ctx, placement);
       break;
     case "no_room":
     case "busy":
-      machine.blockedUntil = now + REFUSED_MS;
+      machine.backoffUntil = now + REFUSED_MS;
       break;
     case "unknown":
-      job.notBefore = now + UNKNOWN_MS;
+      job.backoffUntil = now + UNKNOWN_MS;
       break;
     case "stopped":
     case "peers":
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
 import type { CloudMachine } from "../messages/cloud.js";
-import type { Tables } from "../model/cluster-state.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { MachineType } from "../model/deployment.js";
 import type { Machine } from "../model/machine.js";
 
@@ -20,18 +20,18 @@
 const EXCESS_LOG_MS = 60_000;
 
 export interface InventoryEvents {
-  typesRead(types: readonly MachineType[]): void;
+  onMachineTypes(types: readonly MachineType[]): void;
   /** The cloud lists this machine as one that stopped by itself. */
-  failed(machine: Machine): void;
+  onMachineFailed(machine: Machine): void;
 }
 
 /** Keeps up with what the cloud says there is: machine types and the list of machines. */
 export class CloudInventory {
   readonly #ctx: Context;
-  readonly #tables: Tables;
+  readonly #tables: ClusterState;
   readonly #events: InventoryEvents;
   /** Nothing is rented before the first full list of this term: machines an earlier leader rented count too. */
-  listedOnce = false;
+  hasFullListing = false;
   #listing = false;
   #listedAt = Number.NEGATIVE_INFINITY;
   #listAt = Number.NEGATIVE_INFINITY;
@@ -42,7 +42,7 @@
   #typesAt = Number.NEGATIVE_INFINITY;
   #excessToldAt = Number.NEGATIVE_INFINITY;
 
-  constructor(ctx: Context, tables: Tables, events: InventoryEvents) {
+  constructor(ctx: Context, tables: ClusterState, events: InventoryEvents) {
     this.#ctx = ctx;
     this.#tables = tables;
     this.#events = events;
@@ -66,14 +66,14 @@
       this.#pages = 0;
       this.#page(null);
     }
-    const typesMs = this.#tables.types.size === 0 ? TYPES_RETRY_MS : TYPES_MS;
+    const typesMs = this.#tables.machineTypes.size === 0 ? TYPES_RETRY_MS : TYPES_MS;
     if (now - this.#typesAt >= typesMs) this.#readTypes();
   }
 
   #readTypes(): void {
     this.#typesAt = this.#ctx.now;
-    this.#ctx.cloud({ kind: "listTypes" }, (answer) => {
-      if (answer.kind === "types") this.#events.typesRead(answer.types);
+    this.#ctx.callCloud({ kind: "listTypes" }, (answer) => {
+      if (answer.kind === "types") this.#events.onMachineTypes(answer.types);
     });
   }
 
@@ -82,7 +82,7 @@
    * of a large fleet would never come to its end beside other calls.
    */
   #page(after: string | null): void {
-    this.#ctx.cloud({ kind: "list", after }, (answer) => {
+    this.#ctx.callCloud({ kind: "list", after }, (answer) => {
       if (this.#stopped) return;
       if (answer.kind !== "page") {
         this.#resume = { after, at: this.#ctx.now + PAGE_RETRY_MS };
@@ -99,23 +99,24 @@
 
   #completed(): void {
     const { now, deployment } = this.#ctx;
-    this.listedOnce = true;
+    this.hasFullListing = true;
     this.#listing = false;
     const pagesMs = (this.#pages * 1000) / (deployment.cloudRps * LIST_SHARE);
     this.#listAt = this.#listedAt + Math.max(LIST_MS, pagesMs);
-    for (const [name, at] of this.#tables.released)
-      if (now - at > deployment.listLagS * 4000 + RELEASED_KEPT_MS) this.#tables.released.delete(name);
+    for (const [name, at] of this.#tables.terminatedMachines)
+      if (now - at > deployment.listLagS * 4000 + RELEASED_KEPT_MS)
+        this.#tables.terminatedMachines.delete(name);
     this.#tellOfExcess();
   }
 
   /** The list lags and may step back: it adds machines, but its silence proves nothing by itself. */
   #listed(listed: CloudMachine): void {
-    const ix = this.#ctx.directory.machines.find(listed.name);
+    const ix = this.#ctx.names.machines.find(listed.name);
     const known = ix === undefined ? undefined : this.#tables.machines.get(ix);
     // An old list may still show a machine that has been released; one that answers nothing is released again.
-    if (!known && this.#tables.released.has(listed.name)) return;
+    if (!known && this.#tables.terminatedMachines.has(listed.name)) return;
     const machine = known ?? this.#tables.machine(listed.name, listed, this.#ctx.now - listed.ageS * 1000);
-    if (listed.phase === "failed" && machine.phase !== "releasing") this.#events.failed(machine);
+    if (listed.phase === "failed" && machine.phase !== "releasing") this.#events.onMachineFailed(machine);
   }
 
   /** Machines beyond the operators' bound stay on the books and are used; nothing more is rented, and the log says so. */
--- a/src/core/autoscaling/gpu-headroom.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -1,11 +1,11 @@
 import type { Context } from "../context.js";
-import type { Tables } from "../model/cluster-state.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { MachineType } from "../model/deployment.js";
 import type { Job } from "../model/job.js";
-import { type Machine, suitsType } from "../model/machine.js";
+import { fitsMachineType, type Machine } from "../model/machine.js";
 import type { Resources } from "../model/resources.js";
 import { times } from "../model/resources.js";
-import { hasAim } from "../scheduling/queue-order.js";
+import { hasCompletionObjective } from "../scheduling/queue-order.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
 
 interface Kind {
@@ -32,16 +32,16 @@
  * How many machines with GPUs to keep. They are dear, and a new one takes longer to boot and fetch its image
  * than work can wait: so as many are kept free as is likely to be asked for meanwhile, and the rest is returned.
  */
-export class GpuReserve {
+export class GpuHeadroom {
   readonly #ctx: Context;
-  readonly #tables: Tables;
+  readonly #tables: ClusterState;
   readonly #scheduler: Scheduler;
   readonly #kinds = new Map<string, Kind>();
   readonly #seen = new Set<Job>();
   readonly #startedAt: number;
   #tickedAt = 0;
 
-  constructor(ctx: Context, tables: Tables, scheduler: Scheduler) {
+  constructor(ctx: Context, tables: ClusterState, scheduler: Scheduler) {
     this.#ctx = ctx;
     this.#tables = tables;
     this.#scheduler = scheduler;
@@ -53,18 +53,18 @@
     if (now - this.#tickedAt < 1000) return;
     this.#tickedAt = now;
     this.#count();
-    for (const type of this.#tables.types.values()) if (type.size.gpu > 0) this.#adjust(type);
+    for (const type of this.#tables.machineTypes.values()) if (type.size.gpu > 0) this.#adjust(type);
   }
 
   /** Takes note of the GPU work that has come since. */
   #count(): void {
     const windowMs = this.#ctx.settings.spare_window_s * 1000;
-    for (const job of this.#seen) if (!this.#tables.jobs.has(job.ix)) this.#seen.delete(job);
+    for (const job of this.#seen) if (!this.#tables.jobs.has(job.index)) this.#seen.delete(job);
     for (const job of this.#tables.jobs.values()) {
-      if (job.spec.need.gpu === 0 || !job.released || this.#seen.has(job)) continue;
+      if (job.spec.need.gpu === 0 || !job.dependenciesSatisfied || this.#seen.has(job)) continue;
       this.#seen.add(job);
-      for (const type of this.#tables.types.values()) {
-        if (!suitsType(job.spec, type)) continue;
+      for (const type of this.#tables.machineTypes.values()) {
+        if (!fitsMachineType(job.spec, type)) continue;
         const kind = this.#kind(type);
         kind.teams.add(job.spec.team);
         kind.need = larger(kind.need, job.spec.need);
@@ -102,29 +102,29 @@
     const { settings } = this.#ctx;
     const kind = this.#kind(type);
     const machines = [...this.#tables.machines.values()].filter(
-      (m) => m.typeName === type.name && m.phase !== "releasing" && !m.lost,
+      (m) => m.typeName === type.name && m.phase !== "releasing" && !m.isLeaseExpired,
     );
     const busy = (m: Machine) => m.used.gpu > 0;
     const asked = kind.arrivals.reduce((n, a) => n + a.slots, 0);
     const leadS = type.bootS + kind.imageGb / Math.max(0.01, type.fetchGbPerS);
     const likely = (asked / Math.max(1, settings.spare_window_s)) * leadS;
     const spare = asked === 0 ? 0 : Math.ceil(settings.spare_factor * Math.sqrt(likely));
-    this.#scheduler.candidates.leaveRoom(type.name, kind.need, spare);
+    this.#scheduler.feasibleMachines.setGpuHeadroom(type.name, kind.need, spare);
     let waiting = 0;
     // What the provisioner would rent for small work is not given back while such work waits: that was a wheel of
     // spot machines hired, charged their minute, and returned.
     let wanted = false;
     let wantedSpot = false;
     for (const { job, count } of this.#scheduler.blocked) {
-      if (!suitsType(job.spec, type)) continue;
+      if (!fitsMachineType(job.spec, type)) continue;
       if (job.spec.need.gpu > 0) waiting += Math.ceil(count / times(job.spec.need, type.size));
       else {
-        wanted ||= !this.tooDear(job, type, false);
-        wantedSpot ||= job.spec.spot && !this.tooDear(job, type, true);
+        wanted ||= !this.isTooExpensive(job, type, false);
+        wantedSpot ||= job.spec.spot && !this.isTooExpensive(job, type, true);
       }
     }
     const free = machines.filter((m) => !busy(m) && m.phase === "up" && !(m.spot && wantedSpot));
-    const most = this.mostAtOnce(type);
+    const most = this.maxUsefulMachines(type);
     const inUse = Math.min(most, machines.filter(busy).length + waiting);
     const wantedNow = Math.min(most, inUse + spare);
     kind.needed.push({ at: this.#ctx.now, count: wantedNow });
@@ -152,25 +152,29 @@
     // Then the dear ones, and of those the emptiest.
     free.sort(
       (a, b) =>
-        Number(b.retiring) - Number(a.retiring) ||
+        Number(b.isMarkedForScaleIn) - Number(a.isMarkedForScaleIn) ||
         Number(a.spot) - Number(b.spot) ||
         a.placements.size - b.placements.size ||
-        a.ix - b.ix,
+        a.index - b.index,
     );
-    for (const machine of machines) machine.retiring = false;
+    for (const machine of machines) machine.isMarkedForScaleIn = false;
     for (const machine of free) {
       if (surplus-- <= 0) break;
-      machine.retiring = true;
+      machine.isMarkedForScaleIn = true;
       for (const placement of [...machine.placements]) {
-        if (placement.job.spec.checkpointS > 0 && !placement.stop && !hasAim(this.#ctx, placement.job)) {
-          this.#scheduler.preemption.stopOrderly(placement, "its machine is not needed");
+        if (
+          placement.job.spec.checkpointS > 0 &&
+          !placement.stop &&
+          !hasCompletionObjective(this.#ctx, placement.job)
+        ) {
+          this.#scheduler.preemption.stopGracefully(placement, "its machine is not needed");
         }
       }
     }
   }
 
   /** More machines than the teams' limits let work run on are of no use. */
-  mostAtOnce(type: MachineType): number {
+  maxUsefulMachines(type: MachineType): number {
     const kind = this.#kind(type);
     const { need } = kind;
     if (!need || need.gpu === 0) return 0;
@@ -187,11 +191,11 @@
   }
 
   /** Small work is worth a machine with GPUs only up to a multiple of what it costs elsewhere. */
-  tooDear(job: Job, type: MachineType, spot: boolean): boolean {
+  isTooExpensive(job: Job, type: MachineType, spot: boolean): boolean {
     if (job.spec.need.gpu > 0 || type.size.gpu === 0) return false;
     let least = Number.POSITIVE_INFINITY;
-    for (const other of this.#tables.types.values()) {
-      if (other.size.gpu > 0 || !suitsType(job.spec, other)) continue;
+    for (const other of this.#tables.machineTypes.values()) {
+      if (other.size.gpu > 0 || !fitsMachineType(job.spec, other)) continue;
       least = Math.min(least, other.price / times(job.spec.need, other.size));
     }
     const price = spot ? type.spotPrice : type.price;
--- a/src/core/autoscaling/machine-reaper.ts
+++ b/src/core/autoscaling/machine-reaper.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
-import type { Term } from "../election/leader-lease.js";
-import type { Tables } from "../model/cluster-state.js";
+import type { LeaderLease } from "../election/leader-lease.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { Machine } from "../model/machine.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
 
@@ -9,15 +9,15 @@
 const MIN_CHARGE_MS = 60_000;
 
 /** Decides which machines are given back: the idle, the stuck, the silent, the broken. */
-export class MachineWatch {
+export class MachineReaper {
   readonly #ctx: Context;
-  readonly #term: Term;
-  readonly #tables: Tables;
+  readonly #term: LeaderLease;
+  readonly #tables: ClusterState;
   readonly #scheduler: Scheduler;
   /** Zones that are, or were just now, cut off. */
   readonly #cutUntil = new Map<string, number>();
 
-  constructor(ctx: Context, term: Term, tables: Tables, scheduler: Scheduler) {
+  constructor(ctx: Context, term: LeaderLease, tables: ClusterState, scheduler: Scheduler) {
     this.#ctx = ctx;
     this.#term = term;
     this.#tables = tables;
@@ -25,10 +25,10 @@
   }
 
   /** Marks a machine as one to be given back. */
-  giveUp(machine: Machine, why: string): void {
+  markForTermination(machine: Machine, why: string): void {
     if (machine.phase === "releasing") return;
     machine.phase = "releasing";
-    machine.releaseWhy = why;
+    machine.terminationReason = why;
     this.#ctx.log("debug", "machine to be released", { machine: machine.name, why });
   }
 
@@ -37,7 +37,7 @@
     const { now, settings, deployment } = this.#ctx;
     const up = [...this.#tables.machines.values()].filter((m) => m.phase === "up");
     const silentMs = deployment.heartbeatIntervalS * 2600 + 700;
-    const silent = up.filter((m) => now - m.heardAt > silentMs).length;
+    const silent = up.filter((m) => now - m.heartbeatAt > silentMs).length;
     const fewUnreachable = up.filter((m) => m.unreachableSince !== null).length <= Math.max(1, up.length / 3);
     // When most are silent it is this node that is cut off, not the machines that are gone.
     const hearing = silent <= Math.max(1, up.length / 3);
@@ -48,33 +48,35 @@
         case "booting": {
           const bootS = machine.type?.bootS ?? 60;
           if (now - machine.bootingSince > bootS * settings.boot_factor * 1000) {
-            this.giveUp(machine, "it never came up");
+            this.markForTermination(machine, "it never came up");
           }
           break;
         }
         case "up": {
           // A new leader counts from its beginning: machines it has never heard may be in a zone that is cut off.
-          const quiet = now - Math.max(machine.heardAt, this.#term.since);
-          if (machine.placements.size > 0 || machine.strayUse.cpu > 0) machine.idleSince = null;
+          const quiet = now - Math.max(machine.heartbeatAt, this.#term.electedAt);
+          if (machine.placements.size > 0 || machine.usedByUnknownTasks.cpu > 0) machine.idleSince = null;
           else machine.idleSince ??= now;
           // A zone that is cut off comes back with its machines and their images; given back they would have
           // to be rented, booted and filled anew, spot ones first, which were taken for taken back.
           if (!hearing || (cut.has(machine.zone) && quiet < CUT_PATIENCE_MS)) break;
-          const noticed = machine.noticeUntil !== null && now > machine.noticeUntil;
+          const noticed = machine.reclaimedAt !== null && now > machine.reclaimedAt;
           const unreachableMs =
             machine.unreachableSince === null || !fewUnreachable ? 0 : now - machine.unreachableSince;
-          if (unreachableMs > deployment.leaseS * 2000) this.giveUp(machine, "it can't be reached");
-          else if (machine.lost && quiet > deployment.leaseS * 2000) this.giveUp(machine, "silent");
+          if (unreachableMs > deployment.leaseS * 2000)
+            this.markForTermination(machine, "it can't be reached");
+          else if (machine.isLeaseExpired && quiet > deployment.leaseS * 2000)
+            this.markForTermination(machine, "silent");
           else if (quiet > silentMs && (machine.spot || noticed)) {
-            this.giveUp(machine, "taken back");
+            this.markForTermination(machine, "taken back");
           } else if (machine.mode === "drain" && machine.placements.size === 0) {
-            this.giveUp(machine, "drained");
+            this.markForTermination(machine, "drained");
           } else if (
-            machine.retiring &&
+            machine.isMarkedForScaleIn &&
             machine.idleSince !== null &&
             now - machine.bootingSince > MIN_CHARGE_MS
           ) {
-            this.giveUp(machine, "not needed");
+            this.markForTermination(machine, "not needed");
           } else if (
             machine.idleSince !== null &&
             machine.type?.size.gpu === 0 &&
@@ -82,7 +84,7 @@
             now - machine.bootingSince > MIN_CHARGE_MS &&
             !wanted.has(kindOf(machine))
           ) {
-            this.giveUp(machine, "idle");
+            this.markForTermination(machine, "idle");
           }
           break;
         }
@@ -97,7 +99,7 @@
     const { now, deployment } = this.#ctx;
     const missedMs = deployment.heartbeatIntervalS * 1500;
     const counts = new Map<string, { all: number; quiet: number }>();
-    for (const { zone, heardAt } of up) {
+    for (const { zone, heartbeatAt: heardAt } of up) {
       const count = counts.get(zone) ?? { all: 0, quiet: 0 };
       count.all++;
       if (now - heardAt > missedMs) count.quiet++;
@@ -119,10 +121,10 @@
       const kind = kindOf(machine);
       if (!kinds.has(kind)) kinds.set(kind, machine);
     }
-    const { blocked, candidates } = this.#scheduler;
+    const { blocked, feasibleMachines: candidates } = this.#scheduler;
     const wanted = new Set<string>();
     for (const [kind, machine] of kinds)
-      if (blocked.some(({ job }) => candidates.allows(job, machine))) wanted.add(kind);
+      if (blocked.some(({ job }) => candidates.mayRunOn(job, machine))) wanted.add(kind);
     return wanted;
   }
 }
--- a/src/core/autoscaling/provisioner.ts
+++ b/src/core/autoscaling/provisioner.ts
@@ -1,16 +1,16 @@
-import type { Fleet } from "../agents/agent-manager.js";
+import type { AgentManager } from "../agents/agent-manager.js";
 import type { Context } from "../context.js";
-import type { Term } from "../election/leader-lease.js";
-import type { Tables } from "../model/cluster-state.js";
+import type { LeaderLease } from "../election/leader-lease.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { MachineType } from "../model/deployment.js";
 import type { Job } from "../model/job.js";
-import { type Machine, suitsType } from "../model/machine.js";
+import { fitsMachineType, type Machine } from "../model/machine.js";
 import { fits, times } from "../model/resources.js";
-import type { Blocked, Scheduler } from "../scheduling/scheduler.js";
-import type { Recorder } from "../store/record-writer.js";
+import type { BlockedJob, Scheduler } from "../scheduling/scheduler.js";
+import type { RecordWriter } from "../store/record-writer.js";
 import { CloudInventory } from "./cloud-inventory.js";
-import { GpuReserve } from "./gpu-headroom.js";
-import { MachineWatch } from "./machine-reaper.js";
+import { GpuHeadroom } from "./gpu-headroom.js";
+import { MachineReaper } from "./machine-reaper.js";
 
 const REFUSED_MS = 8000;
 const REFUSED_MAX_MS = 60_000;
@@ -37,18 +37,18 @@
 /** Rents machines for what finds no place, and gives back those that are to be released. */
 export class Provisioner {
   readonly #ctx: Context;
-  readonly #term: Term;
-  readonly #tables: Tables;
-  readonly #fleet: Fleet;
-  readonly #recorder: Recorder;
+  readonly #term: LeaderLease;
+  readonly #tables: ClusterState;
+  readonly #fleet: AgentManager;
+  readonly #recorder: RecordWriter;
   readonly #scheduler: Scheduler;
   readonly #refused = new Map<string, { until: number; waitMs: number }>();
   readonly #hiring = new Map<string, RentalRequest>();
   /** Machines of each type that are there or have been asked for, as of this round of hiring. */
   #counts = new Map<string, number>();
-  readonly #gpuReserve: GpuReserve;
+  readonly #gpuReserve: GpuHeadroom;
   readonly #inventory: CloudInventory;
-  readonly #watch: MachineWatch;
+  readonly #watch: MachineReaper;
   /** Requests that got no answer, to be repeated under their names. */
   readonly #unanswered: { at: number; hire: RentalRequest }[] = [];
   #requests = 0;
@@ -56,10 +56,10 @@
 
   constructor(
     ctx: Context,
-    term: Term,
-    tables: Tables,
-    fleet: Fleet,
-    recorder: Recorder,
+    term: LeaderLease,
+    tables: ClusterState,
+    fleet: AgentManager,
+    recorder: RecordWriter,
     scheduler: Scheduler,
     typesRead: (types: readonly MachineType[]) => void,
   ) {
@@ -69,11 +69,11 @@
     this.#fleet = fleet;
     this.#recorder = recorder;
     this.#scheduler = scheduler;
-    this.#gpuReserve = new GpuReserve(ctx, tables, scheduler);
-    this.#watch = new MachineWatch(ctx, term, tables, scheduler);
+    this.#gpuReserve = new GpuHeadroom(ctx, tables, scheduler);
+    this.#watch = new MachineReaper(ctx, term, tables, scheduler);
     this.#inventory = new CloudInventory(ctx, tables, {
-      typesRead,
-      failed: (machine) => this.#watch.giveUp(machine, "it failed"),
+      onMachineTypes: typesRead,
+      onMachineFailed: (machine) => this.#watch.markForTermination(machine, "it failed"),
     });
   }
 
@@ -88,7 +88,7 @@
     if (!confirmed) return;
     this.#askAgain();
     this.#release();
-    if (this.#inventory.listedOnce && this.#tables.types.size > 0) this.#hire();
+    if (this.#inventory.hasFullListing && this.#tables.machineTypes.size > 0) this.#hire();
   }
 
   #release(): void {
@@ -96,23 +96,23 @@
     if (this.#releasing) return;
     const due: Machine[] = [];
     for (const machine of this.#tables.machines.values()) {
-      if (machine.phase === "releasing" && now >= machine.releaseRetryAt && due.length < 100)
+      if (machine.phase === "releasing" && now >= machine.terminationRetryAt && due.length < 100)
         due.push(machine);
     }
     if (due.length === 0) return;
     this.#releasing = true;
-    this.#ctx.cloud({ kind: "delete", machines: due.map((m) => m.name) }, (answer) => {
+    this.#ctx.callCloud({ kind: "delete", machines: due.map((m) => m.name) }, (answer) => {
       this.#releasing = false;
       for (const machine of due) {
         if (answer.kind !== "deleted") {
-          machine.releaseRetryAt = this.#ctx.now + RELEASE_RETRY_MS;
+          machine.terminationRetryAt = this.#ctx.now + RELEASE_RETRY_MS;
           continue;
         }
         // The cloud's word: the machine and all that was on it are gone.
-        this.#ctx.log("info", "machine released", { machine: machine.name, why: machine.releaseWhy });
-        this.#fleet.dropAll(machine, "released");
-        this.#tables.released.set(machine.name, this.#ctx.now);
-        this.#recorder.machines.gone(machine);
+        this.#ctx.log("info", "machine released", { machine: machine.name, why: machine.terminationReason });
+        this.#fleet.expireMachine(machine, "released");
+        this.#tables.terminatedMachines.set(machine.name, this.#ctx.now);
+        this.#recorder.machineRecords.gone(machine);
         this.#tables.removeMachine(machine);
       }
     });
@@ -155,7 +155,8 @@
         const offer = this.#cheapest(job, zone, slots, now);
         if (!offer) break;
         const per = times(job.spec.need, offer.type.size);
-        const room = job.spec.need.gpu > 0 ? this.#gpuReserve.mostAtOnce(offer.type) : settings.max_machines;
+        const room =
+          job.spec.need.gpu > 0 ? this.#gpuReserve.maxUsefulMachines(offer.type) : settings.max_machines;
         const count = Math.min(50, Math.ceil(slots / per), settings.max_machines - total, room);
         const key = keyOf(offer);
         const sum = wanted.get(key);
@@ -195,11 +196,11 @@
     }
   }
 
-  #slotsFor({ job, count }: Blocked): number {
+  #slotsFor({ job, count }: BlockedJob): number {
     if (job.spec.shape !== "array" || job.spec.estimateS <= 0) return count;
-    const taskS = this.#ctx.estimates.of(job.spec);
-    const want = Math.ceil(((job.pending + job.held.size) * taskS) / DRAIN_S);
-    return Math.max(0, Math.min(count, want - job.held.size));
+    const taskS = this.#ctx.estimates.estimateS(job.spec);
+    const want = Math.ceil(((job.pending + job.placements.size) * taskS) / DRAIN_S);
+    return Math.max(0, Math.min(count, want - job.placements.size));
   }
 
   /** For a job that must stay in one zone: where most of its tasks find room once the boots are done. */
@@ -210,9 +211,12 @@
   ): string | null {
     const room = new Map<string, number>();
     for (const machine of this.#tables.machines.values()) {
-      if (!this.#scheduler.candidates.usable(machine) || !this.#scheduler.candidates.allows(job, machine))
+      if (
+        !this.#scheduler.feasibleMachines.isSchedulable(machine) ||
+        !this.#scheduler.feasibleMachines.mayRunOn(job, machine)
+      )
         continue;
-      room.set(machine.zone, (room.get(machine.zone) ?? 0) + times(job.spec.need, machine.room()));
+      room.set(machine.zone, (room.get(machine.zone) ?? 0) + times(job.spec.need, machine.freeCapacity()));
     }
     for (const { offer, slots: rooms } of coming.values()) {
       if (!this.#offerSuits(job, offer)) continue;
@@ -234,25 +238,25 @@
 
   #offerSuits(job: Job, { type, zone, spot }: Offer): boolean {
     const { spec } = job;
-    return suitsType(spec, type) && (spec.zone === null || spec.zone === zone) && (spec.spot || !spot);
+    return fitsMachineType(spec, type) && (spec.zone === null || spec.zone === zone) && (spec.spot || !spot);
   }
 
   #cheapest(job: Job, zone: string | null, slots: number, now: number): Offer | null {
     let best: Offer | null = null;
     let bestCost = Number.POSITIVE_INFINITY;
     const perZone = new Map<string, number>();
-    if (job.spec.spread) for (const z of this.#ctx.deployment.zones) perZone.set(z, job.inZone(z));
-    for (const type of this.#tables.types.values()) {
+    if (job.spec.spread) for (const z of this.#ctx.deployment.zones) perZone.set(z, job.countInZone(z));
+    for (const type of this.#tables.machineTypes.values()) {
       for (const z of type.zones) {
         if (zone !== null && z !== zone) continue;
         if (job.spec.spread && (perZone.get(z) ?? 0) >= Math.ceil(job.spec.tasks / 2)) continue;
         for (const spot of [false, true]) {
           const offer = { type, zone: z, spot };
           if (!this.#offerSuits(job, offer)) continue;
-          if (this.#gpuReserve.tooDear(job, type, spot)) continue;
+          if (this.#gpuReserve.isTooExpensive(job, type, spot)) continue;
           if (
             job.spec.need.gpu > 0 &&
-            (this.#counts.get(type.name) ?? 0) >= this.#gpuReserve.mostAtOnce(type)
+            (this.#counts.get(type.name) ?? 0) >= this.#gpuReserve.maxUsefulMachines(type)
           )
             continue;
           if ((this.#refused.get(keyOf(offer))?.until ?? 0) > now) continue;
@@ -272,7 +276,7 @@
   #countMachines(): Map<string, number> {
     const counts = new Map<string, number>();
     for (const machine of this.#tables.machines.values()) {
-      if (machine.phase === "releasing" || machine.lost) continue;
+      if (machine.phase === "releasing" || machine.isLeaseExpired) continue;
       counts.set(machine.typeName, (counts.get(machine.typeName) ?? 0) + 1);
     }
     for (const { offer, count } of this.#hiring.values()) {
@@ -285,7 +289,7 @@
     const key = keyOf(offer);
     if (this.#hiring.has(key)) return;
     // The token and a counter: a name that no other leader, nor this one, ever uses again.
-    const request = `r-${this.#term.firstToken}-${++this.#requests}`;
+    const request = `r-${this.#term.firstFencingToken}-${++this.#requests}`;
     const hire: RentalRequest = { offer, count, request, tries: HIRE_TRIES };
     this.#hiring.set(key, hire);
     this.#ask(hire);
@@ -295,33 +299,36 @@
     const { offer, count, request } = hire;
     const { type, zone, spot } = offer;
     const key = keyOf(offer);
-    this.#ctx.cloud({ kind: "create", requestId: request, type: type.name, zone, spot, count }, (answer) => {
-      const { now } = this.#ctx;
-      if (answer.kind === "timeout" && hire.tries > 1) {
-        // It may have been carried out: under the same name it rents nothing more, and tells what it rented.
-        this.#unanswered.push({ at: now + HIRE_RETRY_MS, hire: { ...hire, tries: hire.tries - 1 } });
-        return;
-      }
-      this.#hiring.delete(key);
-      if (answer.kind === "created") {
-        this.#ctx.log("info", "machines hired", {
-          type: type.name,
-          zone,
-          spot,
-          count,
-          got: answer.machines.length,
-        });
-        for (const name of answer.machines) {
-          this.#tables.machine(name, { address: "", type: type.name, zone, spot }, now);
+    this.#ctx.callCloud(
+      { kind: "create", requestId: request, type: type.name, zone, spot, count },
+      (answer) => {
+        const { now } = this.#ctx;
+        if (answer.kind === "timeout" && hire.tries > 1) {
+          // It may have been carried out: under the same name it rents nothing more, and tells what it rented.
+          this.#unanswered.push({ at: now + HIRE_RETRY_MS, hire: { ...hire, tries: hire.tries - 1 } });
+          return;
         }
-        if (answer.machines.length < count) this.#refuse(key);
-        else this.#refused.delete(key);
-      } else {
-        if (answer.kind === "noCapacity")
-          this.#ctx.log("debug", "no capacity", { type: type.name, zone, spot });
-        this.#refuse(key);
-      }
-    });
+        this.#hiring.delete(key);
+        if (answer.kind === "created") {
+          this.#ctx.log("info", "machines hired", {
+            type: type.name,
+            zone,
+            spot,
+            count,
+            got: answer.machines.length,
+          });
+          for (const name of answer.machines) {
+            this.#tables.machine(name, { address: "", type: type.name, zone, spot }, now);
+          }
+          if (answer.machines.length < count) this.#refuse(key);
+          else this.#refused.delete(key);
+        } else {
+          if (answer.kind === "noCapacity")
+            this.#ctx.log("debug", "no capacity", { type: type.name, zone, spot });
+          this.#refuse(key);
+        }
+      },
+    );
   }
 
   #askAgain(): void {
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -4,13 +4,13 @@
 import type { Effect, LogLevel } from "./messages/effects.js";
 import type { StoreRequest, StoreResponse } from "./messages/store.js";
 import type { Deployment } from "./model/deployment.js";
-import type { Directory } from "./model/interner.js";
-import { Estimates } from "./scheduling/runtime-estimates.js";
-import { Limits } from "./store/store-limits.js";
+import type { NameRegistry } from "./model/interner.js";
+import { RuntimeEstimates } from "./scheduling/runtime-estimates.js";
+import { EffectiveStoreLimits } from "./store/store-limits.js";
 
 /** Says when a round has used its time; the shell brings the clock, tests bring a counter. */
-export interface Budget {
-  spent(): boolean;
+export interface TimeBudget {
+  isSpent(): boolean;
 }
 
 /** What every part of the core shares: the time of this batch, the effects it asks for, calls under way. */
@@ -18,28 +18,28 @@
   now = 0;
   settings: OperatorSettings = defaultOperator;
   readonly deployment: Deployment;
-  readonly directory: Directory;
+  readonly names: NameRegistry;
   readonly random: RandomGenerator;
-  readonly estimates = new Estimates();
-  readonly limits: Limits;
+  readonly estimates = new RuntimeEstimates();
+  readonly limits: EffectiveStoreLimits;
   /** True where fair admission is switched on: whose turn it is counts in the order of work, too. */
-  fairTurns = false;
+  hasFairTurns = false;
   #effects: Effect[] = [];
   #nextId = 1;
-  readonly #stateWaiting = new Map<number, (answer: StoreResponse) => void>();
-  readonly #cloudWaiting = new Map<number, (answer: CloudResponse) => void>();
+  readonly #pendingStoreCalls = new Map<number, (answer: StoreResponse) => void>();
+  readonly #pendingCloudCalls = new Map<number, (answer: CloudResponse) => void>();
   /** When the state service last answered this node, and last refused it or kept silent. */
-  stateAnsweredAt = Number.NEGATIVE_INFINITY;
-  stateFailingSince: number | null = null;
+  storeRespondedAt = Number.NEGATIVE_INFINITY;
+  storeFailingSince: number | null = null;
 
   /** The wall time at `now` 0. Only ages of jobs rest on it; nothing that safety depends on does. */
   readonly #epochMs: number;
 
-  constructor(deployment: Deployment, directory: Directory, random: RandomGenerator, epochMs: number) {
+  constructor(deployment: Deployment, directory: NameRegistry, random: RandomGenerator, epochMs: number) {
     this.#epochMs = epochMs;
     this.deployment = deployment;
-    this.limits = new Limits(deployment);
-    this.directory = directory;
+    this.limits = new EffectiveStoreLimits(deployment);
+    this.names = directory;
     this.random = random;
   }
 
@@ -62,36 +62,36 @@
   }
 
   /** Each call gets exactly one answer; the shell answers "silent" for those that time out. */
-  state(call: StoreRequest, timeoutMs: number, then: (answer: StoreResponse) => void): void {
+  callStore(call: StoreRequest, timeoutMs: number, then: (answer: StoreResponse) => void): void {
     const id = this.nextId();
-    this.#stateWaiting.set(id, then);
+    this.#pendingStoreCalls.set(id, then);
     this.emit({ kind: "callStore", id, request: call, timeoutMs });
   }
 
-  cloud(call: CloudRequest, then: (answer: CloudResponse) => void): void {
+  callCloud(call: CloudRequest, then: (answer: CloudResponse) => void): void {
     const id = this.nextId();
-    this.#cloudWaiting.set(id, then);
+    this.#pendingCloudCalls.set(id, then);
     this.emit({ kind: "callCloud", id, request: call });
   }
 
-  stateAnswered(id: number, answer: StoreResponse): void {
-    const then = this.#stateWaiting.get(id);
+  onStoreResponse(id: number, answer: StoreResponse): void {
+    const then = this.#pendingStoreCalls.get(id);
     if (!then) return;
-    this.#stateWaiting.delete(id);
-    if (answer.kind === "throttled") this.limits.throttled(this.now);
+    this.#pendingStoreCalls.delete(id);
+    if (answer.kind === "throttled") this.limits.onThrottled(this.now);
     if (answer.kind === "timeout" || answer.kind === "unavailable" || answer.kind === "throttled") {
-      this.stateFailingSince ??= this.now;
+      this.storeFailingSince ??= this.now;
     } else {
-      this.stateAnsweredAt = this.now;
-      this.stateFailingSince = null;
+      this.storeRespondedAt = this.now;
+      this.storeFailingSince = null;
     }
     then(answer);
   }
 
-  cloudAnswered(id: number, answer: CloudResponse): void {
-    const then = this.#cloudWaiting.get(id);
+  onCloudResponse(id: number, answer: CloudResponse): void {
+    const then = this.#pendingCloudCalls.get(id);
     if (!then) return;
-    this.#cloudWaiting.delete(id);
+    this.#pendingCloudCalls.delete(id);
     then(answer);
   }
 
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,13 +1,13 @@
 import { Admission, type AdmissionStatus } from "../admission/admission.js";
-import { Succession } from "../standby/failover.js";
-import type { Takeover } from "../standby/failover-timeline.js";
+import { Failover } from "../standby/failover.js";
+import type { FailoverTimeline } from "../standby/failover-timeline.js";
 import type { StandbyReport } from "../standby/standby.js";
 import { Administration } from "./administration.js";
-import { ReportRouter } from "./agents/heartbeat-router.js";
-import { type Budget, Context } from "./context.js";
-import { Leadership } from "./election/election.js";
+import { HeartbeatRouter } from "./agents/heartbeat-router.js";
+import { Context, type TimeBudget } from "./context.js";
+import { Election } from "./election/election.js";
 import { ProgressCounts } from "./jobs/progress-counts.js";
-import { Intake } from "./jobs/submissions.js";
+import { JobRequests } from "./jobs/submissions.js";
 import { leaderStatus } from "./leader-status.js";
 import { LeaderTerm } from "./leader-term.js";
 import type { Heartbeat, HeartbeatReply } from "./messages/agents.js";
@@ -17,11 +17,11 @@
 import type { StoreEntry } from "./messages/store.js";
 import type { UserResponse } from "./messages/users.js";
 import type { Deployment } from "./model/deployment.js";
-import { Directory } from "./model/interner.js";
+import { NameRegistry } from "./model/interner.js";
 import { PeerTable } from "./peer-table.js";
-import { seeded } from "./random.js";
+import { seededRandom } from "./random.js";
 import { openJobsByTeam } from "./scheduling/team-load.js";
-import { ConfigView } from "./store/config-watch.js";
+import { ConfigWatch } from "./store/config-watch.js";
 import { FeatureGate } from "./store/feature-gate.js";
 import { KEYS, PROTOCOL } from "./store/records.js";
 
@@ -45,100 +45,106 @@
 
 /** The whole of a node without its inputs and outputs: commands and the time go in, effects come out. */
 export class Controller {
-  readonly directory = new Directory();
+  readonly names = new NameRegistry();
   readonly ctx: Context;
-  readonly view: ConfigView;
-  readonly leadership: Leadership;
-  readonly intake: Intake;
-  readonly gate: FeatureGate;
+  readonly config: ConfigWatch;
+  readonly election: Election;
+  readonly jobs: JobRequests;
+  readonly featureGate: FeatureGate;
   readonly #administration: Administration;
   leaderTerm: LeaderTerm | null = null;
   readonly #peers: PeerTable;
   readonly #progress = new ProgressCounts();
-  readonly #reports: ReportRouter;
-  readonly #succession: Succession;
+  readonly #reports: HeartbeatRouter;
+  readonly #succession: Failover;
   /** Null where fair admission is not switched on. */
   readonly #admission: Admission | null;
   #heartbeatAt = Number.NEGATIVE_INFINITY;
   #sweepAt = 0;
 
   constructor(deployment: Deployment, identity: Identity) {
-    this.ctx = new Context(deployment, this.directory, seeded(identity.seed), identity.epochMs);
+    this.ctx = new Context(deployment, this.names, seededRandom(identity.seed), identity.epochMs);
     this.#peers = new PeerTable(this.ctx);
-    this.ctx.fairTurns = identity.admission ?? false;
+    this.ctx.hasFairTurns = identity.admission ?? false;
     this.#admission = identity.admission ? new Admission(this.ctx, identity.incarnation) : null;
-    this.#succession = new Succession(this.ctx, this.#peers, identity.standbyBytes ?? 0);
-    this.view = new ConfigView(this.ctx, (key) => {
-      this.leadership.configChanged(key);
-      if (key === KEYS.modes) this.leaderTerm?.applyModes();
+    this.#succession = new Failover(this.ctx, this.#peers, identity.standbyBytes ?? 0);
+    this.config = new ConfigWatch(this.ctx, (key) => {
+      this.election.onConfigChanged(key);
+      if (key === KEYS.modes) this.leaderTerm?.applyMachineModes();
     });
-    this.leadership = new Leadership(this.ctx, this.view, identity.incarnation, {
-      elected: (term) => {
-        this.ctx.log("info", "elected", { token: term.token });
-        this.#succession.elected();
-        this.leaderTerm = new LeaderTerm(this.ctx, this.view, this.leadership, term, this.gate, (cold) =>
-          this.#succession.source(term.version, cold),
+    this.election = new Election(this.ctx, this.config, identity.incarnation, {
+      onElected: (term) => {
+        this.ctx.log("info", "elected", { token: term.fencingToken });
+        this.#succession.onElected();
+        this.leaderTerm = new LeaderTerm(
+          this.ctx,
+          this.config,
+          this.election,
+          term,
+          this.featureGate,
+          (cold) => this.#succession.source(term.leaderKeyVersion, cold),
         );
         this.#heartbeatAt = Number.NEGATIVE_INFINITY;
       },
-      deposed: (why) => {
+      onSteppedDown: (why) => {
         this.ctx.log("info", "no longer leader", { why });
         this.leaderTerm?.end();
         this.leaderTerm = null;
         this.#heartbeatAt = Number.NEGATIVE_INFINITY;
       },
-      alone: () => this.#peers.isAlone,
-      deferMs: () => this.#succession.deferMs(this.leaderName),
-      vacant: () => this.#succession.vacant(),
-      startsUnderWay: () => this.leaderTerm?.fleet.startsUnderWay() ?? false,
-      knownThrough: () => this.leaderTerm?.knownThrough ?? null,
+      isIsolated: () => this.#peers.isIsolated,
+      campaignDelayMs: () => this.#succession.campaignDelayMs(this.leaderName),
+      onLeaderKeyRemoved: () => this.#succession.onLeaderKeyRemoved(),
+      hasStartsInFlight: () => this.leaderTerm?.agents.hasStartsInFlight() ?? false,
+      cancellationsKnownThrough: () => this.leaderTerm?.cancellationsKnownThrough ?? null,
     });
-    this.#administration = new Administration(this.ctx, this.view, () => this.status());
-    this.#reports = new ReportRouter(this.ctx, {
-      leaderAnswer: (report) => this.#leaderAnswer(report),
+    this.#administration = new Administration(this.ctx, this.config, () => this.status());
+    this.#reports = new HeartbeatRouter(this.ctx, {
+      replyAsLeader: (report) => this.#leaderAnswer(report),
       isLeader: () => this.leaderTerm !== null,
-      leader: () => this.view.leader?.value.node ?? null,
-      isHeard: (node) => this.#peers.canReceive(node),
+      leader: () => this.config.leader?.value.node ?? null,
+      isReachablePeer: (node) => this.#peers.canReceive(node),
     });
-    this.gate = new FeatureGate(this.ctx, this.view, () => this.leadership.term);
+    this.featureGate = new FeatureGate(this.ctx, this.config, () => this.election.lease);
     const intakeEvents = {
-      learned: (item: StoreEntry, cancelled: boolean) => this.#learned(item, cancelled),
-      oldPeerHeard: () => !this.gate.isOpen && this.#peers.anyOld((node) => this.gate.isOld(node)),
-      counts: (uid: string) => this.leaderTerm?.counts(uid) ?? this.#progress.get(uid) ?? null,
+      onJobWritten: (item: StoreEntry, cancelled: boolean) => this.#learned(item, cancelled),
+      isOlderPeerAlive: () =>
+        !this.featureGate.isOpen && this.#peers.isAnyOlderAlive((node) => this.featureGate.isOlderPeer(node)),
+      progressOf: (uid: string) => this.leaderTerm?.progressOf(uid) ?? this.#progress.get(uid) ?? null,
     };
-    this.intake = new Intake(this.ctx, this.view, intakeEvents, this.#admission);
+    this.jobs = new JobRequests(this.ctx, this.config, intakeEvents, this.#admission);
   }
 
   /** Can this node take requests? Not while it alone is refused by the state service; in a common outage, yes. */
   get ready(): boolean {
-    if (!this.view.loaded || this.view.types.length === 0) return false;
-    const since = this.ctx.stateFailingSince;
+    if (!this.config.isLoaded || this.config.machineTypes.length === 0) return false;
+    const since = this.ctx.storeFailingSince;
     if (since === null || this.ctx.now - since < UNREADY_AFTER_MS) return true;
     // Without the state service and without peers it is likely this node that is cut off.
-    return !this.#peers.isAlone && !this.#peers.anyServed;
+    return !this.#peers.isIsolated && !this.#peers.isStoreReachableByAny;
   }
 
   /** For the metrics: the standby, and the steps of this node's last takeover. */
-  get succession(): { readonly standby: StandbyReport | null; readonly takeover: Takeover } {
-    const { takeover } = this.#succession;
-    return { standby: this.#succession.standbyReport(this.view.revision), takeover };
+  get failover(): { readonly standby: StandbyReport | null; readonly takeover: FailoverTimeline } {
+    const { timeline: takeover } = this.#succession;
+    return { standby: this.#succession.standbyReport(this.config.revision), takeover };
   }
 
   get leaderName(): string | null {
     if (this.leaderTerm) return this.ctx.deployment.node;
-    return this.view.leader?.value.node ?? null;
+    return this.config.leader?.value.node ?? null;
   }
 
-  handle(batch: readonly Command[], now: number, budget: Budget): Effect[] {
+  handle(batch: readonly Command[], now: number, budget: TimeBudget): Effect[] {
     this.ctx.now = now;
-    this.directory.turn();
+    this.names.beginBatch();
     for (const command of batch) this.#guard(() => this.#one(command, budget));
     this.#guard(() => {
-      this.#reports.answerWaiting();
-      this.leaderTerm?.settle(budget);
+      this.#reports.retryWaiting();
+      this.leaderTerm?.finishBatch(budget);
     });
     const effects = this.ctx.takeEffects();
-    if (this.leaderTerm) this.#succession.noteEffects(effects, this.leaderTerm.fleet.loaded);
+    if (this.leaderTerm) this.#succession.noteEffects(effects, this.leaderTerm.agents.areRecordsLoaded);
     return effects;
   }
 
@@ -152,23 +158,23 @@
       run();
     } catch (error) {
       this.ctx.log("error", "fault in the core", { error: (error as Error).stack });
-      this.leadership.stepDown("a fault in the core");
+      this.election.stepDown("a fault in the core");
     }
   }
 
-  #one(command: Command, budget: Budget): void {
+  #one(command: Command, budget: TimeBudget): void {
     switch (command.kind) {
       case "tick":
         this.#tick(budget);
         break;
       case "submit":
-        this.intake.submit(command.uid, command.spec, (answer) => this.#respond(command.requestId, answer));
+        this.jobs.submit(command.uid, command.spec, (answer) => this.#respond(command.requestId, answer));
         break;
       case "poll":
-        this.intake.poll(command.uid, (answer) => this.#respond(command.requestId, answer));
+        this.jobs.poll(command.uid, (answer) => this.#respond(command.requestId, answer));
         break;
       case "cancel":
-        this.intake.cancel(command.uid, (answer) => this.#respond(command.requestId, answer));
+        this.jobs.cancel(command.uid, (answer) => this.#respond(command.requestId, answer));
         break;
       case "administer":
         this.#administration.handle(command.request, (answer) => {
@@ -176,16 +182,16 @@
         });
         break;
       case "heartbeat":
-        this.#reports.take(command.requestId, command.heartbeat, command.body);
+        this.#reports.route(command.requestId, command.heartbeat, command.body);
         break;
       case "agentReplied":
-        this.leaderTerm?.fleet.doAnswered(command.id, command.heartbeat, command.executed);
+        this.leaderTerm?.agents.onCommandReply(command.id, command.heartbeat, command.executed);
         break;
       case "storeResponded":
-        this.ctx.stateAnswered(command.id, command.response);
+        this.ctx.onStoreResponse(command.id, command.response);
         break;
       case "cloudResponded":
-        this.ctx.cloudAnswered(command.id, command.response);
+        this.ctx.onCloudResponse(command.id, command.response);
         break;
       case "peerMessage":
         this.#peerSaid(command.from, command.message);
@@ -196,7 +202,7 @@
         break;
       }
       case "peerLinkChanged":
-        this.#peers.link(command.node, command.up);
+        this.#peers.onLinkChanged(command.node, command.up);
         break;
       default:
         command satisfies never;
@@ -207,26 +213,29 @@
     this.ctx.emit({ kind: "respondToUser", requestId, response });
   }
 
-  #tick(budget: Budget): void {
-    this.view.tick();
-    this.intake.comparePolls();
-    this.intake.answerRefused();
-    this.leadership.tick();
+  #tick(budget: TimeBudget): void {
+    this.config.tick();
+    this.jobs.flushPolls();
+    this.jobs.flushRejections();
+    this.election.tick();
     this.leaderTerm?.tick(budget);
     this.#succession.tick(this.leaderName);
     const { now } = this.ctx;
-    if (this.leaderTerm && !this.gate.isOpen) this.gate.tick();
+    if (this.leaderTerm && !this.featureGate.isOpen) this.featureGate.tick();
     if (now - this.#heartbeatAt >= HEARTBEAT_MS) {
       this.#mayHandOver();
       this.#sendHeartbeat();
     }
     if (now - this.#sweepAt >= SWEEP_MS) {
       this.#sweepAt = now;
-      const used = this.leaderTerm?.inUse() ?? { jobs: new Set<number>(), machines: new Set<number>() };
-      this.#reports.addInUse(used);
-      this.directory.jobs.sweep(used.jobs);
-      this.directory.machines.sweep(used.machines);
-      this.#reports.forgetAllBut(used.machines);
+      const used = this.leaderTerm?.indicesInUse() ?? {
+        jobs: new Set<number>(),
+        machines: new Set<number>(),
+      };
+      this.#reports.collectIndices(used);
+      this.names.jobs.reclaim(used.jobs);
+      this.names.machines.reclaim(used.machines);
+      this.#reports.retainMachines(used.machines);
     }
   }
 
@@ -239,17 +248,19 @@
     if (!this.leaderTerm) return;
     const { now, deployment } = this.ctx;
     const quietMs = deployment.heartbeatIntervalS * CUT_OFF_REPORTS * 1000;
-    const machines = [...this.leaderTerm.tables.machines.values()].filter((m) => m.phase === "up" && !m.lost);
-    const heard = machines.filter((m) => Number.isFinite(m.heardAt));
+    const machines = [...this.leaderTerm.cluster.machines.values()].filter(
+      (m) => m.phase === "up" && !m.isLeaseExpired,
+    );
+    const heard = machines.filter((m) => Number.isFinite(m.heartbeatAt));
     if (heard.length < CUT_OFF_MACHINES) return;
     // The other direction: where most don't hear, it is this node that can't send.
     if (heard.filter((m) => m.unreachableSince !== null).length > heard.length / 2) {
-      this.leadership.handOver("workers can't be reached from this node");
+      this.election.resign("workers can't be reached from this node");
       return;
     }
-    if (heard.some((m) => now - m.heardAt < quietMs)) return;
-    if (this.#peers.anyHearsWorkers || this.#peers.isAlone)
-      this.leadership.handOver("no worker is heard here");
+    if (heard.some((m) => now - m.heartbeatAt < quietMs)) return;
+    if (this.#peers.areAgentsHeardByAny || this.#peers.isIsolated)
+      this.election.resign("no worker is heard here");
   }
 
   #sendHeartbeat(): void {
@@ -257,10 +268,10 @@
     this.#tickAdmission();
     const message: PeerMessage = {
       kind: "heartbeat",
-      fencingToken: this.leadership.term?.token ?? this.leadership.highestSeen,
+      fencingToken: this.election.lease?.fencingToken ?? this.election.highestTokenSeen,
       leader: this.leaderTerm ? this.ctx.deployment.node : null,
-      storeHealthy: this.ctx.stateFailingSince === null && this.view.loaded,
-      agentsHeard: this.#reports.workersHeard(),
+      storeHealthy: this.ctx.storeFailingSince === null && this.config.isLoaded,
+      agentsHeard: this.#reports.countAgentsHeard(),
       protocol: PROTOCOL,
       standby: this.#succession.warmth,
     };
@@ -273,9 +284,9 @@
   /** Only a leader that may decide issues slices, and only once it knows what is accepted. */
   #tickAdmission(): void {
     const term = this.leaderTerm;
-    const mayIssue = term?.fleet.loaded === true && this.leadership.confirmed;
-    const openJobs = () => openJobsByTeam(term?.tables.jobs.values() ?? []);
-    this.#admission?.tick(this.leaderName, mayIssue ? term.term.firstToken : null, { openJobs });
+    const mayIssue = term?.agents.areRecordsLoaded === true && this.election.hasValidLease;
+    const openJobs = () => openJobsByTeam(term?.cluster.jobs.values() ?? []);
+    this.#admission?.tick(this.leaderName, mayIssue ? term.lease.firstFencingToken : null, { openJobs });
   }
 
   /** For the metrics; null where fair admission is not switched on. */
@@ -287,14 +298,14 @@
     if (!this.#peers.has(from)) return;
     switch (message.kind) {
       case "heartbeat":
-        this.#peers.heard(from, message);
+        this.#peers.onHeartbeat(from, message);
         this.#admission?.heard(from, message.admission);
-        this.gate.peerSpeaks(from, message.protocol);
-        this.leadership.sawToken(message.fencingToken);
-        this.leadership.peerShows(from, message.fencingToken);
+        this.featureGate.observePeerProtocol(from, message.protocol);
+        this.election.observeToken(message.fencingToken);
+        this.election.observePeerToken(from, message.fencingToken);
         break;
       case "jobRecord":
-        this.leaderTerm?.learnJob(message.entry);
+        this.leaderTerm?.applyJobRecord(message.entry);
         break;
       case "progress":
         this.#progress.note(message.rows);
@@ -309,7 +320,7 @@
 
   #learned(item: StoreEntry, cancelled: boolean): void {
     if (this.leaderTerm) {
-      this.leaderTerm.learnJob(item);
+      this.leaderTerm.applyJobRecord(item);
       return;
     }
     const leader = this.leaderName;
@@ -325,9 +336,9 @@
   /** Only the leader's answers carry a token; null if this node may not answer. */
   #leaderAnswer(report: Heartbeat): HeartbeatReply | null {
     const { leaderTerm } = this;
-    if (!leaderTerm || !this.leadership.mayAnswer) return null;
-    const answer = leaderTerm.report(report);
-    return leaderTerm.over ? null : answer;
+    if (!leaderTerm || !this.election.mayReplyToAgents) return null;
+    const answer = leaderTerm.handleHeartbeat(report);
+    return leaderTerm.hasEnded ? null : answer;
   }
 
   status(): Record<string, unknown> {
@@ -337,15 +348,15 @@
       leader: this.leaderName,
       ready: this.ready,
       leading: leaderTerm !== null,
-      peers: this.#peers.report(),
+      peers: this.#peers.status(),
     };
     const admission = this.#admission?.status();
     const status = {
       ...base,
-      ...this.#succession.status(this.view.revision),
+      ...this.#succession.status(this.config.revision),
       ...(admission ? { admission } : {}),
     };
-    const { confirmed } = this.leadership;
-    return leaderTerm ? { ...status, ...leaderStatus(leaderTerm, confirmed, this.view.layout) } : status;
+    const { hasValidLease: confirmed } = this.election;
+    return leaderTerm ? { ...status, ...leaderStatus(leaderTerm, confirmed, this.config.layout) } : status;
   }
 }
--- a/src/core/election/leader-lease.ts
+++ b/src/core/election/leader-lease.ts
@@ -1,32 +1,32 @@
-import type { WindowFacts } from "./lease-renewal-policy.js";
+import type { RenewalFacts } from "./lease-renewal-policy.js";
 
-export type LeadershipState =
+export type ElectionState =
   | { readonly kind: "follower" }
   | { readonly kind: "candidate"; readonly since: number }
-  | { readonly kind: "leader"; readonly term: Term };
+  | { readonly kind: "leader"; readonly term: LeaderLease };
 
 /** The facts of one time in office. */
-export interface Term {
-  readonly grant: number;
+export interface LeaderLease {
+  readonly leaseId: number;
   /** Raised now and then by the leader itself; everything sent carries it. */
-  token: number;
-  readonly firstToken: number;
+  fencingToken: number;
+  readonly firstFencingToken: number;
   /** The version of the leader key: every transaction of this leader depends on it. */
-  readonly version: number;
-  epochVersion: number;
-  readonly since: number;
-  confirmedUntil: number;
+  readonly leaderKeyVersion: number;
+  epochKeyVersion: number;
+  readonly electedAt: number;
+  validUntil: number;
   /** No leader before this one answers workers after this time. */
-  formerUntil: number;
+  previousLeaderUntil: number;
 }
 
 /** What leadership asks of its node, and tells it. */
-export interface LeadershipEvents extends WindowFacts {
-  elected(term: Term): void;
-  deposed(why: string): void;
-  startsUnderWay(): boolean;
+export interface ElectionEvents extends RenewalFacts {
+  onElected(term: LeaderLease): void;
+  onSteppedDown(why: string): void;
+  hasStartsInFlight(): boolean;
   /** How long this node leaves it to others to stand, once the leader is gone. */
-  deferMs(): number;
+  campaignDelayMs(): number;
   /** The leader's key is gone, for all that this node knows. */
-  vacant(): void;
+  onLeaderKeyRemoved(): void;
 }
--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { Tables } from "../model/cluster-state.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
 import { type FinalRecord, KEYS, readFinal } from "../store/records.js";
 
@@ -11,13 +11,13 @@
 const ENDS_KEPT = 5000;
 
 /** How a job ended, by its final record. */
-export type End = Pick<FinalRecord, "state" | "at">;
+export type JobEnd = Pick<FinalRecord, "state" | "at">;
 
-export interface PipelineEvents {
+export interface DependencyEvents {
   /** Every job that this one needs is on record as done. */
-  released(job: Job): void;
+  onDependenciesSatisfied(job: Job): void;
   /** A job that this one needs is on record as cancelled. */
-  cancelled(job: Job): void;
+  onDependencyCancelled(job: Job): void;
 }
 
 /**
@@ -25,20 +25,20 @@
  * any of them; priority and deadline of the last jobs reach those before them. The graph has no cycles: a job names
  * only jobs accepted before it, and its dependencies never change.
  */
-export class Pipelines {
+export class DependencyGraph {
   readonly #ctx: Context;
-  readonly #tables: Tables;
-  readonly #events: PipelineEvents;
+  readonly #tables: ClusterState;
+  readonly #events: DependencyEvents;
   /** The unfinished jobs that name a job, by its id, which may be unfinished, over, or not learned of yet. */
   readonly #dependents = new Map<string, Set<Job>>();
   /** What each waiting job still needs. */
   readonly #open = new Map<Job, Set<string>>();
-  readonly #ends = new Map<string, End>();
+  readonly #ends = new Map<string, JobEnd>();
   /** Jobs that are neither known as unfinished nor as over, and when their final record is to be read. */
   readonly #unknown = new Map<string, number>();
   #reading = 0;
 
-  constructor(ctx: Context, tables: Tables, events: PipelineEvents) {
+  constructor(ctx: Context, tables: ClusterState, events: DependencyEvents) {
     this.#ctx = ctx;
     this.#tables = tables;
     this.#events = events;
@@ -47,7 +47,7 @@
   /** Takes in an unfinished job, whether or not it waits for others: others may wait for it. */
   add(job: Job): void {
     this.#unknown.delete(job.uid);
-    job.dependents = this.#dependents.get(job.uid)?.size ?? 0;
+    job.dependentCount = this.#dependents.get(job.uid)?.size ?? 0;
     const needs = job.spec.awaits ?? [];
     if (needs.length > 0) this.#open.set(job, new Set(needs));
     for (const uid of needs) this.#wait(job, uid);
@@ -65,7 +65,7 @@
     waiting.add(job);
     const needed = this.#tables.jobByUid(uid);
     if (needed) {
-      needed.dependents = waiting.size;
+      needed.dependentCount = waiting.size;
       this.#inherit(needed);
     }
   }
@@ -74,17 +74,17 @@
     const needed = this.#tables.jobByUid(uid);
     const end = this.#ends.get(uid);
     if (end) this.#settle(uid, end);
-    else if (needed?.state === "cancelled") this.cancelled(needed);
+    else if (needed?.state === "cancelled") this.onJobCancelled(needed);
     else if (!needed) this.#unknown.set(uid, this.#ctx.now);
   }
 
   /** A job whose tasks have begun had been released: an earlier leader knew. */
-  begun(job: Job): void {
-    job.released = true;
+  onJobBegun(job: Job): void {
+    job.dependenciesSatisfied = true;
   }
 
   /** The job is on record as over. */
-  ended(job: Job, end: End): void {
+  onJobEnded(job: Job, end: JobEnd): void {
     this.#ends.delete(job.uid);
     this.#ends.set(job.uid, end);
     if (this.#ends.size > ENDS_KEPT) {
@@ -96,36 +96,37 @@
   }
 
   /** True if the job has lately been learned to be over. */
-  isOver(uid: string): boolean {
+  isKnownEnded(uid: string): boolean {
     return this.#ends.has(uid);
   }
 
   /** The job is on record as cancelled, or needs one that is: so are all that need it. */
-  cancelled(job: Job): void {
-    for (const dependent of [...(this.#dependents.get(job.uid) ?? [])]) this.#events.cancelled(dependent);
+  onJobCancelled(job: Job): void {
+    for (const dependent of [...(this.#dependents.get(job.uid) ?? [])])
+      this.#events.onDependencyCancelled(dependent);
     // What it passed on to those before it goes with it.
     this.#leave(job);
   }
 
-  #settle(uid: string, { state, at }: End): void {
+  #settle(uid: string, { state, at }: JobEnd): void {
     this.#unknown.delete(uid);
     for (const job of [...(this.#dependents.get(uid) ?? [])]) {
-      if (state === "cancelled") this.#events.cancelled(job);
+      if (state === "cancelled") this.#events.onDependencyCancelled(job);
       else this.#done(job, uid, at ?? 0);
     }
     this.#dependents.delete(uid);
   }
 
   #done(job: Job, uid: string, at: number): void {
-    job.since = Math.max(job.since, at);
+    job.queuedSince = Math.max(job.queuedSince, at);
     const open = this.#open.get(job);
     open?.delete(uid);
     if (!open || open.size > 0) return;
     this.#open.delete(job);
     if (job.state !== "active") return;
-    const waited = !job.released;
-    job.released = true;
-    if (waited) this.#events.released(job);
+    const waited = !job.dependenciesSatisfied;
+    job.dependenciesSatisfied = true;
+    if (waited) this.#events.onDependenciesSatisfied(job);
   }
 
   /** The job waits no longer, for whatever reason. */
@@ -140,7 +141,7 @@
       }
       const needed = this.#tables.jobByUid(uid);
       if (!needed) continue;
-      needed.dependents = waiting.size;
+      needed.dependentCount = waiting.size;
       this.#inherit(needed);
     }
   }
@@ -152,14 +153,14 @@
     let dueAt = spec.deadlineS === null ? null : acceptedAt + spec.deadlineS * 1000;
     for (const dependent of this.#dependents.get(job.uid) ?? []) {
       if (dependent.state !== "active") continue;
-      if (dependent.priority > priority) priority = dependent.priority;
-      if (dependent.dueAt === null) continue;
-      const latest = dependent.dueAt - this.#ctx.estimates.of(dependent.spec) * 1000;
+      if (dependent.effectivePriority > priority) priority = dependent.effectivePriority;
+      if (dependent.effectiveDeadlineAt === null) continue;
+      const latest = dependent.effectiveDeadlineAt - this.#ctx.estimates.estimateS(dependent.spec) * 1000;
       dueAt = dueAt === null ? latest : Math.min(dueAt, latest);
     }
-    if (priority === job.priority && dueAt === job.dueAt) return;
-    job.priority = priority;
-    job.dueAt = dueAt;
+    if (priority === job.effectivePriority && dueAt === job.effectiveDeadlineAt) return;
+    job.effectivePriority = priority;
+    job.effectiveDeadlineAt = dueAt;
     for (const uid of spec.awaits ?? []) {
       const needed = this.#tables.jobByUid(uid);
       if (needed) this.#inherit(needed);
@@ -167,7 +168,7 @@
   }
 
   /** What a waiting job still needs, for the operators. */
-  waitsFor(job: Job): readonly string[] {
+  unmetDependencies(job: Job): readonly string[] {
     return [...(this.#open.get(job) ?? [])];
   }
 
@@ -185,7 +186,7 @@
   #read(uid: string): void {
     this.#reading++;
     this.#unknown.set(uid, Number.POSITIVE_INFINITY);
-    this.#ctx.state({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (answer) => {
+    this.#ctx.callStore({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (answer) => {
       this.#reading--;
       if (!this.#unknown.has(uid)) return;
       const end = answer.kind === "found" ? readFinal(answer.entry.value) : null;
--- a/src/core/jobs/job-lookup.ts
+++ b/src/core/jobs/job-lookup.ts
@@ -86,7 +86,7 @@
    * so whoever finds neither, in this order, has proof that it was never accepted.
    */
   find(uid: string, then: (found: Found) => void): void {
-    this.#ctx.state({ kind: "get", key: KEYS.job(uid) }, CALL_MS, (answer) => {
+    this.#ctx.callStore({ kind: "get", key: KEYS.job(uid) }, CALL_MS, (answer) => {
       if (answer.kind === "found") {
         const record = readJob(answer.entry.value);
         if (record) this.note(uid, answer.entry.version, record);
@@ -100,7 +100,7 @@
   }
 
   #findFinal(uid: string, then: (found: Found) => void): void {
-    this.#ctx.state({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (final) => {
+    this.#ctx.callStore({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (final) => {
       if (final.kind === "notFound") then({ kind: "notFound" });
       else if (final.kind !== "found") then(null);
       else then(this.#remember(uid, final.entry));
--- a/src/core/jobs/progress-publisher.ts
+++ b/src/core/jobs/progress-publisher.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { Tables } from "../model/cluster-state.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
 
 const INTERVAL_MS = 1000;
@@ -7,14 +7,14 @@
 type Row = readonly [uid: string, done: number, running: number];
 
 /** Tells the other nodes how far jobs are, for display: what has changed, once a second. */
-export class ProgressReports {
+export class ProgressPublisher {
   readonly #ctx: Context;
-  readonly #tables: Tables;
+  readonly #tables: ClusterState;
   /** What was last told of each job. */
   readonly #told = new Map<string, { readonly done: number; readonly running: number }>();
   #sentAt = 0;
 
-  constructor(ctx: Context, tables: Tables) {
+  constructor(ctx: Context, tables: ClusterState) {
     this.#ctx = ctx;
     this.#tables = tables;
   }
@@ -36,7 +36,7 @@
   #changed(): Row[] {
     const rows: Row[] = [];
     for (const job of this.#tables.jobs.values()) {
-      const [done, running] = [job.doneCount, job.running()];
+      const [done, running] = [job.doneCount, job.countRunning()];
       const told = this.#told.get(job.uid);
       if (told?.done === done && told.running === running) continue;
       this.#told.set(job.uid, { done, running });
--- a/src/core/jobs/rejection-batch.ts
+++ b/src/core/jobs/rejection-batch.ts
@@ -7,36 +7,36 @@
 const CONDITIONS_EACH = 2;
 
 /** A submission that is turned away, unless its job is known already. */
-export interface Refused {
+export interface Rejection {
   readonly uid: string;
-  readonly refusal: UserResponse;
-  readonly answer: (answer: UserResponse) => void;
+  readonly response: UserResponse;
+  readonly respond: (answer: UserResponse) => void;
 }
 
-export interface RefusalEvents {
+export interface RejectionEvents {
   /** The job may be known: what is on record decides. */
-  mayBeKnown(refused: Refused): void;
+  onPossiblyKnown(refused: Rejection): void;
   /** The state service could not be asked. */
-  unanswered(refused: Refused): void;
+  onStoreUnavailable(refused: Rejection): void;
 }
 
 /**
  * Turns submissions away, many with one comparison: under overload a read or two for each would cost the state service
  * more than accepting them.
  */
-export class Refusals {
+export class RejectionBatch {
   readonly #ctx: Context;
-  readonly #events: RefusalEvents;
-  #gathered: Refused[] = [];
+  readonly #events: RejectionEvents;
+  #gathered: Rejection[] = [];
 
-  constructor(ctx: Context, events: RefusalEvents) {
+  constructor(ctx: Context, events: RejectionEvents) {
     this.#ctx = ctx;
     this.#events = events;
   }
 
-  add(refused: Refused): void {
+  add(refused: Rejection): void {
     this.#gathered.push(refused);
-    if (this.#gathered.length >= this.#most) this.compare();
+    if (this.#gathered.length >= this.#most) this.flush();
   }
 
   get #most(): number {
@@ -44,7 +44,7 @@
   }
 
   /** Those whose jobs have neither key were never accepted. */
-  compare(): void {
+  flush(): void {
     const refused = this.#gathered;
     this.#gathered = [];
     if (refused.length === 0) return;
@@ -52,12 +52,13 @@
       { key: KEYS.job(uid), version: 0 },
       { key: KEYS.final(uid), version: 0 },
     ]);
-    this.#ctx.state({ kind: "transaction", conditions, changes: [] }, CALL_MS, (result) => {
+    this.#ctx.callStore({ kind: "transaction", conditions, changes: [] }, CALL_MS, (result) => {
       const found = new Set(result.kind === "conflict" ? result.failed : []);
       for (const one of refused) {
-        if (result.kind !== "ok" && result.kind !== "conflict") this.#events.unanswered(one);
-        else if (found.has(KEYS.job(one.uid)) || found.has(KEYS.final(one.uid))) this.#events.mayBeKnown(one);
-        else one.answer(one.refusal);
+        if (result.kind !== "ok" && result.kind !== "conflict") this.#events.onStoreUnavailable(one);
+        else if (found.has(KEYS.job(one.uid)) || found.has(KEYS.final(one.uid)))
+          this.#events.onPossiblyKnown(one);
+        else one.respond(one.response);
       }
     });
   }
--- a/src/core/jobs/submissions.ts
+++ b/src/core/jobs/submissions.ts
@@ -3,23 +3,23 @@
 import type { StoreEntry, VersionCondition } from "../messages/store.js";
 import type { JobStatus, UserResponse } from "../messages/users.js";
 import type { JobSpec } from "../model/job-spec.js";
-import { suitsType } from "../model/machine.js";
+import { fitsMachineType } from "../model/machine.js";
 import { times } from "../model/resources.js";
-import type { ConfigView } from "../store/config-watch.js";
+import type { ConfigWatch } from "../store/config-watch.js";
 import { cancelledRecord, fitsRecord, type JobRecord, KEYS, newJobRecord } from "../store/records.js";
 import { type Found, JobLookup, viewOfEnd } from "./job-lookup.js";
-import { Refusals } from "./rejection-batch.js";
+import { RejectionBatch } from "./rejection-batch.js";
 
 const CALL_MS = 1500;
 const TRIES = 4;
 
-export interface IntakeEvents {
+export interface JobRequestEvents {
   /** This node has written a job's key: accepted it, or cancelled it. */
-  learned(item: StoreEntry, cancelled: boolean): void;
+  onJobWritten(item: StoreEntry, cancelled: boolean): void;
   /** True while a node that knows nothing of jobs that wait for others may lead. */
-  oldPeerHeard(): boolean;
+  isOlderPeerAlive(): boolean;
   /** Counts for display. */
-  counts(uid: string): { done: number; running: number } | null;
+  progressOf(uid: string): { done: number; running: number } | null;
 }
 
 type Answer = (answer: UserResponse) => void;
@@ -42,26 +42,27 @@
  * Users' requests, on every node, whoever leads. Each answer rests on the state service: what was
  * accepted, done or cancelled is durable before it is said, and what is read is never older.
  */
-export class Intake {
+export class JobRequests {
   readonly #ctx: Context;
-  readonly #view: ConfigView;
-  readonly #events: IntakeEvents;
+  readonly #view: ConfigWatch;
+  readonly #events: JobRequestEvents;
   readonly #lookup: JobLookup;
   /** Null where fair admission is not switched on. */
   readonly #admission: Admission | null;
-  readonly #refusals: Refusals;
+  readonly #refusals: RejectionBatch;
   /** Polls of unfinished jobs that wait to be answered together. */
   #gathered: Poll[] = [];
 
-  constructor(ctx: Context, view: ConfigView, events: IntakeEvents, admission: Admission | null) {
+  constructor(ctx: Context, view: ConfigWatch, events: JobRequestEvents, admission: Admission | null) {
     this.#ctx = ctx;
     this.#view = view;
     this.#events = events;
     this.#admission = admission;
     this.#lookup = new JobLookup(ctx);
-    this.#refusals = new Refusals(ctx, {
-      mayBeKnown: ({ uid, refusal, answer }) => this.#refuseUnlessKnown(uid, refusal, answer),
-      unanswered: ({ answer }) => answer(later(UNANSWERED)),
+    this.#refusals = new RejectionBatch(ctx, {
+      onPossiblyKnown: ({ uid, response: refusal, respond: answer }) =>
+        this.#refuseUnlessKnown(uid, refusal, answer),
+      onStoreUnavailable: ({ respond: answer }) => answer(unavailable(UNANSWERED)),
     });
   }
 
@@ -92,18 +93,18 @@
     }
     const error = `the share of ${spec.team} is used up for now`;
     const refusal: Refusal = { kind: "throttled", error, retryAfterS: decision.afterS };
-    this.#refusals.add({ uid: spec.uid, refusal, answer });
+    this.#refusals.add({ uid: spec.uid, response: refusal, respond: answer });
   }
 
   /** Answers those that were turned away since the last tick. */
-  answerRefused(): void {
-    this.#refusals.compare();
+  flushRejections(): void {
+    this.#refusals.flush();
   }
 
   /** A known job is never turned away, whatever its repeated submission looks like now. */
   #refuseUnlessKnown(uid: string, refusal: UserResponse, answer: Answer): void {
     this.#lookup.find(uid, (found) => {
-      if (found === null) answer(later(UNANSWERED));
+      if (found === null) answer(unavailable(UNANSWERED));
       else if (found.kind === "notFound") answer(refusal);
       else this.#acceptedAlready(uid, found, answer);
     });
@@ -111,7 +112,7 @@
 
   #acceptedAlready(uid: string, found: Exclude<Found, null | { kind: "notFound" }>, answer: Answer): void {
     this.#readView(uid, found, (view) => {
-      answer(view ? { kind: "accepted", known: true, status: view } : later(UNANSWERED));
+      answer(view ? { kind: "accepted", known: true, status: view } : unavailable(UNANSWERED));
     });
   }
 
@@ -123,24 +124,24 @@
       { key: KEYS.final(uid), version: 0 },
     ];
     const changes = [{ put: KEYS.job(uid), value: record }];
-    this.#ctx.state({ kind: "transaction", conditions, changes }, CALL_MS, (result) => {
+    this.#ctx.callStore({ kind: "transaction", conditions, changes }, CALL_MS, (result) => {
       // Without an answer it may have been accepted.
       if (taken && result.kind !== "ok" && result.kind !== "timeout")
         this.#admission?.notAccepted(spec.team, taken.spent);
       if (result.kind === "ok") {
         this.#lookup.note(uid, result.revision, record);
-        this.#events.learned({ key: KEYS.job(uid), value: record, version: result.revision }, false);
+        this.#events.onJobWritten({ key: KEYS.job(uid), value: record, version: result.revision }, false);
         const cancelled = this.#lookup.basis(uid).kind === "cancelled";
         answer({ kind: "accepted", known: false, status: this.#viewOf(uid, cancelled) });
       } else if (result.kind === "conflict") {
         this.#lookup.find(uid, (found) => {
-          if (found === null || found.kind === "notFound") answer(later(UNANSWERED));
+          if (found === null || found.kind === "notFound") answer(unavailable(UNANSWERED));
           else this.#acceptedAlready(uid, found, answer);
         });
       } else if (result.kind === "invalid") {
         this.#refuseUnlessKnown(uid, tooLarge(), answer);
       } else {
-        answer(later(UNANSWERED));
+        answer(unavailable(UNANSWERED));
       }
     });
   }
@@ -149,16 +150,16 @@
   #refusal(spec: JobSpec, then: (refusal: Refusal | null) => void): void {
     const refusal = this.#misfit(spec);
     if (refusal || !spec.awaits) then(refusal);
-    else if (this.#events.oldPeerHeard()) then(later("a node is yet to be upgraded"));
+    else if (this.#events.isOlderPeerAlive()) then(unavailable("a node is yet to be upgraded"));
     else this.#refusalOfNeeds(spec.awaits, then);
   }
 
   #misfit(spec: JobSpec): Refusal | null {
     const team = this.#ctx.deployment.teams.find((t) => t.name === spec.team);
     if (!team) return { kind: "unsatisfiable", error: `crew: there is no team ${spec.team}` };
-    if (this.#view.types.length === 0) return later("the machine types are not known yet");
-    const suits = this.#view.types.some(
-      (type) => suitsType(spec, type) && (spec.zone === null || type.zones.includes(spec.zone)),
+    if (this.#view.machineTypes.length === 0) return unavailable("the machine types are not known yet");
+    const suits = this.#view.machineTypes.some(
+      (type) => fitsMachineType(spec, type) && (spec.zone === null || type.zones.includes(spec.zone)),
     );
     if (!suits) return { kind: "unsatisfiable", error: "racks: a task fits no allowed machine type" };
     const atOnce = spec.shape === "array" ? 1 : spec.tasks;
@@ -182,7 +183,7 @@
     if (waiting === 0) decide();
     for (const uid of unread) {
       this.#lookup.find(uid, (found) => {
-        if (found === null) refusal ??= later(UNANSWERED);
+        if (found === null) refusal ??= unavailable(UNANSWERED);
         else if (found.kind === "notFound")
           refusal = { kind: "unsatisfiable", error: `awaits: there is no job ${uid}` };
         if (--waiting === 0) decide();
@@ -195,7 +196,7 @@
   poll(uid: string, answer: Answer): void {
     if (this.#answerFromMemory(uid, answer)) return;
     this.#gathered.push({ uid, answer });
-    if (this.#gathered.length >= this.#mostConditions) this.comparePolls();
+    if (this.#gathered.length >= this.#mostConditions) this.flushPolls();
   }
 
   /** What never changes is answered without asking, and what this node has not read is read. */
@@ -216,7 +217,7 @@
    * are still those that this node has read, no node can have told anything newer. One read for each poll took half of
    * the state service's requests.
    */
-  comparePolls(): void {
+  flushPolls(): void {
     const polls = this.#gathered;
     this.#gathered = [];
     let together: ComparedPoll[] = [];
@@ -243,11 +244,11 @@
 
   #compare(polls: readonly ComparedPoll[], versions: ReadonlyMap<string, number>): void {
     const conditions = [...versions].map(([key, version]) => ({ key, version }));
-    this.#ctx.state({ kind: "transaction", conditions, changes: [] }, CALL_MS, (result) => {
+    this.#ctx.callStore({ kind: "transaction", conditions, changes: [] }, CALL_MS, (result) => {
       const failed = new Set(result.kind === "conflict" ? result.failed : []);
       for (const { uid, answer, conditions: needed } of polls) {
         const holds = !needed.some(({ key }) => failed.has(key));
-        if (result.kind !== "ok" && result.kind !== "conflict") answer(later(UNANSWERED));
+        if (result.kind !== "ok" && result.kind !== "conflict") answer(unavailable(UNANSWERED));
         else if (holds) answer({ kind: "status", status: this.#viewOf(uid, false) });
         else this.#read(uid, answer);
       }
@@ -256,11 +257,11 @@
 
   #read(uid: string, answer: Answer): void {
     this.#lookup.find(uid, (found) => {
-      if (found === null) answer(later(UNANSWERED));
+      if (found === null) answer(unavailable(UNANSWERED));
       else if (found.kind === "notFound") answer({ kind: "notFound" });
       else {
         this.#readView(uid, found, (view) => {
-          answer(view ? { kind: "status", status: view } : later(UNANSWERED));
+          answer(view ? { kind: "status", status: view } : unavailable(UNANSWERED));
         });
       }
     });
@@ -270,7 +271,7 @@
 
   cancel(uid: string, answer: Answer, tries = TRIES): void {
     this.#lookup.find(uid, (found) => {
-      if (found === null) answer(later(UNANSWERED));
+      if (found === null) answer(unavailable(UNANSWERED));
       else if (found.kind === "notFound") answer({ kind: "notFound" });
       else if (found.kind === "over") answer({ kind: "status", status: viewOfEnd(uid, found.end) });
       else if (found.record.state === "cancelled")
@@ -289,13 +290,13 @@
   ): void {
     const value = cancelledRecord(record, valueBytes);
     const conditions = [{ key: item.key, version: item.version }];
-    this.#ctx.state(
+    this.#ctx.callStore(
       { kind: "transaction", conditions, changes: [{ put: item.key, value }] },
       CALL_MS,
       (result) => {
         if (result.kind === "ok") {
           this.#lookup.note(uid, result.revision, value);
-          this.#events.learned({ key: item.key, value, version: result.revision }, true);
+          this.#events.onJobWritten({ key: item.key, value, version: result.revision }, true);
           answer({ kind: "status", status: this.#viewOf(uid, true) });
         } else if (result.kind === "conflict" && tries > 1) {
           // It was completed, or cancelled, at the same moment: the key tells which.
@@ -304,7 +305,7 @@
           // Too large, for a limit that nobody has told of: as small as it can be.
           this.#writeCancelled(uid, item, record, answer, tries, 0);
         } else {
-          answer(later(UNANSWERED));
+          answer(unavailable(UNANSWERED));
         }
       },
     );
@@ -327,7 +328,7 @@
   }
 
   #viewOf(uid: string, cancelled: boolean): JobStatus {
-    const { done, running } = this.#events.counts(uid) ?? { done: 0, running: 0 };
+    const { done, running } = this.#events.progressOf(uid) ?? { done: 0, running: 0 };
     if (cancelled) return { uid, phase: "cancelled", done, running };
     const view = { uid, phase: running > 0 ? "running" : "queued", done, running } as const;
     const awaits = this.#lookup.unfinishedNeeds(uid);
@@ -339,6 +340,6 @@
   return { kind: "invalid", error: "body: the job's description is too large to be kept" };
 }
 
-export function later(error: string, afterS = 1): Extract<UserResponse, { kind: "unavailable" }> {
+export function unavailable(error: string, afterS = 1): Extract<UserResponse, { kind: "unavailable" }> {
   return { kind: "unavailable", error, retryAfterS: afterS };
 }
--- a/src/core/leader-status.ts
+++ b/src/core/leader-status.ts
@@ -6,33 +6,37 @@
   confirmed: boolean,
   layout: number,
 ): Record<string, unknown> {
-  const { tables } = leaderTerm;
+  const { cluster: tables } = leaderTerm;
   return {
-    token: leaderTerm.term.token,
+    token: leaderTerm.lease.fencingToken,
     confirmed,
     machines: [...tables.machines.values()].map((machine) => ({
       name: machine.name,
       type: machine.typeName,
       zone: machine.zone,
       spot: machine.spot,
-      phase: machine.lost ? "lost" : machine.phase,
+      phase: machine.isLeaseExpired ? "lost" : machine.phase,
       mode: machine.mode,
       tasks: machine.placements.size,
-      share: Math.round(machine.share() * 1000) / 1000,
+      share: Math.round(machine.bookedShare() * 1000) / 1000,
     })),
     jobs: tables.jobs.size,
     queue: [...tables.jobs.values()]
       .filter((job) => job.pending > 0)
-      .map((job) => ({ job: job.uid, tasks: job.pending, why: job.waitsFor ?? "it is next" })),
+      .map((job) => ({ job: job.uid, tasks: job.pending, why: job.pendingReason ?? "it is next" })),
     awaiting: [...tables.jobs.values()]
-      .filter((job) => job.state === "active" && !job.released)
-      .map((job) => ({ job: job.uid, tasks: job.spec.tasks, awaits: leaderTerm.pipelines.waitsFor(job) })),
+      .filter((job) => job.state === "active" && !job.dependenciesSatisfied)
+      .map((job) => ({
+        job: job.uid,
+        tasks: job.spec.tasks,
+        awaits: leaderTerm.dependencies.unmetDependencies(job),
+      })),
     ...longestWaits(leaderTerm),
     layout,
-    move: leaderTerm.rebalancer.pending,
-    moves: leaderTerm.rebalancer.moves,
-    rounds_cut: leaderTerm.scheduler.roundsCut,
-    unwritten: leaderTerm.recorder.backlog,
+    move: leaderTerm.migrator.pending,
+    moves: leaderTerm.migrator.startedMigrations,
+    rounds_cut: leaderTerm.scheduler.interruptedRounds,
+    unwritten: leaderTerm.recordWriter.backlog,
   };
 }
 
--- a/src/core/model/attempt-number.ts
+++ b/src/core/model/attempt-number.ts
@@ -4,12 +4,12 @@
  */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
 
-export function attemptOf(token: number, counter: number): number {
+export function attemptNumber(token: number, counter: number): number {
   return token * ATTEMPTS_PER_TOKEN + counter;
 }
-export function tokenOf(attempt: number): number {
+export function fencingTokenOf(attempt: number): number {
   return Math.floor(attempt / ATTEMPTS_PER_TOKEN);
 }
-export function countersLeft(counter: number): boolean {
+export function isValidCounter(counter: number): boolean {
   return counter < ATTEMPTS_PER_TOKEN;
 }
--- a/src/core/model/cluster-state.ts
+++ b/src/core/model/cluster-state.ts
@@ -1,41 +1,42 @@
 import type { MachineType } from "./deployment.js";
-import type { Directory } from "./interner.js";
+import type { NameRegistry } from "./interner.js";
 import { Job } from "./job.js";
 import type { JobSpec } from "./job-spec.js";
 import { Machine } from "./machine.js";
 import type { Placement } from "./placement.js";
 import type { Resources } from "./resources.js";
-import { add, ZERO } from "./resources.js";
+import { add, NO_RESOURCES } from "./resources.js";
 
 /** All that is placed, by job, machine and team: the one place where placements come and go. */
-export class Tables {
+export class ClusterState {
   readonly jobs = new Map<number, Job>();
   readonly machines = new Map<number, Machine>();
-  readonly teamUse = new Map<string, Resources>();
-  readonly types = new Map<string, MachineType>();
+  readonly teamUsage = new Map<string, Resources>();
+  readonly machineTypes = new Map<string, MachineType>();
   /** Counts placements that have come and gone: what was worked out before a change may be stale. */
-  changes = 0;
+  placementChanges = 0;
   /** Machines whose release the cloud has confirmed, and when: late lists and reports may still show them. */
-  readonly released = new Map<string, number>();
-  readonly directory: Directory;
+  readonly terminatedMachines = new Map<string, number>();
+  readonly names: NameRegistry;
 
-  constructor(directory: Directory) {
-    this.directory = directory;
+  constructor(directory: NameRegistry) {
+    this.names = directory;
   }
 
-  setTypes(types: readonly MachineType[]): void {
-    for (const type of types) this.types.set(type.name, type);
-    for (const machine of this.machines.values()) machine.type = this.types.get(machine.typeName) ?? null;
+  setMachineTypes(types: readonly MachineType[]): void {
+    for (const type of types) this.machineTypes.set(type.name, type);
+    for (const ensureMachine of this.machines.values())
+      ensureMachine.type = this.machineTypes.get(ensureMachine.typeName) ?? null;
   }
 
   jobByUid(uid: string): Job | undefined {
-    const ix = this.directory.jobs.find(uid);
+    const ix = this.names.jobs.find(uid);
     return ix === undefined ? undefined : this.jobs.get(ix);
   }
 
   addJob(spec: JobSpec, acceptedAt: number, version: number): Job {
-    const job = new Job(this.directory.jobs.intern(spec.uid), spec, acceptedAt, version);
-    this.jobs.set(job.ix, job);
+    const job = new Job(this.names.jobs.intern(spec.uid), spec, acceptedAt, version);
+    this.jobs.set(job.index, job);
     return job;
   }
 
@@ -44,42 +45,42 @@
     at: { address: string; type: string; zone: string; spot: boolean },
     now: number,
   ): Machine {
-    const ix = this.directory.machines.intern(name);
+    const ix = this.names.machines.intern(name);
     const known = this.machines.get(ix);
     if (known) {
       if (at.address !== "") known.address = at.address;
       return known;
     }
     const machine = new Machine(ix, name, at, now);
-    machine.type = this.types.get(at.type) ?? null;
+    machine.type = this.machineTypes.get(at.type) ?? null;
     this.machines.set(ix, machine);
     return machine;
   }
 
   removeMachine(machine: Machine): void {
-    this.machines.delete(machine.ix);
+    this.machines.delete(machine.index);
   }
 
-  place(placement: Placement): void {
+  addPlacement(placement: Placement): void {
     const { job, machine } = placement;
-    job.hold(placement);
+    job.addPlacement(placement);
     machine.placements.add(placement);
-    this.#count(placement, 1);
+    this.#countUsage(placement, 1);
     machine.idleSince = null;
   }
 
-  unplace(placement: Placement, now: number): void {
+  removePlacement(placement: Placement, now: number): void {
     const { job, machine } = placement;
     if (!machine.placements.delete(placement)) return;
-    if (job.held.get(placement.task) === placement) job.letGo(placement, now);
-    this.#count(placement, -1);
+    if (job.placements.get(placement.task) === placement) job.removePlacement(placement, now);
+    this.#countUsage(placement, -1);
   }
 
-  #count({ job, machine, priority }: Placement, sign: 1 | -1): void {
+  #countUsage({ job, machine, priority }: Placement, sign: 1 | -1): void {
     const { need, team } = job.spec;
     machine.used = add(machine.used, need, sign);
-    machine.usedBy[priority] = add(machine.usedBy[priority] ?? ZERO, need, sign);
-    this.teamUse.set(team, add(this.teamUse.get(team) ?? ZERO, need, sign));
-    this.changes++;
+    machine.usedByPriority[priority] = add(machine.usedByPriority[priority] ?? NO_RESOURCES, need, sign);
+    this.teamUsage.set(team, add(this.teamUsage.get(team) ?? NO_RESOURCES, need, sign));
+    this.placementChanges++;
   }
 }
--- a/src/core/model/interner.ts
+++ b/src/core/model/interner.ts
@@ -2,7 +2,7 @@
  * Maps names to dense indices. A freed index is given out again only two batches later: until then
  * commands that were mapped at the boundary before it was freed may still carry it.
  */
-export class Names {
+export class Interner {
   readonly #index = new Map<string, number>();
   readonly #names: (string | undefined)[] = [];
   readonly #free: number[] = [];
@@ -12,15 +12,15 @@
   #retired: number[] = [];
   #retiring: number[] = [];
 
-  intern(name: string): number {
-    const known = this.#index.get(name);
+  intern(nameOf: string): number {
+    const known = this.#index.get(nameOf);
     if (known !== undefined) {
       this.#givenIn[known] = this.#batch;
       return known;
     }
     const index = this.#free.pop() ?? this.#names.length;
-    this.#names[index] = name;
-    this.#index.set(name, index);
+    this.#names[index] = nameOf;
+    this.#index.set(nameOf, index);
     this.#givenIn[index] = this.#batch;
     return index;
   }
@@ -39,7 +39,7 @@
    * Frees every index that `keep` does not hold, save those that commands of this batch may carry: what they bring is
    * known as in use only once they are worked off.
    */
-  sweep(keep: ReadonlySet<number>): void {
+  reclaim(keep: ReadonlySet<number>): void {
     for (const [name, index] of this.#index) {
       if (keep.has(index) || (this.#givenIn[index] ?? 0) >= this.#batch - 1) continue;
       this.#index.delete(name);
@@ -48,7 +48,7 @@
   }
 
   /** Called once at the start of each batch. */
-  turn(): void {
+  beginBatch(): void {
     this.#batch++;
     if (this.#retired.length === 0 && this.#retiring.length === 0) return;
     for (const index of this.#retired) {
@@ -61,12 +61,12 @@
 }
 
 /** The name tables that the boundary and the core share. */
-export class Directory {
-  readonly jobs = new Names();
-  readonly machines = new Names();
+export class NameRegistry {
+  readonly jobs = new Interner();
+  readonly machines = new Interner();
 
-  turn(): void {
-    this.jobs.turn();
-    this.machines.turn();
+  beginBatch(): void {
+    this.jobs.beginBatch();
+    this.machines.beginBatch();
   }
 }
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -3,14 +3,14 @@
 import type { JobSpec } from "./job-spec.js";
 import type { Placement, Reservation } from "./placement.js";
 import type { Resources } from "./resources.js";
-import { fits, ZERO } from "./resources.js";
+import { fits, NO_RESOURCES } from "./resources.js";
 
 /** Can a task of this job be put on machines of this type at all? */
-export function suitsType(spec: JobSpec, type: MachineType): boolean {
+export function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return fits(spec.need, type.size) && (spec.types === null || spec.types.includes(type.name));
 }
 
-export interface ImageOnMachine {
+export interface CachedImage {
   readyAt: number;
   usedAt: number;
   gb: number;
@@ -20,7 +20,7 @@
 
 /** A machine as the leader knows it: what its worker said, what is placed there, what is to become of it. */
 export class Machine {
-  readonly ix: number;
+  readonly index: number;
   readonly name: string;
   address: string;
   typeName: string;
@@ -29,49 +29,49 @@
   spot: boolean;
   /** up: has reported; booting: only the cloud has spoken of it; releasing: its release was asked for. */
   phase: "booting" | "up" | "releasing" = "booting";
-  session = 0;
+  incarnation = 0;
   sequence = -1;
   /** The highest token a report of this worker carried. */
-  token = 0;
+  fencingToken = 0;
   /** Its last report. Answers to direct commands don't count: a worker that can't report loses its lease all the same. */
-  heardAt = Number.NEGATIVE_INFINITY;
-  answeredAt = Number.NEGATIVE_INFINITY;
-  adoptedAt: number | null = null;
+  heartbeatAt = Number.NEGATIVE_INFINITY;
+  repliedAt = Number.NEGATIVE_INFINITY;
+  fencedAt: number | null = null;
   /** Since when something that was sent to it should have shown in its reports; null when nothing is owed. */
-  owedSince: number | null = null;
+  acknowledgementOverdueSince: number | null = null;
   /** Since when it reports but shows no sign of hearing: it gets no work, and is replaced if this lasts. */
   unreachableSince: number | null = null;
   /** When the present session was first heard of. */
-  sessionSince = Number.NEGATIVE_INFINITY;
+  incarnationSince = Number.NEGATIVE_INFINITY;
   /** Its lease has run out without a newer report: nothing of ours is on it, nothing is given to it. */
-  lost = false;
-  noticeUntil: number | null = null;
+  isLeaseExpired = false;
+  reclaimedAt: number | null = null;
   mode: MachineMode = "open";
   readonly placements = new Set<Placement>();
-  used: Resources = ZERO;
+  used: Resources = NO_RESOURCES;
   /** The same by priority. */
-  readonly usedBy: Resources[] = [ZERO, ZERO, ZERO, ZERO];
+  readonly usedByPriority: Resources[] = [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES];
   /** Room kept for a replica that is about to move here. */
-  booked: Resources = ZERO;
+  reservedForMigration: Resources = NO_RESOURCES;
   /** Room taken by reported tasks that we have no placement for. */
-  strayUse: Resources = ZERO;
-  report: Heartbeat | null = null;
-  readonly images = new Map<string, ImageOnMachine>();
+  usedByUnknownTasks: Resources = NO_RESOURCES;
+  heartbeat: Heartbeat | null = null;
+  readonly images = new Map<string, CachedImage>();
   bootingSince: number;
   idleSince: number | null = null;
   /** One of more machines of its kind than are needed: it takes no new small work and is returned when empty. */
-  retiring = false;
-  reserved: Reservation | null = null;
-  lowSince: number | null = null;
-  blockedUntil = 0;
+  isMarkedForScaleIn = false;
+  reservation: Reservation | null = null;
+  underutilizedSince: number | null = null;
+  backoffUntil = 0;
   failures = 0;
   readonly failedJobs = new Set<number>();
   /** The record that lists it, as of the last one written; null if none does. */
-  bucket: number | null = null;
-  doInFlight = false;
-  doRetryAt = 0;
-  releaseRetryAt = 0;
-  releaseWhy: string | null = null;
+  recordIndex: number | null = null;
+  isCommandInFlight = false;
+  commandRetryAt = 0;
+  terminationRetryAt = 0;
+  terminationReason: string | null = null;
 
   constructor(
     ix: number,
@@ -79,7 +79,7 @@
     at: { address: string; type: string; zone: string; spot: boolean },
     now: number,
   ) {
-    this.ix = ix;
+    this.index = ix;
     this.name = name;
     this.address = at.address;
     this.typeName = at.type;
@@ -89,12 +89,12 @@
   }
 
   /** True if a task fits beside what is here; what work below a priority uses may be counted as room. */
-  hasRoom(need: Resources, below = 0): boolean {
-    const { used, booked, strayUse } = this;
-    const size = this.type?.size ?? ZERO;
+  hasCapacityFor(need: Resources, below = 0): boolean {
+    const { used, reservedForMigration: booked, usedByUnknownTasks: strayUse } = this;
+    const size = this.type?.size ?? NO_RESOURCES;
     let { cpu, gpu, ram } = size;
     for (let priority = 0; priority < below; priority++) {
-      const part = this.usedBy[priority] ?? ZERO;
+      const part = this.usedByPriority[priority] ?? NO_RESOURCES;
       cpu += part.cpu;
       gpu += part.gpu;
       ram += part.ram;
@@ -106,23 +106,23 @@
     );
   }
 
-  room(): Resources {
-    const size = this.type?.size ?? ZERO;
+  freeCapacity(): Resources {
+    const size = this.type?.size ?? NO_RESOURCES;
     return {
-      cpu: size.cpu - this.used.cpu - this.booked.cpu - this.strayUse.cpu,
-      gpu: size.gpu - this.used.gpu - this.booked.gpu - this.strayUse.gpu,
-      ram: size.ram - this.used.ram - this.booked.ram - this.strayUse.ram,
+      cpu: size.cpu - this.used.cpu - this.reservedForMigration.cpu - this.usedByUnknownTasks.cpu,
+      gpu: size.gpu - this.used.gpu - this.reservedForMigration.gpu - this.usedByUnknownTasks.gpu,
+      ram: size.ram - this.used.ram - this.reservedForMigration.ram - this.usedByUnknownTasks.ram,
     };
   }
 
-  share(): number {
+  bookedShare(): number {
     const cpu = this.type?.size.cpu ?? 0;
-    return cpu > 0 ? (this.used.cpu + this.booked.cpu + this.strayUse.cpu) / cpu : 1;
+    return cpu > 0 ? (this.used.cpu + this.reservedForMigration.cpu + this.usedByUnknownTasks.cpu) / cpu : 1;
   }
 
   /** The part of the CPUs that work of one priority uses. */
-  shareOf(priority: number): number {
+  bookedShareOf(priority: number): number {
     const cpu = this.type?.size.cpu ?? 0;
-    return cpu > 0 ? (this.usedBy[priority]?.cpu ?? 0) / cpu : 1;
+    return cpu > 0 ? (this.usedByPriority[priority]?.cpu ?? 0) / cpu : 1;
   }
 }
--- a/src/core/model/placement.ts
+++ b/src/core/model/placement.ts
@@ -6,7 +6,7 @@
 export interface Reservation {
   readonly job: Job;
   /** Kept from work of any priority. */
-  readonly firm: boolean;
+  readonly isFirm: boolean;
   readonly until: number;
 }
 
@@ -15,20 +15,20 @@
   readonly job: Job;
   readonly task: number;
   readonly machine: Machine;
-  readonly session: number;
+  readonly incarnation: number;
   readonly attempt: number;
   readonly placedAt: number;
   /** What its job counted as when it was placed. */
   readonly priority: Priority;
   /** Recorded in the state service; nothing is sent before. */
-  durable: boolean;
+  isRecorded: boolean;
   /** Its job was not cancelled at this time: its record depended on that. */
-  allowedAt: number;
+  notCancelledAsOf: number;
   /** What the worker last said of it; null while no report has shown it. */
-  seen: TaskState | null;
+  observedState: TaskState | null;
   /** The highest token a start for it was sent under by this node; 0 for those of earlier leaders. */
-  sentToken: number;
-  sentAt: number;
+  startSentUnder: number;
+  startSentAt: number;
   runningSince: number | null;
-  stop: { graceS: number; at: number; sentAt: number; why: string } | null;
+  stop: { graceS: number; at: number; sentAt: number; reason: string } | null;
 }
--- a/src/core/model/resources.ts
+++ b/src/core/model/resources.ts
@@ -5,15 +5,15 @@
   readonly ram: number;
 }
 
-export const ZERO: Resources = { cpu: 0, gpu: 0, ram: 0 };
+export const NO_RESOURCES: Resources = { cpu: 0, gpu: 0, ram: 0 };
 
 /** What a task takes is rounded up, so that the sum never understates it. */
-export function needOf(cpu: number, gpu: number, ram: number): Resources {
+export function roundUpDemand(cpu: number, gpu: number, ram: number): Resources {
   return { cpu: up(cpu), gpu: up(gpu), ram: up(ram) };
 }
 
 /** What a machine or a limit offers is rounded down. */
-export function offerOf(cpu: number, gpu: number, ram: number): Resources {
+export function roundDownCapacity(cpu: number, gpu: number, ram: number): Resources {
   return { cpu: down(cpu), gpu: down(gpu), ram: down(ram) };
 }
 
@@ -25,8 +25,12 @@
   return Math.floor(x * 1000 + 1e-6);
 }
 
-export function add(a: Resources, b: Resources, times = 1): Resources {
-  return { cpu: a.cpu + b.cpu * times, gpu: a.gpu + b.gpu * times, ram: a.ram + b.ram * times };
+export function add(a: Resources, b: Resources, countFitting = 1): Resources {
+  return {
+    cpu: a.cpu + b.cpu * countFitting,
+    gpu: a.gpu + b.gpu * countFitting,
+    ram: a.ram + b.ram * countFitting,
+  };
 }
 
 export function fits(need: Resources, room: Resources): boolean {
--- a/src/core/peer-table.ts
+++ b/src/core/peer-table.ts
@@ -40,12 +40,12 @@
     return this.#peers.has(node);
   }
 
-  link(node: string, up: boolean): void {
+  onLinkChanged(node: string, up: boolean): void {
     const peer = this.#peers.get(node);
     if (peer) peer.up = up;
   }
 
-  heard(node: string, { storeHealthy: stateOk, agentsHeard: workersHeard, standby }: Heartbeat): void {
+  onHeartbeat(node: string, { storeHealthy: stateOk, agentsHeard: workersHeard, standby }: Heartbeat): void {
     const peer = this.#peers.get(node);
     if (!peer) return;
     peer.heardAt = this.#ctx.now;
@@ -63,16 +63,16 @@
   }
 
   /** True if this node has peers and hears none of them. */
-  get isAlone(): boolean {
+  get isIsolated(): boolean {
     return this.#peers.size > 0 && !this.#anyFresh(() => true);
   }
 
   /** Does a peer say that the state service serves it? */
-  get anyServed(): boolean {
+  get isStoreReachableByAny(): boolean {
     return this.#anyFresh(({ stateOk }) => stateOk);
   }
 
-  get anyHearsWorkers(): boolean {
+  get areAgentsHeardByAny(): boolean {
     return this.#anyFresh(({ workersHeard }) => workersHeard > 0);
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** True while a node that is yet to be upgraded may lead: it would start jobs that wait for others. */
-  anyOld(isOld: (node: string) => boolean): boolean {
+  isAnyOlderAlive(isOld: (node: string) => boolean): boolean {
     return [...this.#peers].some(([node, { heardAt }]) => isOld(node) && this.#ctx.now - heardAt < OLD_MS);
   }
 
@@ -94,7 +94,7 @@
   }
 
   /** For the status. */
-  report(): Record<string, unknown> {
+  status(): Record<string, unknown> {
     return Object.fromEntries(
       [...this.#peers].map(([name, { up, stateOk, standby }]) => [
         name,
--- a/src/core/scheduling/guaranteed-quota.ts
+++ b/src/core/scheduling/guaranteed-quota.ts
@@ -5,7 +5,7 @@
  * Of jobs in the order of their acceptance, those within their teams' guarantees: a job is if it fits there along with
  * the team's earlier unfinished jobs.
  */
-export function guaranteedJobs(teams: readonly Team[], inOrder: readonly Job[]): Set<Job> {
+export function findGuaranteedJobs(teams: readonly Team[], inOrder: readonly Job[]): Set<Job> {
   const used = new Map<string, { cpu: number; gpu: number }>();
   const result = new Set<Job>();
   for (const job of inOrder) {
--- a/src/core/scheduling/image-caches.ts
+++ b/src/core/scheduling/image-caches.ts
@@ -6,7 +6,7 @@
 const UNKNOWN_FETCH_S = 30;
 
 /** Notes that a machine fetches the image of a job from this time on. */
-export function noteFetch(ctx: Context, machine: Machine, job: Job): void {
+export function recordImageFetch(ctx: Context, machine: Machine, job: Job): void {
   const { now } = ctx;
   const rate = machine.type?.fetchGbPerS ?? 0;
   const seconds = rate > 0 ? job.spec.imageGb / rate : UNKNOWN_FETCH_S;
@@ -15,7 +15,7 @@
 }
 
 /** Notes that a machine has the image of a job. */
-export function noteImage(ctx: Context, machine: Machine, job: Job): void {
+export function recordImageCached(ctx: Context, machine: Machine, job: Job): void {
   const { now } = ctx;
   machine.images.set(job.spec.image, { readyAt: now, usedAt: now, gb: job.spec.imageGb });
 }
--- a/src/core/scheduling/negative-fit-cache.ts
+++ b/src/core/scheduling/negative-fit-cache.ts
@@ -4,7 +4,7 @@
 import { fits } from "../model/resources.js";
 
 /** Demands that found no place in this call: what asks for as much or more need not look again. */
-export class FailedFits {
+export class NegativeFitCache {
   readonly #ctx: Context;
   readonly #byKind = new Map<string, { need: Resources; tasks: number }[]>();
 
@@ -17,7 +17,7 @@
   }
 
   /** The kind of place a job asks for: jobs of one kind differ only in how much they need of it. */
-  #kindOf({ spec, priority }: Job): string {
+  #kindOf({ spec, effectivePriority: priority }: Job): string {
     const { types, zone, spot, shape, oneZone, spread, checkpointS } = spec;
     return [
       types?.join() ?? "*",
@@ -32,14 +32,14 @@
   }
 
   has(job: Job, tasks: number): boolean {
-    if (job.failedOn.size > 0 || job.reservesUntil > this.#ctx.now) return false;
+    if (job.failedMachines.size > 0 || job.reservationUntil > this.#ctx.now) return false;
     const { need } = job.spec;
     return (this.#byKind.get(this.#kindOf(job)) ?? []).some((v) => tasks >= v.tasks && fits(v.need, need));
   }
 
   add(job: Job, tasks: number): void {
     // Fellow tasks narrow this job's choice alone: that tells nothing of others.
-    if (job.held.size > 0 && (job.spec.spread || job.spec.oneZone)) return;
+    if (job.placements.size > 0 && (job.spec.spread || job.spec.oneZone)) return;
     const kind = this.#kindOf(job);
     const entry = { need: job.spec.need, tasks };
     const known = this.#byKind.get(kind);
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,12 +1,12 @@
-import type { Fleet } from "../agents/agent-manager.js";
+import type { AgentManager } from "../agents/agent-manager.js";
 import type { Context } from "../context.js";
-import type { Tables } from "../model/cluster-state.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import type { Resources } from "../model/resources.js";
 import { fits, times } from "../model/resources.js";
-import { guaranteeAimS, stoppingPriority, waitAimS } from "./queue-order.js";
+import { guaranteedStartObjectiveS, preemptionPriority, startObjectiveS } from "./queue-order.js";
 
 const RESERVE_MS = 15_000;
 /** How long a job for which nothing could be stopped waits before that is looked into again. */
@@ -20,8 +20,8 @@
 /** What may be stopped for what, and the cheapest way to make room. */
 export class Preemption {
   readonly #ctx: Context;
-  readonly #tables: Tables;
-  readonly #fleet: Fleet;
+  readonly #tables: ClusterState;
+  readonly #fleet: AgentManager;
   /** Machines with room for a task of the job, if what work below a priority uses is counted as room. */
   readonly #candidates: (job: Job, below: number) => Machine[];
   /** The jobs within their teams' guarantees, as of this round. */
@@ -29,8 +29,8 @@
 
   constructor(
     ctx: Context,
-    tables: Tables,
-    fleet: Fleet,
+    tables: ClusterState,
+    fleet: AgentManager,
     candidates: (job: Job, below: number) => Machine[],
   ) {
     this.#ctx = ctx;
@@ -42,22 +42,22 @@
   /** May this placement be stopped so that the job can run? */
   #mayStop(victim: Placement, job: Job, guaranteed: boolean): boolean {
     const spec = victim.job.spec;
-    const priority = stoppingPriority(this.#ctx, job);
-    if (priority < 3 && victim.job.sparedUntil > this.#ctx.now) return false;
-    if (victim.job.priority < priority) return true;
+    const priority = preemptionPriority(this.#ctx, job);
+    if (priority < 3 && victim.job.protectedUntil > this.#ctx.now) return false;
+    if (victim.job.effectivePriority < priority) return true;
     // The rules would allow more; but small guaranteed work must not break up a gang of higher priority.
-    if (!guaranteed || spec.team === job.spec.team || victim.job.priority > priority) return false;
-    if (victim.job.priority === 3) return false;
+    if (!guaranteed || spec.team === job.spec.team || victim.job.effectivePriority > priority) return false;
+    if (victim.job.effectivePriority === 3) return false;
     // What is within its own team's guarantee has borrowed nothing: two teams took turns stopping each other's gangs,
     // some of them twenty times.
     if (this.guaranteed.has(victim.job)) return false;
     // A gang that has run before has had its start: taken back again and again, the same few machines changed hands.
-    if (job.spec.shape === "gang" && Number.isFinite(job.lastHeldAt)) return false;
+    if (job.spec.shape === "gang" && Number.isFinite(job.lastRanAt)) return false;
     // Taking back what another team has borrowed must not throw away much work.
     const ranMs = victim.runningSince === null ? 0 : this.#ctx.now - victim.runningSince;
     if (spec.checkpointS === 0 && ranMs > RECLAIM_MS) return false;
     const team = this.#ctx.deployment.teams.find((t) => t.name === spec.team);
-    const use = this.#tables.teamUse.get(spec.team);
+    const use = this.#tables.teamUsage.get(spec.team);
     return (
       team !== undefined &&
       use !== undefined &&
@@ -69,7 +69,7 @@
    * Stops lesser work so that up to `count` tasks of the job find room; returns for how many. With `hurryS` work that
    * takes longer than that to save is not waited for.
    */
-  makeRoom(
+  preemptFor(
     job: Job,
     count: number,
     guaranteed: boolean,
@@ -77,14 +77,14 @@
     hurryS: number | null,
   ): number {
     const { now } = this.#ctx;
-    if (job.makingRoomUntil > now) return 0;
+    if (job.preemptionUntil > now) return 0;
     // What can't be stopped now can hardly be in the next round: looking costs more than all the rest of one.
-    const sinceMs = now - job.roomSoughtAt;
+    const sinceMs = now - job.preemptionTriedAt;
     if (sinceMs > 0 && sinceMs < SEEK_AGAIN_MS) return 0;
-    job.roomSoughtAt = now;
+    job.preemptionTriedAt = now;
     const { need, tasks, oneZone, spread, shape } = job.spec;
     const plans: { machine: Machine; slots: number; victims: Placement[]; cost: number }[] = [];
-    const priority = stoppingPriority(this.#ctx, job);
+    const priority = preemptionPriority(this.#ctx, job);
     for (const machine of this.#candidates(job, guaranteed ? priority + 1 : priority)) {
       if (!suits(machine)) continue;
       const plan = this.#plan(job, machine, need, guaranteed);
@@ -101,7 +101,7 @@
         if (zone !== null && plan.machine.zone !== zone) continue;
         let n = Math.min(plan.slots, count - slots);
         if (spread) {
-          const there = (inZone.get(plan.machine.zone) ?? 0) + job.inZone(plan.machine.zone);
+          const there = (inZone.get(plan.machine.zone) ?? 0) + job.countInZone(plan.machine.zone);
           n = Math.min(n, Math.ceil(tasks / 2) - there);
         }
         if (n <= 0) continue;
@@ -112,20 +112,20 @@
       if (slots === 0 || (shape === "gang" && slots < tasks)) continue;
       let graceS = 0;
       for (const { machine, victims } of chosen) {
-        machine.reserved = { job, firm: false, until: now + RESERVE_MS };
-        job.reservesUntil = now + RESERVE_MS;
+        machine.reservation = { job, isFirm: false, until: now + RESERVE_MS };
+        job.reservationUntil = now + RESERVE_MS;
         for (const victim of victims) {
           const { saveS, checkpointS } = victim.job.spec;
           const late = hurryS !== null && saveS + HANDOVER_S > hurryS;
           if (late && checkpointS > 0 && victim.job.spec.shape !== "gang") {
-            this.#fleet.stop(victim, 0, `room for ${job.uid}`);
+            this.#fleet.stopTask(victim, 0, `room for ${job.uid}`);
             continue;
           }
           graceS = Math.max(graceS, saveS);
-          this.stopOrderly(victim, `room for ${job.uid}`);
+          this.stopGracefully(victim, `room for ${job.uid}`);
         }
       }
-      job.makingRoomUntil = now + graceS * 1000 + this.#ctx.deployment.heartbeatIntervalS * 2000;
+      job.preemptionUntil = now + graceS * 1000 + this.#ctx.deployment.heartbeatIntervalS * 2000;
       return slots;
     }
     return 0;
@@ -138,14 +138,14 @@
     need: Resources,
     guaranteed: boolean,
   ): { slots: number; victims: Placement[]; cost: number } | null {
-    const room = machine.room();
+    const room = machine.freeCapacity();
     if (fits(need, room)) return { slots: times(need, room), victims: [], cost: 0 };
     const victims: Placement[] = [];
     let cost = 0;
     const list = [...machine.placements]
       .filter((p) => p.job !== job && this.#mayStop(p, job, guaranteed))
       .map((p) => ({ p, cost: this.#lossOf(p) }))
-      .sort((a, b) => a.p.job.priority - b.p.job.priority || a.cost - b.cost);
+      .sort((a, b) => a.p.job.effectivePriority - b.p.job.effectivePriority || a.cost - b.cost);
     let { cpu, gpu, ram } = room;
     for (const { p, cost: loss } of list) {
       // Stopping a task that frees nothing that is short helps nobody.
@@ -177,12 +177,12 @@
 
   /** Have the operators an aim for when tasks of this job start? */
   #startCounts(job: Job): boolean {
-    if (waitAimS(this.#ctx, job) !== null) return true;
-    return this.guaranteed.has(job) && guaranteeAimS(this.#ctx) !== null;
+    if (startObjectiveS(this.#ctx, job) !== null) return true;
+    return this.guaranteed.has(job) && guaranteedStartObjectiveS(this.#ctx) !== null;
   }
 
   /** Stops a task, with time to save if it can; a gang is stopped as a whole. */
-  stopOrderly(placement: Placement, why: string): void {
+  stopGracefully(placement: Placement, why: string): void {
     this.#ctx.log("debug", "task stopped", {
       job: placement.job.uid,
       task: placement.task,
@@ -191,7 +191,7 @@
     });
     const { job } = placement;
     const graceS = job.spec.checkpointS > 0 ? Math.ceil(job.spec.saveS) + 1 : 0;
-    const group = job.spec.shape === "gang" ? [...job.held.values()] : [placement];
-    for (const member of group) this.#fleet.stop(member, graceS, why);
+    const group = job.spec.shape === "gang" ? [...job.placements.values()] : [placement];
+    for (const member of group) this.#fleet.stopTask(member, graceS, why);
   }
 }
--- a/src/core/scheduling/queue-order.ts
+++ b/src/core/scheduling/queue-order.ts
@@ -22,21 +22,21 @@
  * Shortest first and hopeless last let the largest jobs wait for ever under constant overload; with this each begins
  * within minutes. The wait counts from what is on record, so that it survives a change of leader.
  */
-export function isAged(ctx: Context, job: Job): boolean {
-  return job.hasTurn || waitedS(ctx, job) > AGED_S;
+export function isStarving(ctx: Context, job: Job): boolean {
+  return job.hasRoundRobinTurn || waitedS(ctx, job) > AGED_S;
 }
 
 /** How long nothing of a job has been on a machine. */
 function waitedS(ctx: Context, job: Job): number {
-  if (job.held.size > 0) return 0;
-  return Math.min(ctx.wallMs - job.since, ctx.now - job.lastHeldAt) / 1000;
+  if (job.placements.size > 0) return 0;
+  return Math.min(ctx.wallMs - job.queuedSince, ctx.now - job.lastRanAt) / 1000;
 }
 
 /**
  * True for an aged job that can't begin in time any more. With more aged work than room, first come first served would
  * let every one of them begin too late.
  */
-export function isTooLate(ctx: Context, job: Job): boolean {
+export function hasMissedStartDeadline(ctx: Context, job: Job): boolean {
   const s = waitedS(ctx, job);
   return s > TOO_LATE_S && s <= RESCUED_S;
 }
@@ -45,7 +45,7 @@
 function pressure(ctx: Context, job: Job, ageS: number): 0 | 1 | 2 {
   const { spec } = job;
   // The tasks of an array begin one by one: those that still wait have an aim of their own, and may have missed it.
-  const started = spec.shape === "array" ? job.pending === 0 : job.running() > 0;
+  const started = spec.shape === "array" ? job.pending === 0 : job.countRunning() > 0;
   let next: number | null = null;
   let missed = false;
   const consider = (dueS: number) => {
@@ -53,8 +53,8 @@
     else if (next === null || dueS < next) next = dueS;
   };
   // Alone on as many machines as it likes, a job takes at least one task's time.
-  const taskS = ctx.estimates.of(spec);
-  if (job.dueAt !== null) consider((job.dueAt - job.since) / 1000 - taskS);
+  const taskS = ctx.estimates.estimateS(spec);
+  if (job.effectiveDeadlineAt !== null) consider((job.effectiveDeadlineAt - job.queuedSince) / 1000 - taskS);
   for (const { kind, jobClass, withinS } of ctx.deployment.objectives) {
     if (jobClass !== spec.jobClass || withinS === null) continue;
     if (kind === "finished") consider(withinS - taskS);
@@ -66,9 +66,9 @@
 }
 
 /** True for a job that can still meet its next aim, but has used up a good part of its time. */
-export function isPressed(ctx: Context, job: Job): boolean {
-  const ageS = (ctx.wallMs - job.since) / 1000;
-  const withinS = waitAimS(ctx, job);
+export function isDeadlineAtRisk(ctx: Context, job: Job): boolean {
+  const ageS = (ctx.wallMs - job.queuedSince) / 1000;
+  const withinS = startObjectiveS(ctx, job);
   if (withinS !== null && ageS < withinS) return ageS > withinS * HURRY_PART;
   return pressure(ctx, job, ageS) === 0;
 }
@@ -81,19 +81,22 @@
  * first in any case; it stops others only when the time to that job's deadline gets short, as what is stopped often can't
  * save.
  */
-export function stoppingPriority(ctx: Context, { spec, priority, dueAt }: Job): Priority {
+export function preemptionPriority(
+  ctx: Context,
+  { spec, effectivePriority: priority, effectiveDeadlineAt: dueAt }: Job,
+): Priority {
   if (priority === spec.priority || dueAt === null) return priority;
-  const slackS = (dueAt - ctx.wallMs) / 1000 - ctx.estimates.of(spec);
+  const slackS = (dueAt - ctx.wallMs) / 1000 - ctx.estimates.estimateS(spec);
   return slackS < SLACK_S ? priority : spec.priority;
 }
 
 /** Is the job so important that lesser work makes room? */
-export function mayStopLesser(ctx: Context, job: Job): boolean {
-  return stoppingPriority(ctx, job) >= IMPORTANT;
+export function mayPreempt(ctx: Context, job: Job): boolean {
+  return preemptionPriority(ctx, job) >= IMPORTANT;
 }
 
 /** The shortest time within which the operators want tasks of this job's class to start. */
-export function waitAimS(ctx: Context, job: Job): number | null {
+export function startObjectiveS(ctx: Context, job: Job): number | null {
   let least: number | null = null;
   for (const { kind, jobClass, withinS } of ctx.deployment.objectives) {
     if (kind !== "wait" || jobClass !== job.spec.jobClass || withinS === null) continue;
@@ -102,13 +105,13 @@
   return least;
 }
 
-export function hasAim(ctx: Context, job: Job): boolean {
-  if (job.dueAt !== null) return true;
+export function hasCompletionObjective(ctx: Context, job: Job): boolean {
+  if (job.effectiveDeadlineAt !== null) return true;
   return ctx.deployment.objectives.some((o) => o.kind === "finished" && o.jobClass === job.spec.jobClass);
 }
 
 /** The time within which the operators want guaranteed work to start; null where they have no such aim. */
-export function guaranteeAimS(ctx: Context): number | null {
+export function guaranteedStartObjectiveS(ctx: Context): number | null {
   const aim = ctx.deployment.objectives.find((o) => o.kind === "guarantee");
   return aim ? (aim.withinS ?? 0) : null;
 }
@@ -118,7 +121,7 @@
  * later it only goes before its equals.
  */
 function guaranteeBoost(ctx: Context, ageS: number): number {
-  const aimS = guaranteeAimS(ctx) ?? 0;
+  const aimS = guaranteedStartObjectiveS(ctx) ?? 0;
   return ageS <= Math.max(GUARANTEE_S, aimS) ? 3 : 1;
 }
 
@@ -128,15 +131,15 @@
  */
 const PATIENCE_PART = 0.4;
 
-export function isPatient(ctx: Context, job: Job): boolean {
+export function isPreemptionDeferred(ctx: Context, job: Job): boolean {
   if (job.spec.shape !== "array") return false;
-  const aimS = guaranteeAimS(ctx) ?? 0;
-  return (ctx.wallMs - job.since) / 1000 < aimS * PATIENCE_PART;
+  const aimS = guaranteedStartObjectiveS(ctx) ?? 0;
+  return (ctx.wallMs - job.queuedSince) / 1000 < aimS * PATIENCE_PART;
 }
 
 /** Seconds of task time that are left, by the corrected estimate. */
 function leftS(ctx: Context, job: Job): number {
-  return (job.spec.tasks - job.doneCount) * Math.max(1, ctx.estimates.of(job.spec));
+  return (job.spec.tasks - job.doneCount) * Math.max(1, ctx.estimates.estimateS(job.spec));
 }
 
 /**
@@ -144,7 +147,7 @@
  * then what can still be in time, then the shortest first, which gets the most jobs done in time. What has waited
  * for too long goes first.
  */
-export function inOrder(
+export function sortQueue(
   ctx: Context,
   jobs: readonly Job[],
   guaranteed: ReadonlySet<Job>,
@@ -153,13 +156,13 @@
 ): Job[] {
   const wallNow = ctx.wallMs;
   const keyed = jobs.map((job) => {
-    const ageS = (wallNow - job.since) / 1000;
-    const rank = job.priority * 2 + (guaranteed.has(job) ? guaranteeBoost(ctx, ageS) : 0);
-    if (isAged(ctx, job))
+    const ageS = (wallNow - job.queuedSince) / 1000;
+    const rank = job.effectivePriority * 2 + (guaranteed.has(job) ? guaranteeBoost(ctx, ageS) : 0);
+    if (isStarving(ctx, job))
       return {
         job,
         rank: Math.max(rank, AGED_RANK),
-        late: isTooLate(ctx, job) ? 1 : 0,
+        late: hasMissedStartDeadline(ctx, job) ? 1 : 0,
         left: places.get(job) ?? 0,
       };
     return {
@@ -174,8 +177,8 @@
       b.rank - a.rank ||
       a.late - b.late ||
       a.left - b.left ||
-      a.job.since - b.job.since ||
-      a.job.ix - b.job.ix,
+      a.job.queuedSince - b.job.queuedSince ||
+      a.job.index - b.job.index,
   );
   return keyed.map(({ job }) => job);
 }
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -3,8 +3,8 @@
 import type { Machine } from "../model/machine.js";
 import type { Reservation } from "../model/placement.js";
 import type { Resources } from "../model/resources.js";
-import { add, ZERO } from "../model/resources.js";
-import { isTooLate } from "./queue-order.js";
+import { add, NO_RESOURCES } from "../model/resources.js";
+import { hasMissedStartDeadline } from "./queue-order.js";
 
 /** Renewed in each round for as long as the gang waits. */
 const HOLD_MS = 2000;
@@ -21,7 +21,7 @@
    * A gang that needs several places in one zone would never get them while smaller jobs take each one
    * that comes free: the zone that is nearest to having them is held for it, free place by free place.
    */
-  holdZone(job: Job, firm: boolean, candidates: readonly Machine[]): void {
+  reserveZone(job: Job, firm: boolean, candidates: readonly Machine[]): void {
     const { now } = this.#ctx;
     // One gang a zone, and only one in all that is not aged: two that each held part of a zone kept a third of the
     // machines idle. Aged ones hold a zone each: one after the other, the last waited for minutes more.
@@ -32,7 +32,7 @@
     if (!firm && [...this.#zoneHolders.keys()].some(other)) return;
     const free = new Map<string, Machine[]>();
     for (const machine of candidates) {
-      if (other(machine.zone)?.firm) continue;
+      if (other(machine.zone)?.isFirm) continue;
       const list = free.get(machine.zone);
       if (list) list.push(machine);
       else free.set(machine.zone, [machine]);
@@ -45,7 +45,7 @@
       zones = kept ? [kept] : zones.sort((x, y) => size(y) - size(x)).slice(0, 1);
     }
     for (const zone of zones) {
-      this.#zoneHolders.set(zone, { job, firm, until: now + HOLD_MS });
+      this.#zoneHolders.set(zone, { job, isFirm: firm, until: now + HOLD_MS });
       for (const machine of free.get(zone) ?? []) this.#hold(machine, job, firm);
     }
   }
@@ -53,34 +53,34 @@
   readonly #zoneHolders = new Map<string, Reservation>();
 
   #hold(machine: Machine, job: Job, firm: boolean): void {
-    const held = machine.reserved;
-    if (held && this.#keeps(held, job) && (held.firm || !firm)) return;
+    const held = machine.reservation;
+    if (held && this.#keeps(held, job) && (held.isFirm || !firm)) return;
     const until = this.#ctx.now + HOLD_MS;
-    machine.reserved = { job, firm, until };
-    job.reservesUntil = until;
+    machine.reservation = { job, isFirm: firm, until };
+    job.reservationUntil = until;
   }
 
   /** Does what is held for another stay so? Not what is held for a job that is too late, if this one is not. */
   #keeps(held: { readonly job: Job; readonly until: number }, job: Job): boolean {
     const ctx = this.#ctx;
     if (held.job === job || held.until <= ctx.now || held.job.pending === 0) return false;
-    return !isTooLate(ctx, held.job) || isTooLate(ctx, job);
+    return !hasMissedStartDeadline(ctx, held.job) || hasMissedStartDeadline(ctx, job);
   }
 
   /** What is left of a team's limit is kept for an aged gang that needs more of it. */
   readonly #limitHolders = new Map<string, { job: Job; until: number }>();
 
-  holdLimit(job: Job): void {
+  reserveQuota(job: Job): void {
     const { now } = this.#ctx;
     const holder = this.#limitHolders.get(job.spec.team);
     if (holder && this.#keeps(holder, job)) return;
     this.#limitHolders.set(job.spec.team, { job, until: now + HOLD_MS });
   }
 
-  keptOfLimit(job: Job): Resources {
+  reservedQuota(job: Job): Resources {
     const holder = this.#limitHolders.get(job.spec.team);
-    if (!holder || holder.job === job || job.spec.shape === "service") return ZERO;
-    if (holder.until <= this.#ctx.now || holder.job.pending === 0) return ZERO;
-    return add(ZERO, holder.job.spec.need, holder.job.pending);
+    if (!holder || holder.job === job || job.spec.shape === "service") return NO_RESOURCES;
+    if (holder.until <= this.#ctx.now || holder.job.pending === 0) return NO_RESOURCES;
+    return add(NO_RESOURCES, holder.job.spec.need, holder.job.pending);
   }
 }
--- a/src/core/scheduling/runtime-estimates.ts
+++ b/src/core/scheduling/runtime-estimates.ts
@@ -9,7 +9,7 @@
  * Owners' estimates are often wrong by half, and on some days mostly in one direction: they are corrected by class,
  * by the mean of the logarithm of what tasks took against what was said.
  */
-export class Estimates {
+export class RuntimeEstimates {
   readonly #byClass = new Map<string, { log: number; seen: number }>();
 
   observe({ jobClass, estimateS }: JobSpec, tookS: number): void {
@@ -21,7 +21,7 @@
     this.#byClass.set(jobClass, entry);
   }
 
-  of({ jobClass, estimateS }: JobSpec): number {
+  estimateS({ jobClass, estimateS }: JobSpec): number {
     return estimateS * Math.exp(this.#byClass.get(jobClass)?.log ?? 0);
   }
 }
--- a/src/core/scheduling/team-load.ts
+++ b/src/core/scheduling/team-load.ts
@@ -1,4 +1,4 @@
-import type { Turns } from "../../admission/round-robin-turns.js";
+import type { RoundRobinTurns } from "../../admission/round-robin-turns.js";
 import type { Job } from "../model/job.js";
 
 /** How many jobs of each team are not over, those of teams that are no longer in the settings among them. */
@@ -10,7 +10,7 @@
 
 /** By team, for how many milliseconds nothing has begun of a line of which something waits. */
 export function longestWaits(
-  turns: Turns,
+  turns: RoundRobinTurns,
   jobs: Iterable<Job>,
   teams: readonly { readonly name: string }[],
   wallMs: number,
--- a/src/core/store/config-watch.ts
+++ b/src/core/store/config-watch.ts
@@ -21,20 +21,20 @@
 }
 
 /** What every node knows of the common keys (`c/`), kept up by following them. */
-export class ConfigView {
+export class ConfigWatch {
   leader: Versioned<LeaderRecord> | null = null;
   epoch: Versioned<number> | null = null;
-  types: readonly MachineType[] = [];
-  typesVersion = 0;
+  machineTypes: readonly MachineType[] = [];
+  machineTypesVersion = 0;
   settingsVersion = 0;
-  modes: Record<string, "cordon" | "drain"> = {};
-  modesVersion = 0;
-  move: StoreEntry | null = null;
+  machineModes: Record<string, "cordon" | "drain"> = {};
+  machineModesVersion = 0;
+  migration: StoreEntry | null = null;
   /** The layout in which records are written: 1, that of the version before this one, until the feature gate opens. */
   layout = 1;
   featuresVersion = 0;
   /** False until the first full read. */
-  loaded = false;
+  isLoaded = false;
   readonly #ctx: Context;
   readonly #changed: (key: string) => void;
   /** The revision of the state service as of the last answer. */
@@ -50,33 +50,33 @@
 
   tick(): void {
     if (this.#ctx.now < this.#retryAt) return;
-    if (!this.loaded) this.#read();
+    if (!this.isLoaded) this.#read();
     else if (!this.#following) this.#follow();
   }
 
   /** Reads the keys anew, for those who know that this view is behind. */
-  refresh(): void {
+  reread(): void {
     this.#read();
   }
 
   #read(): void {
     if (this.#reading) return;
     this.#reading = true;
-    this.#ctx.state({ kind: "list", prefix: KEYS.config, after: null }, 2000, (answer) => {
+    this.#ctx.callStore({ kind: "list", prefix: KEYS.config, after: null }, 2000, (answer) => {
       this.#reading = false;
       if (answer.kind !== "page") {
         this.#retryAt = this.#ctx.now + RETRY_MS;
         return;
       }
-      if (this.loaded && answer.revision < this.revision) return;
+      if (this.isLoaded && answer.revision < this.revision) return;
       const present = new Set(answer.entries.map((item) => item.key));
       for (const key of [KEYS.leader, KEYS.move, KEYS.modes]) {
         if (!present.has(key)) this.#drop(key);
       }
-      for (const item of answer.entries) this.note(item);
+      for (const item of answer.entries) this.apply(item);
       this.revision = Math.max(this.revision, answer.revision);
-      const first = !this.loaded;
-      this.loaded = true;
+      const first = !this.isLoaded;
+      this.isLoaded = true;
       if (first) this.#changed(KEYS.config);
       this.tick();
     });
@@ -86,11 +86,11 @@
     this.#following = true;
     const after = this.revision;
     const call = { kind: "watch", prefix: KEYS.config, after, waitMs: FOLLOW_MS } as const;
-    this.#ctx.state(call, FOLLOW_MS + 2000, (answer) => {
+    this.#ctx.callStore(call, FOLLOW_MS + 2000, (answer) => {
       this.#following = false;
       if (answer.kind === "events") {
         for (const event of answer.events) {
-          if (event.kind === "put") this.note(event.entry);
+          if (event.kind === "put") this.apply(event.entry);
           else this.#drop(event.key, event.version);
         }
         this.revision = Math.max(this.revision, answer.revision);
@@ -104,7 +104,7 @@
   }
 
   /** Takes over an item, also one that this node has just written itself. Older versions are ignored. */
-  note(item: StoreEntry): void {
+  apply(item: StoreEntry): void {
     switch (item.key) {
       case KEYS.leader: {
         const value = readLeader(item.value);
@@ -124,14 +124,14 @@
         this.#ctx.settings = readOperator(item.value);
         break;
       case KEYS.types:
-        if (this.typesVersion >= item.version) return;
-        this.typesVersion = item.version;
-        this.types = readTypes(item.value) ?? this.types;
+        if (this.machineTypesVersion >= item.version) return;
+        this.machineTypesVersion = item.version;
+        this.machineTypes = readTypes(item.value) ?? this.machineTypes;
         break;
       case KEYS.modes:
-        if (this.modesVersion >= item.version) return;
-        this.modesVersion = item.version;
-        this.modes = readModes(item.value) ?? {};
+        if (this.machineModesVersion >= item.version) return;
+        this.machineModesVersion = item.version;
+        this.machineModes = readModes(item.value) ?? {};
         break;
       case KEYS.features:
         if (this.featuresVersion >= item.version) return;
@@ -139,8 +139,8 @@
         this.layout = Math.max(this.layout, readFeatures(item.value)?.layout ?? 1);
         break;
       case KEYS.move:
-        if (this.move && this.move.version >= item.version) return;
-        this.move = item;
+        if (this.migration && this.migration.version >= item.version) return;
+        this.migration = item;
         break;
       default:
         return;
@@ -155,11 +155,11 @@
         this.leader = null;
         break;
       case KEYS.move:
-        if (!this.move || this.move.version > version) return;
-        this.move = null;
+        if (!this.migration || this.migration.version > version) return;
+        this.migration = null;
         break;
       case KEYS.modes:
-        this.modes = {};
+        this.machineModes = {};
         break;
       case KEYS.settings:
         this.#ctx.settings = defaultOperator;
--- a/src/core/store/dirty-chunks.ts
+++ b/src/core/store/dirty-chunks.ts
@@ -24,10 +24,10 @@
   const end = Math.min(job.spec.tasks, first + count);
   for (let task = first; task < end; task++) {
     if (job.isDone(task)) content.done.push(task);
-    const placement = job.held.get(task);
+    const placement = job.placements.get(task);
     if (!placement) continue;
     content.placements.push(placement);
-    content.held.push([task, placement.machine.name, placement.session, placement.attempt]);
+    content.held.push([task, placement.machine.name, placement.incarnation, placement.attempt]);
   }
   return content;
 }
--- a/src/core/store/feature-gate.ts
+++ b/src/core/store/feature-gate.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
-import type { Term } from "../election/leader-lease.js";
-import type { ConfigView } from "./config-watch.js";
+import type { LeaderLease } from "../election/leader-lease.js";
+import type { ConfigWatch } from "./config-watch.js";
 import { KEYS, PROTOCOL } from "./records.js";
 
 const CALL_MS = 1500;
@@ -12,14 +12,14 @@
  */
 export class FeatureGate {
   readonly #ctx: Context;
-  readonly #view: ConfigView;
-  readonly #leader: () => Term | null;
+  readonly #view: ConfigWatch;
+  readonly #leader: () => LeaderLease | null;
   /** The protocol that each peer last said it speaks. */
   readonly #peers = new Map<string, number>();
   #writing = false;
   #retryAt = 0;
 
-  constructor(ctx: Context, view: ConfigView, leader: () => Term | null) {
+  constructor(ctx: Context, view: ConfigWatch, leader: () => LeaderLease | null) {
     this.#ctx = ctx;
     this.#view = view;
     this.#leader = leader;
@@ -30,12 +30,12 @@
   }
 
   /** What a peer's heartbeat says; nodes of the version before this one say nothing. */
-  peerSpeaks(node: string, protocol: number | undefined): void {
+  observePeerProtocol(node: string, protocol: number | undefined): void {
     this.#peers.set(node, protocol ?? 1);
   }
 
   /** True if this peer, by its last word, is yet to be upgraded. */
-  isOld(node: string): boolean {
+  isOlderPeer(node: string): boolean {
     return (this.#peers.get(node) ?? PROTOCOL) < PROTOCOL;
   }
 
@@ -47,23 +47,23 @@
   open(why: string): void {
     const term = this.#leader();
     const { now } = this.#ctx;
-    if (this.isOpen || this.#writing || !term || now < this.#retryAt || now >= term.confirmedUntil) return;
+    if (this.isOpen || this.#writing || !term || now < this.#retryAt || now >= term.validUntil) return;
     this.#writing = true;
     this.#retryAt = now + RETRY_MS;
     const value = { layout: PROTOCOL };
     const conditions = [
-      { key: KEYS.leader, version: term.version },
+      { key: KEYS.leader, version: term.leaderKeyVersion },
       { key: KEYS.features, version: this.#view.featuresVersion },
     ];
-    this.#ctx.state(
+    this.#ctx.callStore(
       { kind: "transaction", conditions, changes: [{ put: KEYS.features, value }] },
       CALL_MS,
       (answer) => {
         this.#writing = false;
-        if (answer.kind === "conflict") this.#view.refresh();
+        if (answer.kind === "conflict") this.#view.reread();
         if (answer.kind !== "ok") return;
         this.#ctx.log("info", "records are written in the layouts of this version", { why });
-        this.#view.note({ key: KEYS.features, value, version: answer.revision });
+        this.#view.apply({ key: KEYS.features, value, version: answer.revision });
       },
     );
   }
--- a/src/core/store/job-watch.ts
+++ b/src/core/store/job-watch.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { Leadership } from "../election/election.js";
+import type { Election } from "../election/election.js";
 import type { StoreEntry } from "../messages/store.js";
 import { type LoadedRecords, RecordReader, type RecordSource, type StoredRecords } from "./record-reader.js";
 import { KEYS } from "./records.js";
@@ -10,11 +10,11 @@
 const FOLLOW_GRACE_MS = 2000;
 
 /** Brings a leader the records that it begins with, then every change of a job's key. */
-export class StateFeed {
+export class JobWatch {
   /** Every change of a job's key before this time has been applied here; null before the records are read. */
-  knownThrough: number | null = null;
+  cancellationsKnownThrough: number | null = null;
   readonly #ctx: Context;
-  readonly #leadership: Leadership;
+  readonly #leadership: Election;
   readonly #learned: (item: StoreEntry) => void;
   readonly #reader: RecordReader;
   #revision = 0;
@@ -23,7 +23,7 @@
   #followAt = 0;
   #stopped = false;
 
-  constructor(ctx: Context, leadership: Leadership, learned: (item: StoreEntry) => void) {
+  constructor(ctx: Context, leadership: Election, learned: (item: StoreEntry) => void) {
     this.#ctx = ctx;
     this.#leadership = leadership;
     this.#learned = learned;
@@ -41,14 +41,14 @@
       if (this.#stopped) return;
       this.#revision = revision;
       then(records);
-      this.knownThrough = askedAt;
+      this.cancellationsKnownThrough = askedAt;
       this.#loaded = true;
     });
   }
 
   /** Calls this at a later tick. */
-  later(ms: number, run: () => void): void {
-    this.#reader.later(ms, run);
+  runAfter(ms: number, run: () => void): void {
+    this.#reader.runAfter(ms, run);
   }
 
   tick(): void {
@@ -58,17 +58,17 @@
 
   #follow(): void {
     this.#following = true;
-    const waitMs = Math.floor(this.#leadership.followMs);
+    const waitMs = Math.floor(this.#leadership.watchWaitMs);
     const call = { kind: "watch", prefix: KEYS.jobs, after: this.#revision, waitMs } as const;
     const askedAt = this.#ctx.now;
-    this.#ctx.state(call, waitMs + FOLLOW_GRACE_MS, (answer) => {
+    this.#ctx.callStore(call, waitMs + FOLLOW_GRACE_MS, (answer) => {
       if (this.#stopped) return;
       this.#following = false;
       this.#followAt = this.#ctx.now + FOLLOW_PAUSE_MS;
       if (answer.kind === "events") {
         for (const event of answer.events) if (event.kind === "put") this.#learned(event.entry);
         this.#revision = Math.max(this.#revision, answer.revision);
-        this.knownThrough = askedAt;
+        this.cancellationsKnownThrough = askedAt;
       } else if (answer.kind === "compacted") this.#readAnew();
       else this.#followAt = this.#ctx.now + RETRY_MS;
     });
@@ -81,7 +81,7 @@
       this.#following = false;
       this.#revision = revision;
       for (const item of items) this.#learned(item);
-      this.knownThrough = askedAt;
+      this.cancellationsKnownThrough = askedAt;
     });
   }
 }
--- a/src/core/store/machine-records.ts
+++ b/src/core/store/machine-records.ts
@@ -1,7 +1,7 @@
-import type { Tables } from "../model/cluster-state.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { Machine } from "../model/machine.js";
-import { BUCKET_MACHINES, type BucketRecord } from "./records.js";
-import { bytesOf } from "./store-limits.js";
+import { type BucketRecord, MAX_MACHINES_PER_RECORD } from "./records.js";
+import { encodedBytes } from "./store-limits.js";
 
 /** The machines that share a record. */
 export interface Bucket {
@@ -18,11 +18,11 @@
 
 /** Which record lists which machine: many share one, as one by one they would take a fleet's worth of writes. */
 export class MachineRecords {
-  readonly #tables: Tables;
+  readonly #tables: ClusterState;
   readonly #valueBytes: () => number;
   readonly #buckets: Bucket[] = [];
 
-  constructor(tables: Tables, valueBytes: () => number) {
+  constructor(tables: ClusterState, valueBytes: () => number) {
     this.#tables = tables;
     this.#valueBytes = valueBytes;
   }
@@ -62,7 +62,7 @@
   }
 
   #known(machine: Machine): Bucket | undefined {
-    return machine.bucket === null ? undefined : this.#buckets[machine.bucket];
+    return machine.recordIndex === null ? undefined : this.#buckets[machine.recordIndex];
   }
 
   #bucket(index: number): Bucket {
@@ -79,7 +79,7 @@
   #add(bucket: Bucket, machine: Machine): void {
     bucket.machines.add(machine);
     bucket.bytes += entryBytes(machine);
-    machine.bucket = bucket.index;
+    machine.recordIndex = bucket.index;
   }
 
   #remove(bucket: Bucket, machine: Machine): void {
@@ -89,7 +89,7 @@
 
   /** True if a record of so many machines and bytes may be written; one machine has to fit in any case. */
   #fits(machines: number, bytes: number): boolean {
-    return machines <= 1 || (machines <= BUCKET_MACHINES && bytes <= this.#valueBytes());
+    return machines <= 1 || (machines <= MAX_MACHINES_PER_RECORD && bytes <= this.#valueBytes());
   }
 
   #hasRoomFor({ machines, bytes }: Bucket, machine: Machine): boolean {
@@ -110,7 +110,7 @@
     const bucket = this.#withRoomFor(machine);
     this.#add(bucket, machine);
     for (const other of this.#tables.machines.values()) {
-      if (other.bucket !== null || other.phase !== "up" || other.address === "") continue;
+      if (other.recordIndex !== null || other.phase !== "up" || other.address === "") continue;
       if (!this.#hasRoomFor(bucket, other)) break;
       this.#add(bucket, other);
     }
@@ -137,7 +137,7 @@
 const ADDRESS_BYTES = 24;
 
 function entryBytes({ name, typeName, zone }: Machine): number {
-  return bytesOf([name, "", typeName, zone, false]) + ADDRESS_BYTES;
+  return encodedBytes([name, "", typeName, zone, false]) + ADDRESS_BYTES;
 }
 
 function entryOf({ name, address, typeName, zone, spot }: Machine): BucketRecord["machines"][number] {
--- a/src/core/store/quarantined-keys.ts
+++ b/src/core/store/quarantined-keys.ts
@@ -4,7 +4,7 @@
 const SET_ASIDE_MS = 10_000;
 
 /** Keys of records that can't be written: left out for a while, so that they hold up no other. */
-export class SetAside {
+export class QuarantinedKeys {
   readonly #ctx: Context;
   readonly #until = new Map<string, number>();
 
--- a/src/core/store/record-reader.ts
+++ b/src/core/store/record-reader.ts
@@ -79,14 +79,14 @@
     const next = (after: string | null, tries = 0) => {
       if (revision === null) firstAskedAt = this.#ctx.now;
       const waitMs = PAGE_MS[Math.min(tries, PAGE_MS.length - 1)] ?? 0;
-      this.#ctx.state({ kind: "list", prefix, after }, waitMs, (answer) => {
+      this.#ctx.callStore({ kind: "list", prefix, after }, waitMs, (answer) => {
         if (this.#stopped) return;
         if (answer.kind === "timeout") {
           next(after, tries + 1);
           return;
         }
         if (answer.kind !== "page") {
-          this.later(RETRY_MS, () => next(after));
+          this.runAfter(RETRY_MS, () => next(after));
           return;
         }
         revision ??= answer.revision;
@@ -100,7 +100,7 @@
   }
 
   /** Calls this at a later tick. */
-  later(ms: number, run: () => void): void {
+  runAfter(ms: number, run: () => void): void {
     this.#timers.push({ at: this.#ctx.now + ms, run });
   }
 
--- a/src/core/store/record-restore.ts
+++ b/src/core/store/record-restore.ts
@@ -1,21 +1,21 @@
 import type { Context } from "../context.js";
-import type { Pipelines } from "../jobs/dependency-graph.js";
+import type { DependencyGraph } from "../jobs/dependency-graph.js";
 import type { StoreEntry } from "../messages/store.js";
-import type { Tables } from "../model/cluster-state.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
-import type { Recorder } from "./record-writer.js";
+import type { RecordWriter } from "./record-writer.js";
 import { KEYS, readBucket } from "./records.js";
 import { readChunks, type StoredChunk } from "./stored-chunks.js";
 
 /** Puts what earlier leaders left on record into the tables of a new one. */
 export class RecordRestore {
   readonly #ctx: Context;
-  readonly #recorder: Recorder;
-  readonly #pipelines: Pipelines;
-  readonly #tables: Tables;
+  readonly #recorder: RecordWriter;
+  readonly #pipelines: DependencyGraph;
+  readonly #tables: ClusterState;
 
-  constructor(ctx: Context, tables: Tables, recorder: Recorder, pipelines: Pipelines) {
+  constructor(ctx: Context, tables: ClusterState, recorder: RecordWriter, pipelines: DependencyGraph) {
     this.#ctx = ctx;
     this.#tables = tables;
     this.#recorder = recorder;
@@ -23,7 +23,7 @@
   }
 
   /** The machines of one record. One that can't be read is told of, and kept. */
-  machines(item: StoreEntry): void {
+  restoreMachines(item: StoreEntry): void {
     const { now } = this.#ctx;
     const record = readBucket(item.value);
     const bucket = Number(item.key.slice(KEYS.machines.length));
@@ -37,23 +37,23 @@
       if (machine.phase === "booting") machine.phase = "up";
       listed.push(machine);
     }
-    this.#recorder.machines.inherit(bucket, listed, item.version);
+    this.#recorder.machineRecords.inherit(bucket, listed, item.version);
   }
 
   /** Puts what is on record as placed into the tables; returns how much that is. */
-  placements(chunks: readonly StoreEntry[]): number {
+  restorePlacements(chunks: readonly StoreEntry[]): number {
     const { found, unreadable } = readChunks(chunks);
     for (const { key, uid } of unreadable) {
       this.#ctx.log("error", "a record can't be read", { key });
       const job = this.#tables.jobByUid(uid);
       // What can't be read may be running: it is kept, and nothing of the job is started.
-      if (job) job.unreadable = true;
+      if (job) job.hasUnreadableRecord = true;
     }
     let held = 0;
     for (const [uid, records] of found) {
       const job = this.#tables.jobByUid(uid);
       // The job's final state was written while none of its tasks was left.
-      if (!job) for (const { key } of records) this.#recorder.discard(key);
+      if (!job) for (const { key } of records) this.#recorder.queueDeletion(key);
       else held += this.#restore(job, records);
     }
     return held;
@@ -71,7 +71,7 @@
         held++;
       }
     }
-    if (held > 0 || job.doneCount > 0) this.#pipelines.begun(job);
+    if (held > 0 || job.doneCount > 0) this.#pipelines.onJobBegun(job);
     return held;
   }
 
@@ -79,19 +79,19 @@
     const { now } = this.#ctx;
     const machine = this.#tables.machine(name, { address: "", type: "", zone: "", spot: false }, now);
     if (machine.phase === "booting") machine.phase = "up";
-    this.#tables.place({
+    this.#tables.addPlacement({
       job,
       task,
       machine,
-      session,
+      incarnation: session,
       attempt,
-      priority: job.priority,
-      durable: true,
-      allowedAt: Number.NEGATIVE_INFINITY,
+      priority: job.effectivePriority,
+      isRecorded: true,
+      notCancelledAsOf: Number.NEGATIVE_INFINITY,
       placedAt: now,
-      seen: null,
-      sentToken: 0,
-      sentAt: Number.NEGATIVE_INFINITY,
+      observedState: null,
+      startSentUnder: 0,
+      startSentAt: Number.NEGATIVE_INFINITY,
       runningSince: null,
       stop: null,
     });
--- a/src/core/store/record-writer.ts
+++ b/src/core/store/record-writer.ts
@@ -1,21 +1,21 @@
 import type { Context } from "../context.js";
-import type { Term } from "../election/leader-lease.js";
-import type { Tables } from "../model/cluster-state.js";
+import type { LeaderLease } from "../election/leader-lease.js";
+import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
 import type { Placement } from "../model/placement.js";
 import { contentOf, type DirtyChunk, DirtyChunks } from "./dirty-chunks.js";
 import { type Bucket, MachineRecords } from "./machine-records.js";
-import { SetAside } from "./quarantined-keys.js";
+import { QuarantinedKeys } from "./quarantined-keys.js";
 import {
   type ChunkRecord,
   chunkTasks,
   type FinalRecord,
   KEYS,
-  type MoveRecord,
-  NO_MOVE,
+  type MigrationRecord,
+  NO_MIGRATION,
   toRanges,
 } from "./records.js";
-import { type Batch, emptyBatch, itemsOf, WriteAllowance } from "./write-batch.js";
+import { type Batch, emptyBatch, itemsOf, WriteBudget } from "./write-batch.js";
 
 const CALL_MS = 1500;
 const RETRY_MS = 200;
@@ -29,15 +29,15 @@
 /** With fewer changes than this in one transaction, jobs that are over would wait for ever behind starts. */
 const LEAST_ROOM = 6;
 
-export interface RecorderEvents {
+export interface RecordWriterEvents {
   /** These placements are now on record; they may be started. */
-  recorded(placements: readonly Placement[]): void;
+  onPlacementsRecorded(placements: readonly Placement[]): void;
   /** The job's key has changed under us: it was cancelled, or is gone. */
-  jobChanged(job: Job): void;
-  finished(job: Job): void;
-  deposed(why: string): void;
+  onJobKeyChanged(job: Job): void;
+  onJobFinished(job: Job): void;
+  onLeadershipLost(why: string): void;
   /** The state service takes no records of this size: its limits have fallen. */
-  tooLarge(): void;
+  onRecordTooLarge(): void;
   /** The layout in which placements are recorded (see `chunkTasks`). */
   layout(): number;
 }
@@ -47,42 +47,48 @@
  * the versions last seen. An unanswered transaction is simply tried again with the same conditions: if the first
  * was executed after all, the conditions fail and the versions are read anew.
  */
-export class Recorder {
+export class RecordWriter {
   readonly #ctx: Context;
-  readonly #term: Term;
-  readonly #tables: Tables;
-  readonly #events: RecorderEvents;
+  readonly #term: LeaderLease;
+  readonly #tables: ClusterState;
+  readonly #events: RecordWriterEvents;
   readonly #chunks: DirtyChunks;
   /** So many records are written one by one, after a transaction that was refused for what is in it. */
   #oneByOne = 0;
-  readonly #setAside: SetAside;
+  readonly #setAside: QuarantinedKeys;
   readonly #finals = new Set<Job>();
   readonly #gone = new Set<string>();
-  readonly machines: MachineRecords;
-  #move: { value: MoveRecord | null; then: () => void } | null = null;
+  readonly machineRecords: MachineRecords;
+  #move: { value: MigrationRecord | null; then: () => void } | null = null;
   #moveVersion: number;
   #busy = false;
   #retryAt = 0;
-  readonly #allowance: WriteAllowance;
-  over = false;
+  readonly #allowance: WriteBudget;
+  isStopped = false;
 
-  constructor(ctx: Context, term: Term, tables: Tables, moveVersion: number, events: RecorderEvents) {
+  constructor(
+    ctx: Context,
+    term: LeaderLease,
+    tables: ClusterState,
+    moveVersion: number,
+    events: RecordWriterEvents,
+  ) {
     this.#moveVersion = moveVersion;
     this.#ctx = ctx;
     this.#term = term;
     this.#tables = tables;
     this.#events = events;
-    this.machines = new MachineRecords(tables, () => ctx.limits.valueBytes);
+    this.machineRecords = new MachineRecords(tables, () => ctx.limits.valueBytes);
     this.#chunks = new DirtyChunks(() => chunkTasks(events.layout(), ctx.limits.valueBytes));
-    this.#allowance = new WriteAllowance(ctx);
-    this.#setAside = new SetAside(ctx);
+    this.#allowance = new WriteBudget(ctx);
+    this.#setAside = new QuarantinedKeys(ctx);
   }
 
   get backlog(): number {
     return this.#chunks.size + this.#finals.size;
   }
 
-  touch(job: Job, task: number, urgent: boolean): void {
+  markDirty(job: Job, task: number, urgent: boolean): void {
     this.#chunks.touch(job, task, urgent, this.#ctx.now);
   }
 
@@ -91,22 +97,22 @@
     return this.#chunks.isDirty(job, task);
   }
 
-  finish(job: Job): void {
+  queueFinalRecord(job: Job): void {
     this.#finals.add(job);
   }
 
   /** Removes what an earlier leader left behind. */
-  discard(key: string): void {
+  queueDeletion(key: string): void {
     this.#gone.add(key);
   }
 
-  setMove(value: MoveRecord | null, then: () => void): void {
+  writeMigration(value: MigrationRecord | null, then: () => void): void {
     this.#move = { value, then };
   }
 
   flush(): void {
     const ctx = this.#ctx;
-    if (this.over || this.#busy || ctx.now < this.#retryAt || ctx.now >= this.#term.confirmedUntil) return;
+    if (this.isStopped || this.#busy || ctx.now < this.#retryAt || ctx.now >= this.#term.validUntil) return;
     this.#chunks.followLayout();
     const room = Math.min(ctx.limits.txnOps, this.#allowance.available());
     // Short of writes, transactions wait until there are enough for all that has to share them.
@@ -119,8 +125,8 @@
     const { conditions, changes } = batch;
     this.#chunks.writing = batch.chunks;
     const askedAt = ctx.now;
-    ctx.state({ kind: "transaction", conditions, changes }, CALL_MS, (answer) => {
-      if (this.over) return;
+    ctx.callStore({ kind: "transaction", conditions, changes }, CALL_MS, (answer) => {
+      if (this.isStopped) return;
       if (answer.kind !== "ok") this.#putBack(batch);
       this.#chunks.writing = [];
       switch (answer.kind) {
@@ -145,14 +151,14 @@
   }
 
   #build(room: number): Batch {
-    const batch = emptyBatch({ key: KEYS.leader, version: this.#term.version });
+    const batch = emptyBatch({ key: KEYS.leader, version: this.#term.leaderKeyVersion });
     if (this.#move) {
       batch.move = this.#move;
       this.#move = null;
       const { value } = batch.move;
       batch.conditions.push({ key: KEYS.move, version: this.#moveVersion });
       // Never removed: a key that is gone has version 0 again, and a late copy of an older record would pass.
-      batch.changes.push({ put: KEYS.move, value: value ?? NO_MOVE });
+      batch.changes.push({ put: KEYS.move, value: value ?? NO_MIGRATION });
     }
     // Starts first, with room left for what users wait to be told, then done marks whose time has come. Done marks
     // used to ride along with any start: at the grown sizes they took the writes that starts were waiting for.
@@ -164,7 +170,7 @@
       if (dirty.urgent || now - dirty.since >= LAZY_MAX_MS) urgent.push(dirty);
       else if (now - dirty.since >= LAZY_MS) lazy.push(dirty);
     }
-    urgent.sort((a, b) => b.job.priority - a.job.priority || a.since - b.since);
+    urgent.sort((a, b) => b.job.effectivePriority - a.job.effectivePriority || a.since - b.since);
     const jobs = new Set<Job>();
     const forFinals = Math.min(this.#finals.size * 2, Math.ceil(room / FINALS_PART));
     for (const dirty of urgent) {
@@ -186,7 +192,7 @@
     }
     // Machines that are gone are struck off when there is something else to write.
     if (batch.changes.length > 0 && this.#oneByOne === 0) {
-      for (const bucket of this.machines.changed()) {
+      for (const bucket of this.machineRecords.changed()) {
         if (batch.changes.length >= room || this.#isFull(batch)) break;
         if (!batch.buckets.includes(bucket)) this.#addBucket(batch, bucket);
       }
@@ -201,7 +207,7 @@
   /** Jobs that others wait for come first: the next of a pipeline starts once this one is on record as done. */
   #finalsInOrder(): Job[] {
     const finals = [...this.#finals].filter((job) => !this.#setAside.has(KEYS.job(job.uid)));
-    return finals.sort((a, b) => Number(b.dependents > 0) - Number(a.dependents > 0));
+    return finals.sort((a, b) => Number(b.dependentCount > 0) - Number(a.dependentCount > 0));
   }
 
   #addChunk(batch: Batch, dirty: DirtyChunk, room: number, jobs: Set<Job>): boolean {
@@ -209,7 +215,7 @@
     const { held, done, placements } = contentOf(job, range);
     const buckets = new Set<Bucket>();
     for (const { machine } of placements)
-      for (const bucket of this.machines.toWrite(machine))
+      for (const bucket of this.machineRecords.toWrite(machine))
         if (!batch.buckets.includes(bucket)) buckets.add(bucket);
     // Where they don't all fit beside it, the machines are on record first.
     for (const bucket of buckets) if (batch.changes.length < room) this.#addBucket(batch, bucket);
@@ -218,7 +224,7 @@
     // What another size of chunk has left empty needs no record.
     if (held.length === 0 && done.length === 0 && job.chunkVersions.size === 0) return true;
     const value: ChunkRecord = { held, done: toRanges(done) };
-    const starts = placements.some((placement) => !placement.durable);
+    const starts = placements.some((placement) => !placement.isRecorded);
     // A start depends on the job not having been cancelled since.
     if (starts && !jobs.has(job)) {
       jobs.add(job);
@@ -235,7 +241,7 @@
 
   #addBucket(batch: Batch, bucket: Bucket): void {
     const key = KEYS.bucket(bucket.index);
-    const value = this.machines.value(bucket);
+    const value = this.machineRecords.value(bucket);
     batch.conditions.push({ key, version: bucket.version });
     batch.changes.push({ put: key, value });
     batch.buckets.push(bucket);
@@ -263,20 +269,20 @@
     for (const bucket of batch.buckets) bucket.version = revision;
     for (const placement of batch.placements) {
       // Only a start makes the transaction depend on the job's key.
-      if (!placement.durable) placement.allowedAt = askedAt;
-      placement.durable = true;
+      if (!placement.isRecorded) placement.notCancelledAsOf = askedAt;
+      placement.isRecorded = true;
     }
     if (batch.move) this.#moveVersion = revision;
     batch.move?.then();
-    if (batch.placements.length > 0) this.#events.recorded(batch.placements);
+    if (batch.placements.length > 0) this.#events.onPlacementsRecorded(batch.placements);
     for (const job of batch.finals) {
       for (const key of job.chunkVersions.keys()) this.#gone.add(key);
-      this.#events.finished(job);
+      this.#events.onJobFinished(job);
     }
   }
 
   #putBack(batch: Batch): void {
-    for (const dirty of batch.chunks) if (this.#tables.jobs.has(dirty.job.ix)) this.#chunks.putBack(dirty);
+    for (const dirty of batch.chunks) if (this.#tables.jobs.has(dirty.job.index)) this.#chunks.putBack(dirty);
     for (const job of batch.finals) this.#finals.add(job);
     for (const key of batch.removed) this.#gone.add(key);
     for (const bucket of batch.buckets) bucket.dirty = true;
@@ -288,7 +294,7 @@
    * to come; one that is refused by itself is left out for a while, so that it holds up no other.
    */
   #refused(batch: Batch, why: string): void {
-    this.#events.tooLarge();
+    this.#events.onRecordTooLarge();
     const items = itemsOf(batch);
     this.#oneByOne = Math.max(this.#oneByOne, items);
     this.#retryAt = this.#ctx.now + RETRY_MS;
@@ -301,7 +307,7 @@
 
   #conflicted(batch: Batch, failed: readonly string[]): void {
     if (failed.includes(KEYS.leader)) {
-      this.#events.deposed("a transaction failed on the leader key");
+      this.#events.onLeadershipLost("a transaction failed on the leader key");
       return;
     }
     // Chunks may differ because an earlier, unanswered write of ours was executed: take the new version.
@@ -332,15 +338,15 @@
     for (const job of jobs) {
       this.#finals.delete(job);
       for (const dirty of batch.chunks) if (dirty.job === job) this.#chunks.delete(dirty.key);
-      this.#events.jobChanged(job);
+      this.#events.onJobKeyChanged(job);
     }
     if (waiting === 0) {
       done();
       return;
     }
     for (const { key, take } of stale) {
-      this.#ctx.state({ kind: "get", key }, CALL_MS, (answer) => {
-        if (this.over) return;
+      this.#ctx.callStore({ kind: "get", key }, CALL_MS, (answer) => {
+        if (this.isStopped) return;
         if (answer.kind === "found") take(answer.entry.version);
         else if (answer.kind === "notFound") take(0);
         if (--waiting === 0) done();
--- a/src/core/store/records.ts
+++ b/src/core/store/records.ts
@@ -1,7 +1,7 @@
 import * as v from "valibot";
 import type { MachineType } from "../model/deployment.js";
 import type { JobSpec } from "../model/job-spec.js";
-import { bytesOf } from "./store-limits.js";
+import { encodedBytes } from "./store-limits.js";
 
 /**
  * The durable records and their keys. Values carry names, never indices: they outlive every process.
@@ -25,7 +25,7 @@
   final: (uid: string) => `f/${uid}`,
   /** The placements of a range of a job's tasks, in the layout of its size. */
   chunk: (uid: string, { first, count }: TaskRange) =>
-    count === CHUNK_TASKS ? `p/${uid}/${first / count}` : `p/${uid}/${first}.${count}`,
+    count === MAX_TASKS_PER_CHUNK ? `p/${uid}/${first / count}` : `p/${uid}/${first}.${count}`,
   chunks: "p/",
   machines: "m/",
   bucket: (bucket: number) => `m/${bucket}`,
@@ -34,9 +34,9 @@
 /** What a task takes of a record, with names of ordinary length. */
 const BYTES_PER_TASK = 64;
 /** The size of a chunk in layout 1, and the largest in layout 2. */
-export const CHUNK_TASKS = 128;
+export const MAX_TASKS_PER_CHUNK = 128;
 /** The most machines in one record. */
-export const BUCKET_MACHINES = 48;
+export const MAX_MACHINES_PER_RECORD = 48;
 
 /** The protocol that this version speaks: 2 knows jobs that wait for others, and chunks of any size. */
 export const PROTOCOL = 2;
@@ -49,8 +49,8 @@
 
 /** How many tasks a chunk covers: in layout 1 always the same; from layout 2 on so many that it fits the value limit. */
 export function chunkTasks(layout: number, valueBytes: number): number {
-  if (layout < PROTOCOL) return CHUNK_TASKS;
-  return Math.max(1, Math.min(CHUNK_TASKS, Math.floor(valueBytes / BYTES_PER_TASK)));
+  if (layout < PROTOCOL) return MAX_TASKS_PER_CHUNK;
+  return Math.max(1, Math.min(MAX_TASKS_PER_CHUNK, Math.floor(valueBytes / BYTES_PER_TASK)));
 }
 
 /** The job and the tasks that a chunk's key names. */
@@ -58,7 +58,8 @@
   const found = /^p\/([^/]+)\/(\d+)(?:\.(\d+))?$/.exec(key);
   if (!found) return null;
   const [, uid = "", index = "", size] = found;
-  if (size === undefined) return { uid, range: { first: Number(index) * CHUNK_TASKS, count: CHUNK_TASKS } };
+  if (size === undefined)
+    return { uid, range: { first: Number(index) * MAX_TASKS_PER_CHUNK, count: MAX_TASKS_PER_CHUNK } };
   const range = { first: Number(index), count: Number(size) };
   return range.count > 0 ? { uid, range } : null;
 }
@@ -131,7 +132,7 @@
 const modesRecord = v.record(v.string(), v.picklist(["cordon", "drain"]));
 
 /** What the move's key holds while none is pending. */
-export const NO_MOVE = {};
+export const NO_MIGRATION = {};
 
 export type JobRecord = { state: "active" | "awaiting" | "cancelled"; acceptedAt: number; spec: JobSpec };
 export type FinalRecord = v.InferOutput<typeof finalRecord>;
@@ -139,7 +140,7 @@
 export type ChunkRecord = v.InferOutput<typeof chunkRecord>;
 export type BucketRecord = v.InferOutput<typeof bucketRecord>;
 export type LeaderRecord = v.InferOutput<typeof leaderRecord>;
-export type MoveRecord = v.InferOutput<typeof moveRecord>;
+export type MigrationRecord = v.InferOutput<typeof moveRecord>;
 
 function reader<T>(schema: v.GenericSchema<unknown, T>): (value: unknown) => T | null {
   return (value) => {
@@ -154,7 +155,7 @@
 export const readBucket = reader(bucketRecord);
 export const readLeader = reader(leaderRecord);
 export const readEpoch = reader(epochRecord);
-export const readMove = reader(moveRecord);
+export const readMigration = reader(moveRecord);
 export const readModes = reader(modesRecord);
 export const readFeatures = reader(featuresRecord);
 export const readTypes: (value: unknown) => MachineType[] | null = reader(v.array(machineType));
@@ -169,14 +170,14 @@
  */
 export function cancelledRecord({ acceptedAt, spec }: JobRecord, valueBytes: number): JobRecord {
   const whole: JobRecord = { state: "cancelled", acceptedAt, spec };
-  if (bytesOf(whole) <= valueBytes) return whole;
+  if (encodedBytes(whole) <= valueBytes) return whole;
   const { awaits: _, ...rest } = spec;
   return { ...whole, spec: { ...rest, types: null, zone: null, image: "", jobClass: "" } };
 }
 
 /** True if a job's record fits, also once it is cancelled. */
 export function fitsRecord(spec: JobSpec, acceptedAt: number, valueBytes: number): boolean {
-  return bytesOf({ state: "cancelled", acceptedAt, spec } satisfies JobRecord) <= valueBytes;
+  return encodedBytes({ state: "cancelled", acceptedAt, spec } satisfies JobRecord) <= valueBytes;
 }
 
 /** Turns task numbers, ascending, into ranges [first, last]. */
--- a/src/core/store/reread-job.ts
+++ b/src/core/store/reread-job.ts
@@ -13,7 +13,7 @@
 
 /** Reads a job's key and, where that is gone, its final one. */
 export function rereadJob(ctx: Context, uid: string, then: (found: Reread) => void): void {
-  ctx.state({ kind: "get", key: KEYS.job(uid) }, CALL_MS, (answer) => {
+  ctx.callStore({ kind: "get", key: KEYS.job(uid) }, CALL_MS, (answer) => {
     if (answer.kind === "found") then({ kind: "active", item: answer.entry });
     else if (answer.kind === "notFound") rereadFinal(ctx, uid, then);
     else then({ kind: "unknown" });
@@ -21,7 +21,7 @@
 }
 
 function rereadFinal(ctx: Context, uid: string, then: (found: Reread) => void): void {
-  ctx.state({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (answer) => {
+  ctx.callStore({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (answer) => {
     if (answer.kind !== "found") {
       then({ kind: "unknown" });
       return;
--- a/src/core/store/store-limits.ts
+++ b/src/core/store/store-limits.ts
@@ -13,7 +13,7 @@
  * operations keep to the smaller of both from the start: the fall is then no event. The rate of changes is the present
  * one until a 429 shows otherwise.
  */
-export class Limits {
+export class EffectiveStoreLimits {
   readonly #now: StoreLimits;
   readonly #next: StoreLimits | null;
   #throttledUntil = Number.NEGATIVE_INFINITY;
@@ -51,12 +51,12 @@
   }
 
   /** The state service has refused a call for its rate. */
-  throttled(now: number): void {
+  onThrottled(now: number): void {
     this.#throttledUntil = now + THROTTLED_MS;
   }
 }
 
 /** The bytes that a value takes in the state service. */
-export function bytesOf(value: unknown): number {
+export function encodedBytes(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
--- a/src/core/store/stored-chunks.ts
+++ b/src/core/store/stored-chunks.ts
@@ -1,5 +1,5 @@
 import type { StoreEntry } from "../messages/store.js";
-import { CHUNK_TASKS, type ChunkRecord, readChunk, readChunkKey, type TaskRange } from "./records.js";
+import { type ChunkRecord, MAX_TASKS_PER_CHUNK, readChunk, readChunkKey, type TaskRange } from "./records.js";
 
 export interface StoredPlacement {
   readonly task: number;
@@ -48,7 +48,7 @@
 
 /** A record of the largest size loses to any smaller one; among the others the newest is first. */
 function byWeight(a: Parsed, b: Parsed): number {
-  const largest = ({ range }: Parsed) => Number(range.count === CHUNK_TASKS);
+  const largest = ({ range }: Parsed) => Number(range.count === MAX_TASKS_PER_CHUNK);
   return largest(a) - largest(b) || b.version - a.version;
 }
 
--- a/src/core/store/write-batch.ts
+++ b/src/core/store/write-batch.ts
@@ -4,7 +4,7 @@
 import type { Placement } from "../model/placement.js";
 import type { DirtyChunk } from "./dirty-chunks.js";
 import type { Bucket } from "./machine-records.js";
-import type { MoveRecord } from "./records.js";
+import type { MigrationRecord } from "./records.js";
 
 /** The leader's part of the write limit; the rest is left to submissions and cancellations. */
 const SHARE = 0.8;
@@ -18,7 +18,7 @@
   readonly buckets: Bucket[];
   readonly finals: Job[];
   readonly removed: string[];
-  move: { readonly value: MoveRecord | null; readonly then: () => void } | null;
+  move: { readonly value: MigrationRecord | null; readonly then: () => void } | null;
   bytes: number;
 }
 
@@ -43,7 +43,7 @@
 }
 
 /** How many changes the leader may write at this moment: its part of the rate, with bursts of a second's worth. */
-export class WriteAllowance {
+export class WriteBudget {
   readonly #ctx: Context;
   #left: number;
   #at: number;
--- a/src/protocol/agents.ts
+++ b/src/protocol/agents.ts
@@ -1,6 +1,6 @@
 import * as v from "valibot";
 import type { AgentCommand, Heartbeat, HeartbeatReply, ReportedTask } from "../core/messages/agents.js";
-import type { Directory } from "../core/model/interner.js";
+import type { NameRegistry } from "../core/model/interner.js";
 import type { ExitReason, TaskState } from "../core/model/job-spec.js";
 
 /** Workers' reports and orders. Names become indices here, wire words the terms of the domain. */
@@ -50,7 +50,7 @@
 });
 
 /** Null for anything that is not a well-formed report. */
-export function decodeReport(body: unknown, directory: Directory): Heartbeat | null {
+export function decodeHeartbeat(body: unknown, directory: NameRegistry): Heartbeat | null {
   const result = v.safeParse(reportSchema, body);
   if (!result.success) return null;
   const report = result.output;
@@ -83,7 +83,7 @@
   };
 }
 
-export function encodeOrders(orders: readonly AgentCommand[], directory: Directory): unknown[] {
+export function encodeAgentCommands(orders: readonly AgentCommand[], directory: NameRegistry): unknown[] {
   return orders.map((order) => {
     const piece = `${directory.jobs.name(order.job)}/${order.task}`;
     const base = { verb: ORDER_WORDS[order.kind], piece, try: order.attempt };
@@ -91,24 +91,24 @@
   });
 }
 
-export function encodeDo(
+export function encodeCommandBatch(
   token: number,
   session: number,
   orders: readonly AgentCommand[],
-  directory: Directory,
+  directory: NameRegistry,
 ): Record<string, unknown> {
-  return { baton: token, shift: session, orders: encodeOrders(orders, directory) };
+  return { baton: token, shift: session, orders: encodeAgentCommands(orders, directory) };
 }
 
-export function encodeReportAnswer(
+export function encodeHeartbeatReply(
   answer: HeartbeatReply,
-  directory: Directory,
+  directory: NameRegistry,
 ): { status: number; body: Record<string, unknown> } {
   switch (answer.kind) {
     case "commands":
       return {
         status: 200,
-        body: { baton: answer.fencingToken, orders: encodeOrders(answer.commands, directory) },
+        body: { baton: answer.fencingToken, orders: encodeAgentCommands(answer.commands, directory) },
       };
     case "redirect":
       return { status: 421, body: answer.node === null ? {} : { steward: answer.node } };
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,6 +1,6 @@
 import * as v from "valibot";
 import type { CloudRequest, CloudResponse } from "../core/messages/cloud.js";
-import { offerOf } from "../core/model/resources.js";
+import { roundDownCapacity } from "../core/model/resources.js";
 
 const measure = v.pipe(v.number(), v.finite(), v.minValue(0));
 const typesSchema = v.object({
@@ -43,13 +43,13 @@
 };
 const PAGE = 500;
 
-export interface HttpCall {
+export interface HttpRequest {
   readonly method: "GET" | "POST" | "DELETE";
   readonly path: string;
   readonly body?: unknown;
 }
 
-export function encodeCloudCall(call: CloudRequest): HttpCall {
+export function encodeCloudRequest(call: CloudRequest): HttpRequest {
   switch (call.kind) {
     case "listTypes":
       return { method: "GET", path: "/machine_types" };
@@ -74,7 +74,7 @@
   }
 }
 
-export function decodeCloudAnswer(call: CloudRequest, status: number, body: unknown): CloudResponse {
+export function decodeCloudResponse(call: CloudRequest, status: number, body: unknown): CloudResponse {
   if (status === 503 && call.kind === "create") {
     const error = v.safeParse(errorSchema, body);
     if (error.success && error.output.error === "no capacity") return { kind: "noCapacity" };
@@ -88,7 +88,7 @@
         kind: "types",
         types: result.output.racks.map((rack) => ({
           name: rack.name,
-          size: offerOf(rack.cpus, rack.gpus ?? 0, rack.ram_gb),
+          size: roundDownCapacity(rack.cpus, rack.gpus ?? 0, rack.ram_gb),
           cacheGb: rack.cache_gb ?? 0,
           fetchGbPerS: rack.fetch_gb_per_s ?? 0,
           price: rack.hourly,
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,7 +1,7 @@
 import * as v from "valibot";
 import type { JobStatus } from "../core/messages/users.js";
 import type { JobShape, JobSpec, Priority } from "../core/model/job-spec.js";
-import { needOf } from "../core/model/resources.js";
+import { roundUpDemand } from "../core/model/resources.js";
 
 /** Jobs as users write them. The words of the wire end here. */
 
@@ -49,7 +49,7 @@
 }
 
 /** A submission's id, if it has a well-formed one, and its job or what is wrong with it. */
-export function parseJob(body: unknown): { uid: string | null; spec: JobSpec | string } {
+export function decodeJobSubmission(body: unknown): { uid: string | null; spec: JobSpec | string } {
   if (typeof body !== "object" || body === null || Array.isArray(body)) {
     return { uid: null, spec: "the body must be a JSON object" };
   }
@@ -71,7 +71,7 @@
     shape,
     priority,
     tasks: job.pieces,
-    need: needOf(job.cpus, job.gpus, job.ram_gb),
+    need: roundUpDemand(job.cpus, job.gpus, job.ram_gb),
     image: job.bundle,
     imageGb: job.size_gb,
     types: job.racks,
@@ -88,7 +88,7 @@
   return { uid: id, spec: awaits.length > 0 ? { ...spec, awaits } : spec };
 }
 
-export function encodeView(view: JobStatus): Record<string, unknown> {
+export function encodeJobStatus(view: JobStatus): Record<string, unknown> {
   const { uid, phase, done, running, awaits } = view;
   return awaits ? { uid, phase, done, running, awaits } : { uid, phase, done, running };
 }
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -1,6 +1,6 @@
 import * as v from "valibot";
 import type { StoreChange, StoreRequest, StoreResponse, WatchEvent } from "../core/messages/store.js";
-import type { HttpCall } from "./cloud.js";
+import type { HttpRequest } from "./cloud.js";
 
 const revision = v.object({ ledger: v.number() });
 const item = v.object({ path: v.string(), value: v.unknown(), stamp: v.number() });
@@ -25,7 +25,7 @@
   return change.leaseId === undefined ? put : { ...put, tenure: change.leaseId };
 }
 
-export function encodeStateCall(call: StoreRequest): HttpCall {
+export function encodeStoreRequest(call: StoreRequest): HttpRequest {
   switch (call.kind) {
     case "transaction":
       return {
@@ -57,7 +57,7 @@
   }
 }
 
-export function decodeStateAnswer(call: StoreRequest, status: number, body: unknown): StoreResponse {
+export function decodeStoreResponse(call: StoreRequest, status: number, body: unknown): StoreResponse {
   if (status === 429) return { kind: "throttled" };
   if (status === 503) return { kind: "unavailable", reason: `status ${status}` };
   if (status === 404) return { kind: "notFound" };
--- a/src/shell/api.ts
+++ b/src/shell/api.ts
@@ -3,10 +3,10 @@
 import type { AdminRequest, AdminResponse } from "../core/messages/administration.js";
 import type { UserResponse } from "../core/messages/users.js";
 import type { JobSpec } from "../core/model/job-spec.js";
-import { encodeView, isUid, parseJob } from "../protocol/jobs.js";
+import { decodeJobSubmission, encodeJobStatus, isUid } from "../protocol/jobs.js";
 import { parseJson } from "./http-client.js";
 import type { SocketShares } from "./sockets.js";
-import { WorkerSockets } from "./worker-sockets.js";
+import { AgentConnections } from "./worker-sockets.js";
 
 const BODY_LIMIT = 64 * 1024;
 const REPORT_PATH = "/agent/beat";
@@ -39,7 +39,7 @@
   const body = express.json({ limit: BODY_LIMIT, type: () => true, strict: false });
 
   app.post("/api/jobs", shed(handler), body, (req, res) => {
-    const { uid, spec } = parseJob(req.body);
+    const { uid, spec } = decodeJobSubmission(req.body);
     if (uid === null) json(res, 400, { error: typeof spec === "string" ? spec : "uid: missing" });
     else handler.submit(uid, spec, (answer) => reply(res, answer));
   });
@@ -90,7 +90,7 @@
     json(res, code, { error: code === 500 ? "internal error" : "malformed request" });
   });
 
-  const workers = new WorkerSockets(shares);
+  const workers = new AgentConnections(shares);
   const server = http.createServer({ keepAliveTimeout: 75_000 }, (req, res) => {
     if (req.method !== "POST" || req.url !== REPORT_PATH) {
       app(req, res);
@@ -148,10 +148,10 @@
 function reply(res: Response, answer: UserResponse): void {
   switch (answer.kind) {
     case "accepted":
-      json(res, answer.known ? 200 : 201, encodeView(answer.status));
+      json(res, answer.known ? 200 : 201, encodeJobStatus(answer.status));
       break;
     case "status":
-      json(res, 200, encodeView(answer.status));
+      json(res, 200, encodeJobStatus(answer.status));
       break;
     case "notFound":
       json(res, 404, { error: "no such job" });
--- a/src/shell/clients.ts
+++ b/src/shell/clients.ts
@@ -3,10 +3,10 @@
 import type { CloudRequest, CloudResponse } from "../core/messages/cloud.js";
 import type { Effect } from "../core/messages/effects.js";
 import type { StoreRequest, StoreResponse } from "../core/messages/store.js";
-import type { Directory } from "../core/model/interner.js";
-import { decodeReport, encodeDo } from "../protocol/agents.js";
-import { decodeCloudAnswer, encodeCloudCall } from "../protocol/cloud.js";
-import { decodeStateAnswer, encodeStateCall } from "../protocol/store.js";
+import type { NameRegistry } from "../core/model/interner.js";
+import { decodeHeartbeat, encodeCommandBatch } from "../protocol/agents.js";
+import { decodeCloudResponse, encodeCloudRequest } from "../protocol/cloud.js";
+import { decodeStoreResponse, encodeStoreRequest } from "../protocol/store.js";
 import { HttpClient } from "./http-client.js";
 
 const CLOUD_TIMEOUT_MS = 5000;
@@ -16,7 +16,7 @@
 const FOLLOWS = 6;
 
 /** The state service. Long-held follows have sockets of their own, so that they never delay a call. */
-export class StateClient {
+export class StoreClient {
   readonly #at: Endpoint;
   readonly #calls = new HttpClient(24);
   readonly #follows = new HttpClient(FOLLOWS);
@@ -27,8 +27,8 @@
 
   call(call: StoreRequest, timeoutMs: number, then: (answer: StoreResponse) => void): void {
     const client = call.kind === "watch" && call.waitMs > 0 ? this.#follows : this.#calls;
-    client.call(this.#at, encodeStateCall(call), timeoutMs, (answer) => {
-      then(answer === null ? { kind: "timeout" } : decodeStateAnswer(call, answer.status, answer.body));
+    client.call(this.#at, encodeStoreRequest(call), timeoutMs, (answer) => {
+      then(answer === null ? { kind: "timeout" } : decodeStoreResponse(call, answer.status, answer.body));
     });
   }
 }
@@ -42,17 +42,17 @@
   }
 
   call(call: CloudRequest, then: (answer: CloudResponse) => void): void {
-    this.#client.call(this.#at, encodeCloudCall(call), CLOUD_TIMEOUT_MS, (answer) => {
-      then(answer === null ? { kind: "timeout" } : decodeCloudAnswer(call, answer.status, answer.body));
+    this.#client.call(this.#at, encodeCloudRequest(call), CLOUD_TIMEOUT_MS, (answer) => {
+      then(answer === null ? { kind: "timeout" } : decodeCloudResponse(call, answer.status, answer.body));
     });
   }
 }
 
-export class WorkerClient {
+export class AgentClient {
   readonly #client: HttpClient;
-  readonly #directory: Directory;
+  readonly #directory: NameRegistry;
 
-  constructor(directory: Directory, maxSockets: number) {
+  constructor(directory: NameRegistry, maxSockets: number) {
     this.#client = new HttpClient(1, maxSockets);
     this.#directory = directory;
   }
@@ -62,11 +62,16 @@
     effect: Extract<Effect, { kind: "sendAgentCommands" }>,
     then: (report: Heartbeat | null, executed: boolean) => void,
   ): void {
-    const body = encodeDo(effect.fencingToken, effect.incarnation, effect.commands, this.#directory);
+    const body = encodeCommandBatch(
+      effect.fencingToken,
+      effect.incarnation,
+      effect.commands,
+      this.#directory,
+    );
     const call = { method: "POST", path: "/do", body } as const;
     this.#client.call(parseEndpoint(effect.address), call, WORKER_TIMEOUT_MS, (answer) => {
       if (answer === null || (answer.status !== 200 && answer.status !== 409)) then(null, false);
-      else then(decodeReport(answer.body, this.#directory), answer.status === 200);
+      else then(decodeHeartbeat(answer.body, this.#directory), answer.status === 200);
     });
   }
 }
--- a/src/shell/compile-ahead.ts
+++ b/src/shell/compile-ahead.ts
@@ -3,7 +3,7 @@
 import type { Command } from "../core/messages/commands.js";
 import { createServer } from "./api.js";
 import { openLog } from "./log.js";
-import { Loop } from "./loop.js";
+import { ControllerLoop } from "./loop.js";
 import { shareSockets } from "./sockets.js";
 
 /** The least that the settings check accepts; nothing is opened or sent. */
@@ -29,10 +29,10 @@
 export function compileAhead(): void {
   const settings = parseSettings(SAMPLE);
   const identity = { incarnation: "sample", seed: 1, epochMs: 0 };
-  const loop = new Loop(settings, identity, openLog("error", settings.deployment.node));
+  const loop = new ControllerLoop(settings, identity, openLog("error", settings.deployment.node));
   createServer(loop, shareSockets(settings.maxConnections));
   const controller = new Controller(settings.deployment, identity);
-  const budget = { spent: () => false };
+  const budget = { isSpent: () => false };
   for (let i = 0; i < TICKS; i++) {
     const answers: Command[] = [{ kind: "tick" }];
     for (const effect of controller.handle(answers, i * TICK_MS, budget)) {
--- a/src/shell/http-client.ts
+++ b/src/shell/http-client.ts
@@ -1,7 +1,7 @@
 import http from "node:http";
 import type { Socket } from "node:net";
 import type { Endpoint } from "../config/settings.js";
-import type { HttpCall } from "../protocol/cloud.js";
+import type { HttpRequest } from "../protocol/cloud.js";
 
 export interface HttpAnswer {
   readonly status: number;
@@ -60,7 +60,7 @@
     this.#sockets.set(socket, true);
   }
 
-  call(to: Endpoint, call: HttpCall, timeoutMs: number, then: (answer: HttpAnswer | null) => void): void {
+  call(to: Endpoint, call: HttpRequest, timeoutMs: number, then: (answer: HttpAnswer | null) => void): void {
     if (!this.#hasIdle(to) && !this.#makeRoom()) {
       setImmediate(() => then(null));
       return;
