--- a/src/shell/loop.ts
+++ b/src/shell/loop.ts
@@ -1,6 +1,6 @@
 import { buffer, interval, Subject } from "rxjs";
 import type { Settings } from "../config/settings.js";
-import type { Budget } from "../core/context.js";
+import type { TimeBudget } from "../core/context.js";
 import { Controller, type Identity } from "../core/controller.js";
 import type { AdminRequest, AdminResponse } from "../core/messages/administration.js";
 import type { Command } from "../core/messages/commands.js";
@@ -8,9 +8,9 @@
 import type { ForwardedHeartbeat, ForwardedReply, PeerMessage } from "../core/messages/peers.js";
 import type { UserResponse } from "../core/messages/users.js";
 import type { JobSpec } from "../core/model/job-spec.js";
-import { decodeReport, encodeReportAnswer } from "../protocol/agents.js";
+import { decodeHeartbeat, encodeHeartbeatReply } from "../protocol/agents.js";
 import type { RequestHandler } from "./api.js";
-import { CloudClient, StateClient, WorkerClient } from "./clients.js";
+import { AgentClient, CloudClient, StoreClient } from "./clients.js";
 import type { Log } from "./log.js";
 import { renderMetrics } from "./metrics.js";
 import { Peers } from "./peers.js";
@@ -27,12 +27,12 @@
 const GATHER_MS = 25;
 
 /** Owns the controller: everything that happens becomes a command in one queue, worked off in batches. */
-export class Loop implements RequestHandler {
+export class ControllerLoop implements RequestHandler {
   readonly #controller: Controller;
   readonly #log: Log;
-  readonly #state: StateClient;
+  readonly #state: StoreClient;
   readonly #cloud: CloudClient;
-  readonly #workers: WorkerClient;
+  readonly #workers: AgentClient;
   readonly #peers: Peers;
   readonly #commands = new Subject<Command>();
   readonly #flush = new Subject<void>();
@@ -54,10 +54,10 @@
     this.#log = log;
     this.#nextRequest = (identity.seed >>> 0) * 2 ** 20 + 1;
     this.#controller = new Controller(settings.deployment, identity);
-    this.#state = new StateClient(settings.state);
+    this.#state = new StoreClient(settings.state);
     this.#cloud = new CloudClient(settings.cloud);
     const { workersOut } = shareSockets(settings.maxConnections);
-    this.#workers = new WorkerClient(this.#controller.directory, workersOut);
+    this.#workers = new AgentClient(this.#controller.names, workersOut);
     this.#peers = new Peers(settings, {
       link: (node, up) => {
         this.#push({ kind: "peerLinkChanged", node, up });
@@ -93,7 +93,7 @@
   #work(batch: readonly Command[]): void {
     const now = performance.now();
     const end = now + this.#controller.ctx.settings.round_budget_ms;
-    const budget: Budget = { spent: () => performance.now() >= end };
+    const budget: TimeBudget = { isSpent: () => performance.now() >= end };
     this.batches++;
     for (const effect of this.#controller.handle(batch, now, budget)) this.#runGuarded(effect);
     for (const [to, list] of this.#answering)
@@ -119,12 +119,12 @@
         take(this.#admins, effect.requestId)?.(effect.response);
         break;
       case "replyToAgent": {
-        const { status, body } = encodeReportAnswer(effect.reply, this.#controller.directory);
+        const { status, body } = encodeHeartbeatReply(effect.reply, this.#controller.names);
         take(this.#reports, effect.requestId)?.(status, body);
         break;
       }
       case "replyToForwardedHeartbeat": {
-        const { status, body } = encodeReportAnswer(effect.reply, this.#controller.directory);
+        const { status, body } = encodeHeartbeatReply(effect.reply, this.#controller.names);
         append(this.#answering, effect.to, { id: effect.id, status, body });
         break;
       }
@@ -200,7 +200,7 @@
     switch (message.kind) {
       case "forwardedHeartbeats":
         for (const { id, body } of message.heartbeats) {
-          const report = decodeReport(body, this.#controller.directory);
+          const report = decodeHeartbeat(body, this.#controller.names);
           if (report) this.#push({ kind: "forwardedHeartbeat", from, id, heartbeat: report });
         }
         break;
@@ -244,7 +244,7 @@
   }
 
   report(body: unknown, then: (status: number, body: unknown) => void): boolean {
-    const report = decodeReport(body, this.#controller.directory);
+    const report = decodeHeartbeat(body, this.#controller.names);
     if (!report) return false;
     this.#push({
       kind: "heartbeat",
--- a/src/shell/metrics.ts
+++ b/src/shell/metrics.ts
@@ -16,7 +16,7 @@
   gauge("batches_total", "Batches of commands worked off", loop.batches);
   gauge("lag_ms", "How late the last tick came", loop.lagMs);
   gauge("users_waiting", "Requests of users that await their answer", loop.waiting);
-  const { standby, takeover } = controller.succession;
+  const { standby, takeover } = controller.failover;
   if (standby) {
     gauge("standby_warm", "1 if this node could lead from its cache of the records", standby.warm ? 1 : 0);
     gauge("standby_records", "Records in the cache", standby.records);
@@ -61,10 +61,14 @@
   }
   const { leaderTerm } = controller;
   if (leaderTerm) {
-    const machines = [...leaderTerm.tables.machines.values()];
-    gauge("token", "The token that everything sent carries", leaderTerm.term.token);
-    gauge("jobs", "Jobs that are not over", leaderTerm.tables.jobs.size);
-    gauge("machines_up", "Machines that report", machines.filter((m) => m.phase === "up" && !m.lost).length);
+    const machines = [...leaderTerm.cluster.machines.values()];
+    gauge("token", "The token that everything sent carries", leaderTerm.lease.fencingToken);
+    gauge("jobs", "Jobs that are not over", leaderTerm.cluster.jobs.size);
+    gauge(
+      "machines_up",
+      "Machines that report",
+      machines.filter((m) => m.phase === "up" && !m.isLeaseExpired).length,
+    );
     gauge(
       "machines_booting",
       "Machines hired but not up",
@@ -79,21 +83,21 @@
     gauge(
       "rounds_cut_total",
       "Rounds that went over their time and were gone on with",
-      leaderTerm.scheduler.roundsCut,
+      leaderTerm.scheduler.interruptedRounds,
     );
     gauge(
       "machines_looked_at_total",
       "Machines looked at in search of places",
-      leaderTerm.scheduler.candidates.looked,
+      leaderTerm.scheduler.feasibleMachines.machinesExamined,
     );
-    gauge("reports_compared_total", "Reports that said something new", leaderTerm.fleet.reconciled);
+    gauge("reports_compared_total", "Reports that said something new", leaderTerm.agents.reconciliations);
     gauge(
       "machines_unreachable",
       "Machines that report but do not hear",
       machines.filter((m) => m.unreachableSince !== null).length,
     );
-    gauge("moves_total", "Moves begun in this term", leaderTerm.rebalancer.moves);
-    gauge("unwritten", "Records that wait to be written", leaderTerm.recorder.backlog);
+    gauge("moves_total", "Moves begun in this term", leaderTerm.migrator.startedMigrations);
+    gauge("unwritten", "Records that wait to be written", leaderTerm.recordWriter.backlog);
   }
   return { type: registry.contentType, text: await registry.metrics() };
 }
--- a/src/shell/serve.ts
+++ b/src/shell/serve.ts
@@ -2,7 +2,7 @@
 import { loadSettings } from "../config/settings.js";
 import { createServer } from "./api.js";
 import { openLog } from "./log.js";
-import { Loop } from "./loop.js";
+import { ControllerLoop } from "./loop.js";
 import { openFilesProblem } from "./open-files.js";
 import { shareSockets } from "./sockets.js";
 
@@ -40,7 +40,7 @@
     log.error({ error: error.message }, "cannot listen");
     process.exit(1);
   };
-  const loop = new Loop(settings, identity, log);
+  const loop = new ControllerLoop(settings, identity, log);
   const shares = shareSockets(settings.maxConnections);
   const server = createServer(loop, shares);
   server.on("error", failed);
--- a/src/shell/worker-sockets.ts
+++ b/src/shell/worker-sockets.ts
@@ -10,7 +10,7 @@
  * the worker opens another one for its next report. Only when so many reports wait for their answers that probes and users would
  * be turned away is a report refused, and its worker sent to the next node.
  */
-export class WorkerSockets {
+export class AgentConnections {
   readonly #shares: SocketShares;
   readonly #open = new Set<Socket>();
 
--- a/src/standby/cache-feed.ts
+++ b/src/standby/cache-feed.ts
@@ -70,7 +70,7 @@
     const after = this.#cache.through(this.#prefix);
     const waitMs = this.progress.kind === "behind" ? 0 : FOLLOW_MS;
     const call = { kind: "watch", prefix: this.#prefix, after, waitMs } as const;
-    this.#ctx.state(call, waitMs + FOLLOW_GRACE_MS, (answer) => {
+    this.#ctx.callStore(call, waitMs + FOLLOW_GRACE_MS, (answer) => {
       if (this.#stopped) return;
       this.#pause(this.#takeChanges(answer, after) ? PAUSE_MS : RETRY_MS);
     });
--- a/src/standby/failover-timeline.ts
+++ b/src/standby/failover-timeline.ts
@@ -3,7 +3,7 @@
 export type Phase = (typeof PHASES)[number];
 
 /** When each step of this node's last takeover came. */
-export class Takeover {
+export class FailoverTimeline {
   readonly #at = new Map<Phase, number>();
   /** Where the records came from. */
   source: "cold" | "warm" | null = null;
--- a/src/standby/failover.ts
+++ b/src/standby/failover.ts
@@ -2,7 +2,7 @@
 import type { AgentCommand } from "../core/messages/agents.js";
 import type { Effect } from "../core/messages/effects.js";
 import type { RecordSource } from "../core/store/record-reader.js";
-import { Takeover } from "./failover-timeline.js";
+import { FailoverTimeline } from "./failover-timeline.js";
 import { type PeerStandby, standsBy, type Warmth } from "./role.js";
 import { Standby, type StandbyReport } from "./standby.js";
 
@@ -15,9 +15,9 @@
 }
 
 /** Who leads next, and from which records: this node's part in it. */
-export class Succession {
+export class Failover {
   /** The steps of this node's last takeover. */
-  readonly takeover = new Takeover();
+  readonly timeline = new FailoverTimeline();
   readonly #ctx: Context;
   readonly #peers: Peers;
   /** Null where the standby is not switched on. */
@@ -43,16 +43,16 @@
   }
 
   /** The leader's key is gone. */
-  vacant(): void {
-    this.takeover.begin(this.#ctx.now);
+  onLeaderKeyRemoved(): void {
+    this.timeline.begin(this.#ctx.now);
   }
 
-  elected(): void {
-    this.takeover.note("elected", this.#ctx.now);
+  onElected(): void {
+    this.timeline.note("elected", this.#ctx.now);
   }
 
   /** A node that could lead from its cache stands at once; the others leave it a moment. */
-  deferMs(leader: string | null): number {
+  campaignDelayMs(leader: string | null): number {
     if (!this.#standby || this.#standby.warmth === "warm") return 0;
     const isOtherWarm = this.#peers
       .standbys()
@@ -63,9 +63,9 @@
   /** Where the term that began at this revision takes its records from. */
   source(revision: number, cold: RecordSource): RecordSource {
     const chosen = (source: "warm" | "cold", why: string | null) => {
-      this.takeover.source = source;
-      this.takeover.why = why;
-      this.takeover.note("confirmed", this.#ctx.now);
+      this.timeline.source = source;
+      this.timeline.why = why;
+      this.timeline.note("confirmed", this.#ctx.now);
     };
     this.#standsBy = false;
     if (this.#standby) return this.#standby.source(revision, cold, { chosen });
@@ -75,14 +75,14 @@
 
   /** Notes what the leader's effects show of its takeover. */
   noteEffects(effects: readonly Effect[], isReady: boolean): void {
-    if (this.takeover.isOver) return;
+    if (this.timeline.isOver) return;
     const { now } = this.#ctx;
-    if (isReady) this.takeover.note("ready", now);
+    if (isReady) this.timeline.note("ready", now);
     for (const effect of effects) {
       const orders = ordersOf(effect);
       if (orders === null) continue;
-      if (effect.kind !== "sendAgentCommands") this.takeover.note("firstAnswer", now);
-      if (orders.some(({ kind: op }) => op === "start")) this.takeover.note("firstStart", now);
+      if (effect.kind !== "sendAgentCommands") this.timeline.note("firstAnswer", now);
+      if (orders.some(({ kind: op }) => op === "start")) this.timeline.note("firstStart", now);
     }
   }
 
@@ -93,7 +93,7 @@
 
   /** For the status. */
   status(newest: number): Record<string, unknown> {
-    const takeover = this.takeover.report();
+    const takeover = this.timeline.report();
     const report = this.standbyReport(newest);
     if (report === null) return { takeover };
     const { warm, lagRevisions, lagS, ...rest } = report;
--- a/src/standby/standby.ts
+++ b/src/standby/standby.ts
@@ -69,7 +69,7 @@
         break;
       case "following":
         if (this.#cache.isTooLarge) this.#giveUp(this.#state.feed);
-        else if (now >= this.#pausedUntil && this.#ctx.stateFailingSince === null) this.#state.feed.tick();
+        else if (now >= this.#pausedUntil && this.#ctx.storeFailingSince === null) this.#state.feed.tick();
         break;
       case "tooLarge":
         if (now >= this.#state.until) this.#state = { kind: "idle" };
--- a/src/standby/warm-start.ts
+++ b/src/standby/warm-start.ts
@@ -71,7 +71,7 @@
       return;
     }
     const after = this.#cache.through(prefix);
-    this.#ctx.state({ kind: "watch", prefix, after, waitMs: 0 }, timeoutMs, (answer) => {
+    this.#ctx.callStore({ kind: "watch", prefix, after, waitMs: 0 }, timeoutMs, (answer) => {
       const refusal = this.#takeProof(answer, prefix, after);
       if (refusal === "no answer") this.#confirm(prefix, tries + 1, then);
       else then(refusal);
--- a/test/admission-slices.test.ts
+++ b/test/admission-slices.test.ts
@@ -6,8 +6,8 @@
 import { policyOf } from "../src/admission/policy.js";
 import { defaultOperator, type OperatorSettings } from "../src/config/operator.js";
 import { Context } from "../src/core/context.js";
-import { Directory } from "../src/core/model/interner.js";
-import { int, seeded } from "../src/core/random.js";
+import { NameRegistry } from "../src/core/model/interner.js";
+import { randomInt, seededRandom } from "../src/core/random.js";
 import { deployment, NODES } from "./support/deployment.js";
 
 const BEAT_MS = 1000;
@@ -42,7 +42,7 @@
   constructor(settings: Partial<OperatorSettings> = {}, teams = deployment("n0").teams) {
     this.#settings = { ...defaultOperator, ...settings };
     this.nodes = NODES.map((name, i) => {
-      const ctx = new Context({ ...deployment(name), teams }, new Directory(), seeded(1), 0);
+      const ctx = new Context({ ...deployment(name), teams }, new NameRegistry(), seededRandom(1), 0);
       ctx.settings = this.#settings;
       const drift = 1 + (i - 1) * 0.0005;
       return { name, ctx, admission: new Admission(ctx, `p${this.#processes++}`), drift, inbox: [] };
@@ -159,13 +159,13 @@
   const teams = ["red", ...quiet].map((name) => ({ ...red, name }));
   const cluster = new Cluster({ admission_rate: 4 }, teams);
   cluster.beats(20);
-  const random = seeded(7);
+  const random = seededRandom(7);
   let [asked, refused] = [0, 0];
   for (let second = 0; second < 120; second++) {
     cluster.beat();
     for (const { name } of cluster.nodes) cluster.submit(name, "red", 15);
     for (const team of quiet) {
-      const node = cluster.nodes[int(random, 0, NODES.length - 1)];
+      const node = cluster.nodes[randomInt(random, 0, NODES.length - 1)];
       if (!node) continue;
       asked++;
       if (cluster.submit(node.name, team, 1) === 0) refused++;
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { Turns } from "../src/admission/round-robin-turns.js";
+import { RoundRobinTurns } from "../src/admission/round-robin-turns.js";
 import type { UserResponse } from "../src/core/messages/users.js";
 import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peers.js";
 import { renderMetrics } from "../src/shell/metrics.js";
@@ -184,37 +184,37 @@
 interface Waiting {
   readonly uid: number;
   readonly spec: { readonly team: string; readonly jobClass: string };
-  readonly since: number;
+  readonly queuedSince: number;
 }
 
-function waiting(uid: number, team: string, jobClass: string, since: number): Waiting {
-  return { uid, spec: { team, jobClass }, since };
+function waiting(uid: number, team: string, jobClass: string, queuedSince: number): Waiting {
+  return { uid, spec: { team, jobClass }, queuedSince };
 }
 
 test("property: no more than one job of each other line goes before a line's oldest, whatever the lines are made of", () => {
   const line = fc.record({
     team: fc.constantFrom("a", "b", "c"),
     jobClass: fc.constantFrom("x", "y"),
-    since: fc.integer({ min: 0, max: 200_000 }),
+    queuedSince: fc.integer({ min: 0, max: 200_000 }),
   });
   fc.assert(
     fc.property(
       fc.array(line, { minLength: 1, maxLength: 60 }),
       fc.integer({ min: 0, max: 300_000 }),
       (list, now) => {
-        const jobs = list.map(({ team, jobClass, since }, i) =>
-          waiting(i, team, jobClass, Math.min(since, now)),
+        const jobs = list.map(({ team, jobClass, queuedSince }, i) =>
+          waiting(i, team, jobClass, Math.min(queuedSince, now)),
         );
-        const turns = new Turns();
+        const turns = new RoundRobinTurns();
         const due = turns.due(jobs, TURN_MS, now);
         const lines = new Set([...due].map(({ spec }) => `${spec.team} ${spec.jobClass}`));
         assert.equal(lines.size, due.size, "one of each line");
         for (const one of jobs) {
           const older = jobs.filter(
-            ({ spec, since }) =>
-              spec.team === one.spec.team && spec.jobClass === one.spec.jobClass && since < one.since,
+            ({ spec, queuedSince }) =>
+              spec.team === one.spec.team && spec.jobClass === one.spec.jobClass && queuedSince < one.queuedSince,
           );
-          if (older.length === 0 && now - one.since >= TURN_MS)
+          if (older.length === 0 && now - one.queuedSince >= TURN_MS)
             assert.ok(
               [...due].some(({ spec }) => spec.team === one.spec.team && spec.jobClass === one.spec.jobClass),
             );
@@ -233,7 +233,7 @@
 });
 
 test("a line's turn comes once nothing of it has begun for so long, and goes when something has", () => {
-  const turns = new Turns();
+  const turns = new RoundRobinTurns();
   const flood = Array.from({ length: 1000 }, (_, i) => waiting(i, "a", "x", i));
   const huge = waiting(9999, "b", "y", 500);
   turns.began(waiting(-1, "a", "x", 0), 59_000);
@@ -254,7 +254,7 @@
   /** Small jobs keep coming, and each ends within a second. */
   const play = (b: Bench, seconds: number) => {
     for (let s = 0; s < seconds && begun() === 0; s++) {
-      const jobs = [...(b.core.leaderTerm?.tables.jobs.values() ?? [])];
+      const jobs = [...(b.core.leaderTerm?.cluster.jobs.values() ?? [])];
       for (let missing = 12 - jobs.filter((j) => j.pending > 0).length; missing > 0; missing--)
         b.submit(job(`j-${uid++}`, { tasks: 1, estimateS: 1, team: "red" }));
       beat(b, held, {}, 1);
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { tokenOf } from "../src/core/model/attempt-number.js";
-import { isAged } from "../src/core/scheduling/queue-order.js";
-import { Estimates } from "../src/core/scheduling/runtime-estimates.js";
+import { fencingTokenOf } from "../src/core/model/attempt-number.js";
+import { isStarving } from "../src/core/scheduling/queue-order.js";
+import { RuntimeEstimates } from "../src/core/scheduling/runtime-estimates.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { beat, live, settle } from "./support/scripted-agents.js";
 
@@ -49,7 +49,7 @@
   const starts = b.starts("j-1");
   assert.deepEqual(starts.map((s) => s.machine).sort(), ["A", "C"]);
   assert.equal(new Set(starts.map((s) => s.attempt)).size, 1);
-  assert.ok(tokenOf(starts[0]?.attempt ?? 0) > 0);
+  assert.ok(fencingTokenOf(starts[0]?.attempt ?? 0) > 0);
 });
 
 test("the rest of a broken gang is stopped, and nothing of it starts before all is gone", () => {
@@ -136,7 +136,7 @@
   b.budget = () => true;
   for (let i = 1; i <= 5; i++) b.submit(job(`j-${i}`));
   settle(b, held);
-  assert.ok((b.core.leaderTerm?.scheduler.roundsCut ?? 0) > 0);
+  assert.ok((b.core.leaderTerm?.scheduler.interruptedRounds ?? 0) > 0);
   for (let i = 1; i <= 5; i++) {
     const n = ["A", "B"].reduce((sum, name) => sum + live(held, name, `j-${i}`).length, 0);
     assert.equal(n, 1, `j-${i}`);
@@ -153,10 +153,11 @@
     b.answerDo("A", [{ uid, task: 0, attempt, state: "ended", cause: "error" }]);
     b.pass(200);
     b.unanswered.splice(0);
-    for (const machine of b.core.leaderTerm?.tables.machines.values() ?? []) machine.doInFlight = false;
+    for (const machine of b.core.leaderTerm?.cluster.machines.values() ?? [])
+      machine.isCommandInFlight = false;
   }
   assert.equal(
-    [...(b.core.leaderTerm?.tables.machines.values() ?? [])].find((m) => m.name === "A")?.mode,
+    [...(b.core.leaderTerm?.cluster.machines.values() ?? [])].find((m) => m.name === "A")?.mode,
     "drain",
   );
 });
@@ -190,7 +191,7 @@
   assert.equal(new Set(names).size, 1);
   b.cloudRule = (call) => (call.kind === "create" ? { kind: "created", machines: ["H"] } : rest(call));
   b.pass(1500);
-  assert.ok([...(b.core.leaderTerm?.tables.machines.values() ?? [])].some((m) => m.name === "H"));
+  assert.ok([...(b.core.leaderTerm?.cluster.machines.values() ?? [])].some((m) => m.name === "H"));
 });
 
 test("operators' settings: stored, effective at once, and nothing changes on a bad value", () => {
@@ -251,7 +252,7 @@
   b.submit(job("j-11", { shape: "service", priority: 3, estimateS: 0 }));
   settle(b, held);
   beat(b, held, {}, 60);
-  assert.equal(b.core.leaderTerm?.rebalancer.moves, 0, "B is as cold as A");
+  assert.equal(b.core.leaderTerm?.migrator.startedMigrations, 0, "B is as cold as A");
 });
 
 test("move: a new leader finishes the recorded one first", () => {
@@ -260,13 +261,14 @@
   const next = new Bench("n1", b.state);
   next.now = b.now + 60_000;
   next.lead();
-  assert.equal(next.core.leaderTerm?.rebalancer.pending?.job, "j-11");
+  assert.equal(next.core.leaderTerm?.migrator.pending?.job, "j-11");
   next.unanswered.splice(0);
-  for (const machine of next.core.leaderTerm?.tables.machines.values() ?? []) machine.doInFlight = false;
+  for (const machine of next.core.leaderTerm?.cluster.machines.values() ?? [])
+    machine.isCommandInFlight = false;
   beat(next, held, {}, 34);
   assert.equal(live(held, "A", "j-11").length, 0);
   assert.equal(live(held, "B", "j-11").length, 1);
-  assert.equal(next.core.leaderTerm?.rebalancer.moves, 0, "it began none of its own before");
+  assert.equal(next.core.leaderTerm?.migrator.startedMigrations, 0, "it began none of its own before");
 });
 
 test("machines of a zone that is cut off are kept, also while they come back one by one; a single silent one is not", () => {
@@ -334,14 +336,14 @@
 });
 
 test("estimates are corrected by class from what was observed", () => {
-  const estimates = new Estimates();
+  const estimates = new RuntimeEstimates();
   const spec = job("j-1", { estimateS: 100, jobClass: "work" });
-  assert.equal(estimates.of(spec), 100);
+  assert.equal(estimates.estimateS(spec), 100);
   for (let i = 0; i < 30; i++) estimates.observe(spec, 200);
-  assert.ok(Math.abs(estimates.of(spec) - 200) < 10, `${estimates.of(spec)}`);
+  assert.ok(Math.abs(estimates.estimateS(spec) - 200) < 10, `${estimates.estimateS(spec)}`);
   estimates.observe(spec, 1e9);
-  assert.ok(estimates.of(spec) < 240, "one odd task");
-  assert.equal(estimates.of(job("j-2", { estimateS: 100, jobClass: "other" })), 100);
+  assert.ok(estimates.estimateS(spec) < 240, "one odd task");
+  assert.equal(estimates.estimateS(job("j-2", { estimateS: 100, jobClass: "other" })), 100);
 
   // The order follows: the class that takes long is no longer taken for the shorter one.
   const b = new Bench().lead();
@@ -570,8 +572,8 @@
   settle(b, held, more);
   b.submit(job("j-3", { ...IDLE, tasks: 8 }));
   beat(b, held, more, 80);
-  const aged = b.core.leaderTerm?.tables.jobByUid("j-3");
-  assert.ok(aged && isAged(b.core.ctx, aged));
+  const aged = b.core.leaderTerm?.cluster.jobByUid("j-3");
+  assert.ok(aged && isStarving(b.core.ctx, aged));
   b.submit(job("j-4", gang));
   beat(b, held, more, 2);
   held.set(
@@ -601,11 +603,11 @@
   next.now = b.now + 200_000;
   next.lead();
   const ages = (uid: string) => {
-    const known = next.core.leaderTerm?.tables.jobByUid(uid);
+    const known = next.core.leaderTerm?.cluster.jobByUid(uid);
     assert.ok(known, uid);
-    for (const placement of [...known.held.values()])
-      next.core.leaderTerm?.tables.unplace(placement, next.now);
-    return isAged(next.core.ctx, known);
+    for (const placement of [...known.placements.values()])
+      next.core.leaderTerm?.cluster.removePlacement(placement, next.now);
+    return isStarving(next.core.ctx, known);
   };
   assert.deepEqual([ages("j-1"), ages("j-2")], [false, true]);
 });
--- a/test/fleet-size.test.ts
+++ b/test/fleet-size.test.ts
@@ -41,19 +41,19 @@
 }
 
 function leader(world: World): number {
-  const ix = world.nodes.findIndex((node) => node.core?.leaderTerm?.fleet.loaded);
+  const ix = world.nodes.findIndex((node) => node.core?.leaderTerm?.agents.areRecordsLoaded);
   assert.ok(ix >= 0, "a node leads");
   return ix;
 }
 
 function unadopted(world: World): number {
-  const machines = world.nodes[leader(world)]?.core?.leaderTerm?.tables.machines.values() ?? [];
+  const machines = world.nodes[leader(world)]?.core?.leaderTerm?.cluster.machines.values() ?? [];
   // A machine rented meanwhile may not be up yet.
   const isUp = (name: string) => {
     const worker = world.workers.get(name);
     return worker?.alive === true && worker.upAt < world.now - LEASE_MS;
   };
-  return [...machines].filter(({ name, adoptedAt }) => adoptedAt === null && isUp(name)).length;
+  return [...machines].filter(({ name, fencedAt: adoptedAt }) => adoptedAt === null && isUp(name)).length;
 }
 
 test(`${MACHINES} machines with ${TASKS} tasks: cold start, failover, restart of all, a zone cut off`, () => {
--- a/test/many-machines.test.ts
+++ b/test/many-machines.test.ts
@@ -48,7 +48,7 @@
     b.state.run({ kind: "transaction", conditions: [], changes }, 0);
   }
   b.lead();
-  assert.equal(b.core.leaderTerm?.tables.machines.size, MACHINES);
+  assert.equal(b.core.leaderTerm?.cluster.machines.size, MACHINES);
   const shown = new Set<string>();
   let most = 0;
   for (let ms = 0; ms < GRACE_MS + LEASE_MS; ms += TICK_MS) {
@@ -67,7 +67,7 @@
   const counter = listOf(b, (call) => call % 3 === 0);
   b.lead();
   b.pass(10_000);
-  assert.equal(b.core.leaderTerm?.tables.machines.size, MACHINES);
+  assert.equal(b.core.leaderTerm?.cluster.machines.size, MACHINES);
   assert.ok(counter.calls <= 2 * 18, `${counter.calls} calls`);
   const { calls } = counter;
   b.pass(30_000);
@@ -85,7 +85,7 @@
   b.lead();
   b.submit(job("j-1", { tasks: 10 }));
   b.pass(10_000);
-  assert.equal(b.core.leaderTerm?.tables.machines.size, MACHINES);
+  assert.equal(b.core.leaderTerm?.cluster.machines.size, MACHINES);
   assert.ok(b.logged.includes("more machines than max_machines"));
   assert.deepEqual(
     b.cloudCalls.filter(({ kind }) => kind === "create"),
--- a/test/model/world.ts
+++ b/test/model/world.ts
@@ -8,7 +8,7 @@
 import type { Deployment, MachineType } from "../../src/core/model/deployment.js";
 import type { JobSpec } from "../../src/core/model/job-spec.js";
 import type { Resources } from "../../src/core/model/resources.js";
-import { int, seeded } from "../../src/core/random.js";
+import { randomInt, seededRandom } from "../../src/core/random.js";
 import { deployment, NODES, TYPES } from "../support/deployment.js";
 import { StateService } from "../support/fake-store.js";
 import { productionReads } from "../support/production-readers.js";
@@ -155,7 +155,7 @@
     this.#observer = observer;
     this.#standby = standby;
     this.#admission = admission;
-    this.#random = seeded(seed);
+    this.#random = seededRandom(seed);
     this.#trouble = trouble;
     this.#scale = scale;
     this.nodes = NODES.map((name, ix) => ({
@@ -164,8 +164,8 @@
       old: trouble.upgrade,
       core: null,
       epoch: 0,
-      rate: 1 + (int(this.#random, -50, 50) / 50) * 0.0005,
-      offset: int(this.#random, 0, 100_000),
+      rate: 1 + (randomInt(this.#random, -50, 50) / 50) * 0.0005,
+      offset: randomInt(this.#random, 0, 100_000),
       cutUntil: 0,
       stateCutUntil: 0,
       peersCutUntil: 0,
@@ -224,11 +224,11 @@
   }
 
   chance(p: number): boolean {
-    return int(this.#random, 0, 999_999) < p * 1_000_000;
+    return randomInt(this.#random, 0, 999_999) < p * 1_000_000;
   }
 
   between(a: number, b: number): number {
-    return int(this.#random, a, b);
+    return randomInt(this.#random, a, b);
   }
 
   #at(ms: number, run: () => void): void {
@@ -332,7 +332,7 @@
   }
 
   #decide(node: Node, core: Controller, batch: readonly Command[]): Effect[] {
-    return core.handle(batch, this.#nowOf(node), { spent: () => this.chance(0.02) });
+    return core.handle(batch, this.#nowOf(node), { isSpent: () => this.chance(0.02) });
   }
 
   #giveAll(node: Node, batch: readonly Command[]): void {
@@ -385,7 +385,7 @@
         break;
       case "log":
         if (effect.text === "leader ready")
-          this.takeovers.push(node.core?.succession.takeover.source ?? "cold");
+          this.takeovers.push(node.core?.failover.takeover.source ?? "cold");
         if (effect.level !== "debug")
           this.logs.push(`${this.now} ${node.name} ${effect.text} ${JSON.stringify(effect.data)}`);
         break;
@@ -431,7 +431,7 @@
   }
 
   #nameOrders(node: Node, orders: readonly AgentCommand[]): void {
-    for (const order of orders) this.#orderNames.set(order, node.core?.directory.jobs.name(order.job) ?? "?");
+    for (const order of orders) this.#orderNames.set(order, node.core?.names.jobs.name(order.job) ?? "?");
   }
 
   #stateCall(node: Node, epoch: number, id: number, call: StoreRequest, timeoutMs: number): void {
@@ -497,7 +497,7 @@
   readonly #renewedAt = new Map<string, number>();
 
   #noteRenewal(node: Node): void {
-    const key = `${node.name} ${node.epoch} ${node.core?.leaderTerm?.term.firstToken}`;
+    const key = `${node.name} ${node.epoch} ${node.core?.leaderTerm?.lease.firstFencingToken}`;
     const before = this.#renewedAt.get(key);
     if (before !== undefined) this.longestUnrenewedMs = Math.max(this.longestUnrenewedMs, this.now - before);
     this.#renewedAt.set(key, this.now);
@@ -763,14 +763,14 @@
     return ({ core }) => {
       if (!core) throw new Error("no node to report to");
       const entries = tasks.map((t) => ({
-        job: core.directory.jobs.intern(t.uid),
+        job: core.names.jobs.intern(t.uid),
         task: t.task,
         attempt: t.attempt,
         state: t.state,
         exitReason: t.cause,
         saved: t.saved,
       }));
-      const machine = core.directory.machines.intern(worker.name);
+      const machine = core.names.machines.intern(worker.name);
       const { name, type, zone, spot } = worker;
       return {
         machine,
@@ -864,9 +864,7 @@
 
   #direct(node: Node, epoch: number, effect: Extract<Effect, { kind: "sendAgentCommands" }>): void {
     this.#nameOrders(node, effect.commands);
-    const worker = node.core
-      ? this.workers.get(node.core.directory.machines.name(effect.machine))
-      : undefined;
+    const worker = node.core ? this.workers.get(node.core.names.machines.name(effect.machine)) : undefined;
     const done = (ms: number, report: (() => Heartbeat | null) | null, executed: boolean) => {
       this.#giveLater(node, epoch, ms, () => ({
         kind: "agentReplied",
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -4,9 +4,9 @@
 import type { StoreRequest } from "../src/core/messages/store.js";
 import type { UserResponse } from "../src/core/messages/users.js";
 import type { JobSpec } from "../src/core/model/job-spec.js";
-import { guaranteedJobs } from "../src/core/scheduling/guaranteed-quota.js";
+import { findGuaranteedJobs } from "../src/core/scheduling/guaranteed-quota.js";
 import { readFinal } from "../src/core/store/records.js";
-import { encodeView, parseJob } from "../src/protocol/jobs.js";
+import { decodeJobSubmission, encodeJobStatus } from "../src/protocol/jobs.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
 
@@ -125,14 +125,14 @@
   b.report("B");
   b.pass(3000);
   assert.deepEqual(b.starts("j-3"), []);
-  assert.equal(b.core.leaderTerm?.tables.jobByUid("j-3")?.released, false);
+  assert.equal(b.core.leaderTerm?.cluster.jobByUid("j-3")?.dependenciesSatisfied, false);
   const final = readFinal(b.state.items.get("f/j-1")?.value);
   assert.equal(final?.state, "done");
   b.stateRule = null;
   b.pass(2500);
-  const released = b.core.leaderTerm?.tables.jobByUid("j-2");
-  assert.equal(released?.released, true);
-  assert.equal(released?.since, final?.at, "its waits count from the end of what it needed, on record");
+  const released = b.core.leaderTerm?.cluster.jobByUid("j-2");
+  assert.equal(released?.dependenciesSatisfied, true);
+  assert.equal(released?.queuedSince, final?.at, "its waits count from the end of what it needed, on record");
 });
 
 test("every node says cancelled of all that needs a cancelled job, with the leader refused, ended or never told", () => {
@@ -197,7 +197,7 @@
     b.report("A", [said]);
     b.pass(2000);
   }
-  const acceptedAt = b.core.leaderTerm?.tables.jobByUid("j-3")?.acceptedAt ?? assert.fail("unknown");
+  const acceptedAt = b.core.leaderTerm?.cluster.jobByUid("j-3")?.acceptedAt ?? assert.fail("unknown");
   end(b, said);
   b.pass(1000);
   b.state.expire(b.now + 60_000);
@@ -205,10 +205,13 @@
   next.now = b.now + 5000;
   next.lead();
   next.pass(2000);
-  const found = next.core.leaderTerm?.tables.jobByUid("j-3") ?? assert.fail("unknown");
-  assert.equal(found.released, true);
-  assert.equal(found.dueAt, acceptedAt + 100_000);
-  assert.ok(found.since - acceptedAt > 55_000, `${found.since - acceptedAt} ms after its acceptance`);
+  const found = next.core.leaderTerm?.cluster.jobByUid("j-3") ?? assert.fail("unknown");
+  assert.equal(found.dependenciesSatisfied, true);
+  assert.equal(found.effectiveDeadlineAt, acceptedAt + 100_000);
+  assert.ok(
+    found.queuedSince - acceptedAt > 55_000,
+    `${found.queuedSince - acceptedAt} ms after its acceptance`,
+  );
 });
 
 test("a job cancelled by its user while the leader ends it for the sake of another is over all the same", () => {
@@ -253,19 +256,19 @@
     b.pass(2000);
   }
   const { leaderTerm } = b.core;
-  const first = leaderTerm?.tables.jobByUid("j-1");
-  const second = leaderTerm?.tables.jobByUid("j-2");
+  const first = leaderTerm?.cluster.jobByUid("j-1");
+  const second = leaderTerm?.cluster.jobByUid("j-2");
   assert.ok(leaderTerm && first && second);
   assert.equal(phaseOf(b.poll("j-2")), "queued");
   assert.equal(second.pending, 0);
   assert.deepEqual(leaderTerm.scheduler.blocked, []);
   assert.equal(b.cloudCalls.filter(({ kind }) => kind === "create").length, 0);
-  assert.ok(guaranteedJobs(b.core.ctx.deployment.teams, [first]).has(first));
+  assert.ok(findGuaranteedJobs(b.core.ctx.deployment.teams, [first]).has(first));
   const { awaiting } = b.core.status() as { awaiting: unknown[] };
   assert.deepEqual(awaiting, [{ job: "j-2", tasks: 6, awaits: ["j-1"] }]);
   const poll = b.poll("j-2");
   assert.ok(poll?.kind === "status");
-  assert.deepEqual(encodeView(poll.status), {
+  assert.deepEqual(encodeJobStatus(poll.status), {
     uid: "j-2",
     phase: "queued",
     done: 0,
@@ -276,7 +279,7 @@
   end(b, said);
   b.pass(1000);
   assert.equal(second.pending, 6);
-  assert.ok(b.core.ctx.wallMs - second.since < 2000);
+  assert.ok(b.core.ctx.wallMs - second.queuedSince < 2000);
   assert.ok(b.cloudCalls.some(({ kind }) => kind === "create"));
   assert.ok(!b.logged.includes("job still waits"), "not aged by the wait for others");
 });
@@ -287,9 +290,9 @@
   b.submit(job("j-2", { priority: 0, tasks: 8, estimateS: 20, awaits: ["j-1"] }));
   b.pass(300);
   const of = (uid: string) => {
-    const found = b.core.leaderTerm?.tables.jobByUid(uid);
+    const found = b.core.leaderTerm?.cluster.jobByUid(uid);
     assert.ok(found);
-    const { priority, dueAt, acceptedAt } = found;
+    const { effectivePriority: priority, effectiveDeadlineAt: dueAt, acceptedAt } = found;
     return { priority, dueS: dueAt === null ? null : Math.round((dueAt - acceptedAt) / 1000) };
   };
   assert.deepEqual(of("j-1"), { priority: 0, dueS: null });
@@ -303,11 +306,11 @@
   const next = new Bench("n1", b.state);
   next.now = b.now + 60_000;
   next.lead();
-  assert.equal(next.core.leaderTerm?.tables.jobByUid("j-1")?.priority, 2);
+  assert.equal(next.core.leaderTerm?.cluster.jobByUid("j-1")?.effectivePriority, 2);
   next.cancel("j-3");
   next.pass(500);
-  assert.equal(next.core.leaderTerm?.tables.jobByUid("j-1")?.priority, 0);
-  assert.equal(next.core.leaderTerm?.tables.jobByUid("j-1")?.dueAt, null);
+  assert.equal(next.core.leaderTerm?.cluster.jobByUid("j-1")?.effectivePriority, 0);
+  assert.equal(next.core.leaderTerm?.cluster.jobByUid("j-1")?.effectiveDeadlineAt, null);
 });
 
 test("what is important only because of what waits for it stops lesser work only when the time to that deadline is short", () => {
@@ -394,7 +397,7 @@
     snapshot_s: 0,
     stow_s: 0,
   };
-  const parse = (awaits: unknown) => parseJob({ ...body, awaits }).spec;
+  const parse = (awaits: unknown) => decodeJobSubmission({ ...body, awaits }).spec;
   const names = (awaits: unknown) => {
     const spec = parse(awaits);
     assert.ok(typeof spec !== "string", String(spec));
--- a/test/record-cache.test.ts
+++ b/test/record-cache.test.ts
@@ -3,8 +3,8 @@
 import fc from "fast-check";
 import { Context } from "../src/core/context.js";
 import type { StoreRequest, StoreResponse, WatchEvent } from "../src/core/messages/store.js";
-import { Directory } from "../src/core/model/interner.js";
-import { seeded } from "../src/core/random.js";
+import { NameRegistry } from "../src/core/model/interner.js";
+import { seededRandom } from "../src/core/random.js";
 import { type LoadedRecords, RecordReader, type StoredRecords } from "../src/core/store/record-reader.js";
 import { CacheFeed } from "../src/standby/cache-feed.js";
 import { RecordCache } from "../src/standby/record-cache.js";
@@ -46,7 +46,7 @@
 /** A node's calls to a store, answered as the history says. */
 class Play {
   readonly store = new StateService();
-  readonly ctx = new Context(deployment("n1"), new Directory(), seeded(1), 0);
+  readonly ctx = new Context(deployment("n1"), new NameRegistry(), seededRandom(1), 0);
   readonly #hanging: { id: number; call: StoreRequest }[] = [];
 
   write(change: { put: string; value: unknown } | { remove: string }): void {
@@ -71,12 +71,12 @@
 
   #answer(id: number, call: StoreRequest, how: Manner): void {
     if (how === "lost") {
-      this.ctx.stateAnswered(id, { kind: "timeout" });
+      this.ctx.onStoreResponse(id, { kind: "timeout" });
       return;
     }
     this.store.page = how === "pages of one" ? 1 : 20;
     const answer = call.kind === "watch" ? this.#follow(call) : this.store.run(call, 0);
-    this.ctx.stateAnswered(id, distort(answer, how));
+    this.ctx.onStoreResponse(id, distort(answer, how));
   }
 
   #follow({ prefix, after }: Extract<StoreRequest, { kind: "watch" }>): StoreResponse {
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { StoreRequest } from "../src/core/messages/store.js";
-import { tokenOf } from "../src/core/model/attempt-number.js";
+import { fencingTokenOf } from "../src/core/model/attempt-number.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
 
@@ -69,12 +69,12 @@
   // Found by `real`: what was known grew older than was allowed between two answers of a follow.
   for (const cancelS of [40, 10, 8, 5]) {
     const b = new Bench("n0", new StateService(), "n0-1", { leaseS: 4, cancelS }).lead();
-    const token = b.core.leadership.term?.firstToken;
+    const token = b.core.election.lease?.firstFencingToken;
     for (let i = 0; i < 60; i++) {
       assert.equal(b.report("A")?.kind, "commands", `${cancelS} s: ${i / 2} s`);
       b.pass(500);
     }
-    assert.equal(b.core.leadership.term?.firstToken, token, `${cancelS} s`);
+    assert.equal(b.core.election.lease?.firstFencingToken, token, `${cancelS} s`);
   }
 });
 
@@ -104,7 +104,7 @@
   b.stateRule = (call) => (call.kind === "list" && call.prefix === "j/" ? UNHEARD : null);
   b.lead();
   const said = [{ uid: "j-1", task: 0, attempt, state: "running" }] as const;
-  assert.equal(b.core.leaderTerm?.fleet.loaded, false);
+  assert.equal(b.core.leaderTerm?.agents.areRecordsLoaded, false);
   assert.equal(b.report("A", said), undefined, "held, for the leader to be");
   b.stateRule = null;
   b.pass(1000);
@@ -147,7 +147,7 @@
   b.pass(3000);
   const answer = b.report("A");
   assert.ok(
-    answer?.kind === "commands" && answer.commands.every((o) => b.core.directory.jobs.name(o.job) !== "j-1"),
+    answer?.kind === "commands" && answer.commands.every((o) => b.core.names.jobs.name(o.job) !== "j-1"),
   );
   b.pass(500);
   assert.deepEqual(b.starts("j-1"), []);
@@ -179,16 +179,16 @@
     b.pass(1000);
   }
   assert.ok(b.hung.length > 0, "the mark is under way");
-  assert.ok((b.core.leadership.term?.token ?? 0) > tokenOf(ended[0]?.attempt ?? 0));
+  assert.ok((b.core.election.lease?.fencingToken ?? 0) > fencingTokenOf(ended[0]?.attempt ?? 0));
   assert.deepEqual(forgotten, []);
 });
 
 test("a leader that the state service refuses launches nothing, answers reports for a time, then no more", () => {
   const { b, attempt } = running();
-  const token = b.core.leadership.term?.token;
+  const token = b.core.election.lease?.fencingToken;
   b.stateRule = () => ({ kind: "unavailable", reason: "outage" });
   b.pass(4000);
-  assert.equal(b.core.leadership.confirmed, false);
+  assert.equal(b.core.election.hasValidLease, false);
   const answer = b.report("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
   assert.ok(answer?.kind === "commands" && answer.fencingToken === token);
   assert.equal(b.submit(job("j-2"))?.kind, "unavailable");
@@ -204,7 +204,7 @@
     else b.report("B", [], { fencingToken: 99 });
     b.pass(1000);
     if (way === "grant") b.stateRule = null;
-    assert.ok(b.core.leaderTerm === null || b.core.leaderTerm.term.token > 1, way);
+    assert.ok(b.core.leaderTerm === null || b.core.leaderTerm.lease.fencingToken > 1, way);
   }
 });
 
@@ -229,18 +229,18 @@
 
 test("tokens never repeat: each leader's is higher than all before, also after raises", () => {
   const { b } = running();
-  const first = b.core.leadership.term?.token ?? 0;
+  const first = b.core.election.lease?.fencingToken ?? 0;
   for (let i = 0; i < 32; i++) {
     b.pass(1000);
     b.report("A");
   }
-  const raised = b.core.leadership.term?.token ?? 0;
+  const raised = b.core.election.lease?.fencingToken ?? 0;
   assert.ok(raised > first);
   b.state.expire(b.now + 60_000);
   const next = new Bench("n1", b.state);
   next.now = b.now + 60_000;
   next.lead();
-  assert.ok((next.core.leadership.term?.token ?? 0) > raised);
+  assert.ok((next.core.election.lease?.fencingToken ?? 0) > raised);
 });
 
 /** A new leader over the records of one that placed task 0 of j-1 on A; A has not been heard. */
@@ -250,7 +250,7 @@
   const b = new Bench("n1", old.state);
   b.now = old.now + 60_000;
   b.lead();
-  assert.ok(b.core.leaderTerm?.fleet.loaded);
+  assert.ok(b.core.leaderTerm?.agents.areRecordsLoaded);
   b.report("B", [], { zone: "b" });
   b.pass(300);
   return { b, attempt };
@@ -261,7 +261,7 @@
   assert.deepEqual(b.starts("j-1"), [], "nothing is known of A yet");
   b.report("A", [], { fencingToken: 1 });
   b.pass(300);
-  assert.equal(b.core.leaderTerm?.tables.jobByUid("j-1")?.held.get(0)?.attempt, attempt);
+  assert.equal(b.core.leaderTerm?.cluster.jobByUid("j-1")?.placements.get(0)?.attempt, attempt);
   assert.deepEqual(
     b.starts("j-1"),
     [],
@@ -287,8 +287,8 @@
 test("an unadopted machine is waited out for the former leader's hold and the lease, not less", () => {
   const { b } = succeeded();
   b.cloudRule = () => ({ kind: "unavailable", reason: "down" });
-  const since = b.core.leaderTerm?.term.since ?? 0;
-  const boundMs = b.core.leadership.holdMs + 3000 + 12_000;
+  const since = b.core.leaderTerm?.lease.electedAt ?? 0;
+  const boundMs = b.core.election.gracePeriodMs + 3000 + 12_000;
   const keepAlive = () => b.report("B", [], { zone: "b" });
   while (b.now < since + boundMs) {
     keepAlive();
@@ -305,7 +305,7 @@
 /** How long after its election the leader starts j-1 anew, machine A being silent and B alive. */
 function startsAfterMs(b: Bench, each: () => void = () => {}): number {
   b.cloudRule = () => ({ kind: "unavailable", reason: "down" });
-  const since = b.core.leaderTerm?.term.since ?? 0;
+  const since = b.core.leaderTerm?.lease.electedAt ?? 0;
   while (b.starts("j-1").length === 0 && b.now < since + 60_000) {
     b.report("B", [], { zone: "b" });
     each();
@@ -317,7 +317,7 @@
 test("once every peer has shown this leaderTerm's token no former leader's hold is waited out; one of two is not enough", () => {
   for (const shown of [["n0", "n2"], ["n2"], ["n0"]]) {
     const { b } = succeeded();
-    const token = b.core.leaderTerm?.term.token ?? 0;
+    const token = b.core.leaderTerm?.lease.fencingToken ?? 0;
     const show = (value: number) => {
       for (const from of shown) {
         const message = {
@@ -332,9 +332,9 @@
     };
     show(token - 1);
     const after = startsAfterMs(b, () => {
-      if (b.now - (b.core.leaderTerm?.term.since ?? 0) > 2000) show(token);
+      if (b.now - (b.core.leaderTerm?.lease.electedAt ?? 0) > 2000) show(token);
     });
-    const holdMs = b.core.leadership.holdMs;
+    const holdMs = b.core.election.gracePeriodMs;
     if (shown.length === 2) assert.ok(after > 14_000 && after < 16_000, `${after} ms`);
     else assert.ok(after > holdMs + 14_000, `${after} ms, only ${shown.join()}`);
   }
@@ -345,7 +345,7 @@
     const { b } = running();
     b.stateRule = () => ({ kind: "unavailable", reason: "cut off" });
     let steppedDown = 0;
-    const leads = () => b.core.leadership.term;
+    const leads = () => b.core.election.lease;
     while (leads()) {
       b.pass(100);
       steppedDown = b.now;
@@ -368,8 +368,8 @@
     const again = leads();
     assert.ok(again, "it leads again");
     b.sent.length = 0;
-    const after = startsAfterMs(b) + again.since - steppedDown;
-    const bound = b.core.leadership.holdMs + 12_000;
+    const after = startsAfterMs(b) + again.electedAt - steppedDown;
+    const bound = b.core.election.gracePeriodMs + 12_000;
     if (between) assert.ok(after > bound, `${after} ms`);
     else assert.ok(after > 12_000 && after < 16_000, `${after} ms`);
   }
@@ -422,7 +422,9 @@
   b.cloudRule = () => ({ kind: "unavailable", reason: "" });
   b.pass(14_000);
   const reports = () => b.answerDo("A", [], { incarnation: 2 });
-  b.core.leaderTerm?.fleet.fence([...(b.core.leaderTerm?.tables.machines.values() ?? [])][0] as never);
+  b.core.leaderTerm?.agents.queueFencing(
+    [...(b.core.leaderTerm?.cluster.machines.values() ?? [])][0] as never,
+  );
   b.give({ kind: "tick" });
   reports();
   b.pass(300);
@@ -482,7 +484,7 @@
     b.pass(1000);
     b.report("A", [ended]);
   }
-  assert.ok((b.core.leadership.term?.token ?? 0) > tokenOf(attempt));
+  assert.ok((b.core.election.lease?.fencingToken ?? 0) > fencingTokenOf(attempt));
   const late = b.report("A", [ended]);
   assert.ok(late?.kind === "commands" && late.commands.some((o) => o.kind === "acknowledge"));
 });
@@ -510,7 +512,7 @@
   b.report("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
   b.give({ kind: "heartbeat", requestId: 900, heartbeat: old, body: null });
   b.pass(500);
-  assert.equal(b.core.leaderTerm?.counts("j-1")?.done, 0);
+  assert.equal(b.core.leaderTerm?.progressOf("j-1")?.done, 0);
 });
 
 test("neither an old list nor a late report brings a released machine back into use", () => {
@@ -570,9 +572,9 @@
   b.give({ kind: "tick" });
   assert.deepEqual(b.faults, ["fault in the core"]);
   assert.equal(b.toldUser(801)?.kind, "status");
-  assert.equal(b.core.leaderName === null || b.core.leadership.term === null, true);
+  assert.equal(b.core.leaderName === null || b.core.election.lease === null, true);
   b.pass(6000);
-  assert.ok(b.core.leadership.term, "it leads again");
+  assert.ok(b.core.election.lease, "it leads again");
   assert.equal(b.core.status().jobs, 1, "with what the records say");
 });
 
@@ -595,16 +597,16 @@
     beat(0);
     b.pass(1000);
   }
-  assert.ok(b.core.leadership.term, "nobody hears any: handing over would not help");
+  assert.ok(b.core.election.lease, "nobody hears any: handing over would not help");
   for (const name of ["A", "B", "C"]) b.report(name);
   for (let s = 0; s < 8; s++) {
     beat(3);
     b.pass(1000);
   }
-  assert.equal(b.core.leadership.term, null);
+  assert.equal(b.core.election.lease, null);
   assert.equal(b.state.items.has("c/leader"), false, "the key is free at once");
   b.pass(5000);
-  assert.equal(b.core.leadership.term, null);
+  assert.equal(b.core.election.lease, null);
 });
 
 test("polls are answered together by one comparison, and never with what another node has outdated", () => {
@@ -682,7 +684,7 @@
   b.lead();
   assert.ok(b.core.leaderTerm, "it takes over from its former self at once");
   b.cloudRule = () => ({ kind: "unavailable", reason: "down" });
-  const holdMs = b.core.leadership.holdMs;
+  const holdMs = b.core.election.gracePeriodMs;
   const endsAt = b.now + holdMs + 12_000;
   while (b.now < endsAt - 1000) {
     b.report("B", [], { zone: "b" });
@@ -717,7 +719,7 @@
       b.silenceDo();
     }
     assert.notEqual(
-      b.core.leaderTerm?.tables.machine("A", { address: "", type: "", zone: "", spot: false }, 0)
+      b.core.leaderTerm?.cluster.machine("A", { address: "", type: "", zone: "", spot: false }, 0)
         .unreachableSince,
       null,
     );
@@ -772,7 +774,7 @@
     b.pass(1000);
     b.silenceDo();
   }
-  assert.equal(b.core.leadership.term, null);
+  assert.equal(b.core.election.lease, null);
 });
 
 test("a copy that comes late brings no released machine back, and is no sign of life to a new leader", () => {
@@ -794,7 +796,7 @@
   b.pass(5000);
   assert.deepEqual(b.answered(900), { kind: "unavailable" });
   assert.deepEqual(released, ["A"], "it is not released again");
-  assert.equal(b.core.leaderTerm?.tables.machines.size, 0);
+  assert.equal(b.core.leaderTerm?.cluster.machines.size, 0);
 
   const next = new Bench().lead();
   next.report("A", [], { fencingToken: 0 });
@@ -861,7 +863,7 @@
   const b = new Bench("n1", old.state);
   b.now = old.now + 60_000;
   b.lead();
-  assert.ok(b.core.leaderTerm?.fleet.loaded);
+  assert.ok(b.core.leaderTerm?.agents.areRecordsLoaded);
   assert.ok(b.faults.length >= 3 && b.faults.every((text) => text === "a record can't be read"));
   b.report("B", [], { zone: "b" });
   const runs: Said = { uid: "j-1", task: 0, attempt, state: "running" };
@@ -926,9 +928,12 @@
     b.report("A", [...held(), ...ended]);
     b.pass(1000);
   }
-  b.core.leaderTerm?.recorder.setMove({ job: "j-2", task: 0, from: "A", to: "B", startedAt: 1 }, () => {});
+  b.core.leaderTerm?.recordWriter.writeMigration(
+    { job: "j-2", task: 0, from: "A", to: "B", startedAt: 1 },
+    () => {},
+  );
   b.pass(300);
-  b.core.leaderTerm?.recorder.setMove(null, () => {});
+  b.core.leaderTerm?.recordWriter.writeMigration(null, () => {});
   b.pass(300);
   const writes = new Set(
     sent.flatMap((c) =>
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Job } from "../src/core/model/job.js";
-import { FailedFits } from "../src/core/scheduling/negative-fit-cache.js";
+import { NegativeFitCache } from "../src/core/scheduling/negative-fit-cache.js";
 import { Bench, job, type Said } from "./support/controller-harness.js";
 import { StateService } from "./support/fake-store.js";
 
@@ -107,20 +107,20 @@
   for (let i = 0; i < 40; i++) fleet.step(3_600_000);
   const { leaderTerm } = b.core;
   assert.ok(leaderTerm);
-  const placed = [...leaderTerm.tables.machines.values()].reduce((sum, m) => sum + m.placements.size, 0);
+  const placed = [...leaderTerm.cluster.machines.values()].reduce((sum, m) => sum + m.placements.size, 0);
   assert.equal(placed, 40, "as many as the teams' limits allow");
-  const looked = leaderTerm.scheduler.candidates.looked;
-  const compared = leaderTerm.fleet.reconciled;
+  const looked = leaderTerm.scheduler.feasibleMachines.machinesExamined;
+  const compared = leaderTerm.agents.reconciliations;
   const written = b.state.revision;
   for (let i = 0; i < 20; i++) fleet.step(3_600_000);
   // Ten seconds, ten rounds at most a second, ten jobs waiting: far fewer looks at a machine than machines x jobs.
   assert.ok(
-    leaderTerm.scheduler.candidates.looked - looked <= 2 * 1000,
-    `${leaderTerm.scheduler.candidates.looked - looked} looks`,
+    leaderTerm.scheduler.feasibleMachines.machinesExamined - looked <= 2 * 1000,
+    `${leaderTerm.scheduler.feasibleMachines.machinesExamined - looked} looks`,
   );
   assert.ok(
-    leaderTerm.fleet.reconciled - compared <= 1000,
-    `${leaderTerm.fleet.reconciled - compared} reports taken apart`,
+    leaderTerm.agents.reconciliations - compared <= 1000,
+    `${leaderTerm.agents.reconciliations - compared} reports taken apart`,
   );
   assert.ok(b.state.revision - written <= 5, "and next to nothing is written");
 });
@@ -137,8 +137,8 @@
   const next = new Bench("n1", b.state);
   next.now = b.now + 60_000;
   next.lead();
-  assert.ok(next.core.leaderTerm?.fleet.loaded, "ready after three reads");
-  const recorded = next.core.leaderTerm?.tables.machines.size ?? 0;
+  assert.ok(next.core.leaderTerm?.agents.areRecordsLoaded, "ready after three reads");
+  const recorded = next.core.leaderTerm?.cluster.machines.size ?? 0;
   assert.ok(recorded > 0);
   // It shows them its token a few at a time, so that its renewals are never late.
   let most = 0;
@@ -152,7 +152,7 @@
 
 test("what found no place is not looked for again by as much or more, unless places are kept for it", () => {
   const { ctx } = new Bench().core;
-  const failedFits = new FailedFits(ctx);
+  const failedFits = new NegativeFitCache(ctx);
   const make = (uid: string, cpu: number, tasks = 1) =>
     new Job(0, job(uid, { shape: "gang", tasks, need: { cpu, gpu: 0, ram: 0 } }), 0, 1);
   failedFits.add(make("j-1", 2000, 2), 2);
@@ -160,10 +160,10 @@
   assert.equal(failedFits.has(make("j-3", 1000, 2), 2), false, "less may fit");
   assert.equal(failedFits.has(make("j-4", 2000), 1), false, "fewer may fit");
   const kept = make("j-5", 3000, 2);
-  kept.reservesUntil = ctx.now + 1;
+  kept.reservationUntil = ctx.now + 1;
   assert.equal(failedFits.has(kept, 2), false);
   const fails = make("j-6", 3000, 2);
-  fails.failedOn.add(1);
+  fails.failedMachines.add(1);
   assert.equal(failedFits.has(fails, 2), false, "its choice is another one");
   failedFits.clear();
   assert.equal(failedFits.has(make("j-2", 3000, 2), 2), false);
@@ -194,7 +194,7 @@
 
 function placements(b: Bench): number {
   let n = 0;
-  for (const machine of b.core.leaderTerm?.tables.machines.values() ?? []) n += machine.placements.size;
+  for (const machine of b.core.leaderTerm?.cluster.machines.values() ?? []) n += machine.placements.size;
   return n;
 }
 
@@ -212,12 +212,12 @@
   const next = new Bench("n1", b.state, "n1-1", { teams });
   next.now = b.now + 60_000;
   next.lead();
-  assert.ok(next.core.leaderTerm?.fleet.loaded);
+  assert.ok(next.core.leaderTerm?.agents.areRecordsLoaded);
   assert.equal(placements(next), MANY * EACH);
   const beat = (alive: readonly [string, (typeof held)[number][1]][], token: number) => {
     for (const [name, list] of alive) next.report(name, list, { fencingToken: token });
   };
-  const token = next.core.leaderTerm?.term.token ?? 0;
+  const token = next.core.leaderTerm?.lease.fencingToken ?? 0;
   beat(held, 1);
   next.pass(500);
   beat(held, token);
@@ -227,7 +227,7 @@
 
   // A third falls silent for good: each tick's effects stay bounded while what ran there is placed again.
   const alive = held.filter((_, i) => i % 3 !== 0);
-  const before = next.core.leaderTerm?.scheduler.candidates.looked ?? 0;
+  const before = next.core.leaderTerm?.scheduler.feasibleMachines.machinesExamined ?? 0;
   let mostSent = 0;
   for (let i = 0; i < 60; i++) {
     const sent = next.sent.length;
@@ -240,6 +240,6 @@
   assert.ok(next.core.leaderTerm, "it still leads");
   assert.deepEqual(next.faults, []);
   assert.ok(mostSent <= 2 * FENCES_IN_500_MS, `${mostSent} direct commands in half a second`);
-  const looked = (next.core.leaderTerm?.scheduler.candidates.looked ?? 0) - before;
+  const looked = (next.core.leaderTerm?.scheduler.feasibleMachines.machinesExamined ?? 0) - before;
   assert.ok(looked <= 20 * 10 * MANY, `${looked} looks at a machine for ten jobs in thirty seconds`);
 });
--- a/test/standby-world.test.ts
+++ b/test/standby-world.test.ts
@@ -23,7 +23,7 @@
 }
 
 function warmOnes(world: World): number[] {
-  return world.nodes.filter((node) => node.core?.succession.standby?.warm).map(({ ix }) => ix);
+  return world.nodes.filter((node) => node.core?.failover.standby?.warm).map(({ ix }) => ix);
 }
 
 /** The longest that a grant may outlive its leader. */
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -61,17 +61,17 @@
 /** What a leader begins with, in words that can be compared. */
 function tablesOf(b: Bench): unknown {
   const { leaderTerm } = b.core;
-  assert.ok(leaderTerm?.fleet.loaded, "it leads and has its records");
-  const { jobs, machines } = leaderTerm.tables;
+  assert.ok(leaderTerm?.agents.areRecordsLoaded, "it leads and has its records");
+  const { jobs, machines } = leaderTerm.cluster;
   return {
-    jobs: [...jobs.values()].map(({ uid, state, version, doneCount, held }) => ({
+    jobs: [...jobs.values()].map(({ uid, state, version, doneCount, placements: held }) => ({
       uid,
       state,
       version,
       doneCount,
-      held: [...held.values()].map((p) => [p.task, p.machine.name, p.session, p.attempt]),
+      held: [...held.values()].map((p) => [p.task, p.machine.name, p.incarnation, p.attempt]),
     })),
-    machines: [...machines.values()].map(({ name, address, typeName, zone, bucket }) => [
+    machines: [...machines.values()].map(({ name, address, typeName, zone, recordIndex: bucket }) => [
       name,
       address,
       typeName,
@@ -89,12 +89,12 @@
   other.now = follower.now;
   takeOver(follower);
   takeOver(other);
-  assert.equal(follower.core.succession.takeover.source, "warm");
+  assert.equal(follower.core.failover.takeover.source, "warm");
   assert.deepEqual(
     follower.lists.filter((prefix) => RECORDS.includes(prefix)),
     [],
   );
-  assert.equal(other.core.succession.takeover.source, "cold");
+  assert.equal(other.core.failover.takeover.source, "cold");
   assert.deepEqual(tablesOf(follower), tablesOf(other));
 });
 
@@ -120,10 +120,10 @@
   leader.pass(500);
   assert.equal(third.cancel("j-1")?.kind, "status");
   takeOver(follower);
-  assert.equal(follower.core.succession.takeover.source, "warm");
-  const jobs = follower.core.leaderTerm?.tables;
+  assert.equal(follower.core.failover.takeover.source, "warm");
+  const jobs = follower.core.leaderTerm?.cluster;
   assert.equal(jobs?.jobByUid("j-1")?.state, "cancelled");
-  assert.equal(jobs?.jobByUid("j-3")?.held.size, 1, "its placement is known");
+  assert.equal(jobs?.jobByUid("j-3")?.placements.size, 1, "its placement is known");
 });
 
 test("the gate opens between the last follow and the election: records of both layouts are in the tables", () => {
@@ -146,7 +146,7 @@
   other.now = follower.now;
   takeOver(follower);
   takeOver(other);
-  assert.equal(follower.core.succession.takeover.source, "warm");
+  assert.equal(follower.core.failover.takeover.source, "warm");
   assert.deepEqual(tablesOf(follower), tablesOf(other));
 });
 
@@ -168,10 +168,10 @@
     leader.pass(500);
     follower.stateRule = (call) => (call.kind === "watch" && call.waitMs === 0 ? answer : null);
     takeOver(follower);
-    assert.equal(follower.core.succession.takeover.source, "cold");
-    assert.equal(follower.core.succession.takeover.why, why);
+    assert.equal(follower.core.failover.takeover.source, "cold");
+    assert.equal(follower.core.failover.takeover.why, why);
     assert.ok(RECORDS.every((prefix) => follower.lists.includes(prefix)));
-    assert.equal(follower.core.leaderTerm?.tables.jobByUid("j-9")?.held.size, 1);
+    assert.equal(follower.core.leaderTerm?.cluster.jobByUid("j-9")?.placements.size, 1);
     assert.ok(follower.logged.includes("the standby's records are not used"));
   });
 }
@@ -217,8 +217,8 @@
   assert.match(String(why), /the records take \d+ bytes, more than 500/);
   assert.equal(bytes, 0);
   takeOver(follower);
-  assert.equal(follower.core.succession.takeover.source, "cold");
-  assert.ok(follower.core.leaderTerm?.fleet.loaded);
+  assert.equal(follower.core.failover.takeover.source, "cold");
+  assert.ok(follower.core.leaderTerm?.agents.areRecordsLoaded);
 });
 
 // Guarded against: the bound was looked at only once a list was whole, so the first read of a large store passed it.
@@ -254,7 +254,7 @@
   );
   both(6000);
   takeOver(follower);
-  assert.equal(follower.core.succession.takeover.source, "warm");
+  assert.equal(follower.core.failover.takeover.source, "warm");
   assert.ok(follower.faults.includes("a record can't be read"));
   assert.ok(follower.state.items.has("m/7"));
 });
@@ -301,7 +301,7 @@
     const begin = other.now;
     while (!other.core.leaderTerm && other.now - begin < 3000) other.pass(100);
     const took = other.now - begin;
-    other.core.leadership.handOver("test");
+    other.core.election.resign("test");
     return took;
   };
   const deferred = electedAfter(true);
--- a/test/support/controller-harness.ts
+++ b/test/support/controller-harness.ts
@@ -94,7 +94,7 @@
   }
 
   give(...commands: Command[]): void {
-    this.#run(this.core.handle(commands, this.now, { spent: this.budget }));
+    this.#run(this.core.handle(commands, this.now, { isSpent: this.budget }));
   }
 
   #run(effects: readonly Effect[]): void {
@@ -110,8 +110,8 @@
           this.#reports.set(effect.requestId, effect.reply);
           break;
         case "sendAgentCommands": {
-          const machine = this.core.directory.machines.name(effect.machine);
-          const orders = effect.commands.map((o) => ({ ...o, uid: this.core.directory.jobs.name(o.job) }));
+          const machine = this.core.names.machines.name(effect.machine);
+          const orders = effect.commands.map((o) => ({ ...o, uid: this.core.names.jobs.name(o.job) }));
           this.sent.push({ machine, token: effect.fencingToken, session: effect.incarnation, orders });
           this.unanswered.push({ id: effect.id, machine });
           break;
@@ -217,17 +217,17 @@
     const sequence = (this.#sequence.get(name) ?? 0) + 1;
     this.#sequence.set(name, sequence);
     return {
-      machine: this.core.directory.machines.intern(name),
+      machine: this.core.names.machines.intern(name),
       address: `${name}:1`,
       type: "small",
       zone: "a",
       spot: false,
       incarnation: 1,
       sequence,
-      fencingToken: this.core.leadership.term?.token ?? 0,
+      fencingToken: this.core.election.lease?.fencingToken ?? 0,
       reclaimNoticeS: null,
       tasks: said.map(({ uid, task, attempt, state, cause }) => ({
-        job: this.core.directory.jobs.intern(uid),
+        job: this.core.names.jobs.intern(uid),
         task,
         attempt,
         state,
--- a/test/support/trace-digest.ts
+++ b/test/support/trace-digest.ts
@@ -3,11 +3,11 @@
 import type { Controller } from "../../src/core/controller.js";
 import type { Effect } from "../../src/core/messages/effects.js";
 import type { UserResponse } from "../../src/core/messages/users.js";
-import { encodeDo, encodeReportAnswer } from "../../src/protocol/agents.js";
-import { encodeCloudCall } from "../../src/protocol/cloud.js";
-import { encodeView } from "../../src/protocol/jobs.js";
+import { encodeCommandBatch, encodeHeartbeatReply } from "../../src/protocol/agents.js";
+import { encodeCloudRequest } from "../../src/protocol/cloud.js";
+import { encodeJobStatus } from "../../src/protocol/jobs.js";
 import { encodePeerMessage } from "../../src/protocol/peers.js";
-import { encodeStateCall } from "../../src/protocol/store.js";
+import { encodeStoreRequest } from "../../src/protocol/store.js";
 
 /**
  * Hashes every byte that leaves the nodes of a model cluster, in order and with the model's clock: calls to the
@@ -45,23 +45,23 @@
       case "respondToOperator":
         return `operator ${effect.requestId} ${JSON.stringify(effect.response)}`;
       case "replyToAgent": {
-        const { status, body } = encodeReportAnswer(effect.reply, core.directory);
+        const { status, body } = encodeHeartbeatReply(effect.reply, core.names);
         return `agent ${effect.requestId} ${status} ${JSON.stringify(body)}`;
       }
       case "replyToForwardedHeartbeat": {
-        const { status, body } = encodeReportAnswer(effect.reply, core.directory);
+        const { status, body } = encodeHeartbeatReply(effect.reply, core.names);
         return `forwarded ${effect.to} ${effect.id} ${status} ${JSON.stringify(body)}`;
       }
       case "forwardHeartbeat":
         return `forward ${effect.to} ${effect.requestId}`;
       case "sendAgentCommands": {
-        const body = encodeDo(effect.fencingToken, effect.incarnation, effect.commands, core.directory);
+        const body = encodeCommandBatch(effect.fencingToken, effect.incarnation, effect.commands, core.names);
         return `command ${effect.id} ${effect.address} ${JSON.stringify(body)}`;
       }
       case "callStore":
-        return `store ${effect.id} ${effect.timeoutMs} ${JSON.stringify(encodeStateCall(effect.request))}`;
+        return `store ${effect.id} ${effect.timeoutMs} ${JSON.stringify(encodeStoreRequest(effect.request))}`;
       case "callCloud":
-        return `cloud ${effect.id} ${JSON.stringify(encodeCloudCall(effect.request))}`;
+        return `cloud ${effect.id} ${JSON.stringify(encodeCloudRequest(effect.request))}`;
       case "sendToPeer":
         return Buffer.concat([
           Buffer.from(`peer ${effect.to} `),
@@ -77,9 +77,9 @@
 function encodeUserAnswer(answer: UserResponse): string {
   switch (answer.kind) {
     case "accepted":
-      return `${answer.known ? 200 : 201} ${JSON.stringify(encodeView(answer.status))}`;
+      return `${answer.known ? 200 : 201} ${JSON.stringify(encodeJobStatus(answer.status))}`;
     case "status":
-      return `200 ${JSON.stringify(encodeView(answer.status))}`;
+      return `200 ${JSON.stringify(encodeJobStatus(answer.status))}`;
     case "notFound":
       return "404";
     case "unsatisfiable":
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -4,9 +4,9 @@
 import { parseSettings, SettingsError } from "../src/config/settings.js";
 import type { Effect } from "../src/core/messages/effects.js";
 import type { StoreEntry, StoreRequest } from "../src/core/messages/store.js";
-import { tokenOf } from "../src/core/model/attempt-number.js";
-import { Tables } from "../src/core/model/cluster-state.js";
-import { Directory } from "../src/core/model/interner.js";
+import { fencingTokenOf } from "../src/core/model/attempt-number.js";
+import { ClusterState } from "../src/core/model/cluster-state.js";
+import { NameRegistry } from "../src/core/model/interner.js";
 import { MachineRecords } from "../src/core/store/machine-records.js";
 import { readChunks } from "../src/core/store/stored-chunks.js";
 import { encodePeerMessage } from "../src/protocol/peers.js";
@@ -50,10 +50,12 @@
 function reportAll(b: Bench): void {
   const { leaderTerm } = b.core;
   if (!leaderTerm) return;
-  const { firstToken } = leaderTerm.term;
-  for (const machine of leaderTerm.tables.machines.values()) {
+  const { firstFencingToken: firstToken } = leaderTerm.lease;
+  for (const machine of leaderTerm.cluster.machines.values()) {
     const said = [...machine.placements]
-      .filter(({ sentToken, attempt }) => sentToken > 0 || tokenOf(attempt) < firstToken)
+      .filter(
+        ({ startSentUnder: sentToken, attempt }) => sentToken > 0 || fencingTokenOf(attempt) < firstToken,
+      )
       .map(({ job: { uid }, task, attempt }) => ({ uid, task, attempt, state: "running" as const }));
     b.report(machine.name, said);
     b.answerDo(machine.name, said);
@@ -62,7 +64,7 @@
 
 /** How many tasks of a job are known to run. */
 function running(b: Bench, uid: string): number {
-  return b.core.leaderTerm?.tables.jobByUid(uid)?.running() ?? 0;
+  return b.core.leaderTerm?.cluster.jobByUid(uid)?.countRunning() ?? 0;
 }
 
 /** Lets time pass while every machine reports, and answers what it is told directly. */
@@ -82,15 +84,15 @@
     if (productionReads(key, value) === null) unreadable.push(key);
   };
   b.lead();
-  const { tables } = b.core.leaderTerm ?? assert.fail("no leader");
+  const { cluster: tables } = b.core.leaderTerm ?? assert.fail("no leader");
   assert.deepEqual([...tables.jobs.values()].map(({ uid }) => uid).sort(), [
     "j-000001",
     "j-000002",
     "j-000003",
   ]);
-  assert.equal(tables.jobByUid("j-000001")?.held.size, 150);
+  assert.equal(tables.jobByUid("j-000001")?.placements.size, 150);
   assert.equal(tables.jobByUid("j-000003")?.doneCount, 2);
-  assert.deepEqual(b.core.view.modes, { "i-000050": "drain" });
+  assert.deepEqual(b.core.config.machineModes, { "i-000050": "drain" });
   assert.equal(b.core.ctx.settings.idle_s, 60);
   assert.deepEqual(b.poll("j-000005"), {
     kind: "status",
@@ -123,15 +125,15 @@
   put("c/move", move);
   put("j/j-000003", { ...(state.items.get("j/j-000003")?.value as object), state: "cancelled" });
   const b = new Bench("n0", state).lead();
-  const { rebalancer, tables } = b.core.leaderTerm ?? assert.fail("no leader");
+  const { migrator: rebalancer, cluster: tables } = b.core.leaderTerm ?? assert.fail("no leader");
   assert.deepEqual(rebalancer.pending, { ...move, phase: "draining" });
-  const held = [...(tables.jobByUid("j-000003")?.held.values() ?? [])];
+  const held = [...(tables.jobByUid("j-000003")?.placements.values() ?? [])];
   assert.equal(held.length, 1);
   const { machine, task, attempt } = held[0] ?? assert.fail("nothing held");
   const answer = b.report(machine.name, [{ uid: "j-000003", task, attempt, state: "running" }]);
   assert.ok(answer?.kind === "commands");
   const stops = answer.commands.filter(
-    ({ kind: op, job: ix }) => op === "stop" && b.core.directory.jobs.name(ix) === "j-000003",
+    ({ kind: op, job: ix }) => op === "stop" && b.core.names.jobs.name(ix) === "j-000003",
   );
   assert.equal(stops.length, 1, "the cancellation that production confirmed is carried out");
   // What it never learned of as started is started nowhere else before its machine is adopted.
@@ -144,7 +146,7 @@
   const core = new Bench().core;
   const effects: Effect[] = [];
   for (let now = 1000; now < 4000; now += 100)
-    effects.push(...core.handle([{ kind: "tick" }], now, { spent: () => false }));
+    effects.push(...core.handle([{ kind: "tick" }], now, { isSpent: () => false }));
   const beats = effects.flatMap((e) => (e.kind === "sendToPeer" ? [encodePeerMessage(e.message)] : []));
   assert.ok(beats.length > 0);
   for (const beat of beats) assert.notEqual(productionHears(beat), null, JSON.stringify(beat));
@@ -167,10 +169,10 @@
   b.pass(2000);
   b.give({ kind: "peerMessage", from: "n1", message: NEW_BEAT });
   b.pass(5000);
-  assert.equal(b.core.view.layout, 1, "n2 is old");
+  assert.equal(b.core.config.layout, 1, "n2 is old");
   b.give({ kind: "peerMessage", from: "n2", message: NEW_BEAT });
   b.pass(500);
-  assert.equal(b.core.view.layout, 2);
+  assert.equal(b.core.config.layout, 2);
   // Another node knows it from the record, also a new leader that has heard nobody; an old word closes nothing.
   b.state.expire(b.now + 60_000);
   const next = new Bench("n1", b.state);
@@ -178,7 +180,7 @@
   next.lead();
   next.give({ kind: "peerMessage", from: "n0", message: OLD_BEAT });
   next.pass(3000);
-  assert.equal(next.core.view.layout, 2);
+  assert.equal(next.core.config.layout, 2);
 });
 
 test("after the fall of the limits, with production's large records on file, everything goes on within them", () => {
@@ -190,8 +192,8 @@
   state.limits = SMALL;
   reportAll(b);
   // Tasks of both production's chunks end; others are placed anew.
-  const first = b.core.leaderTerm?.tables.jobByUid("j-000001") ?? assert.fail("not read");
-  const ended = [...first.held.values()].filter(({ task }) => task % 50 === 7);
+  const first = b.core.leaderTerm?.cluster.jobByUid("j-000001") ?? assert.fail("not read");
+  const ended = [...first.placements.values()].filter(({ task }) => task % 50 === 7);
   for (const { machine, task, attempt } of ended) {
     const others = [...machine.placements]
       .filter((p) => p.task !== task || p.job !== first)
@@ -203,7 +205,7 @@
   live(b, 15);
   assert.equal(running(b, "j-8"), 60);
   assert.equal(state.invalid, 0, "the fall is no event");
-  assert.equal(b.core.leadership.confirmed, true);
+  assert.equal(b.core.election.hasValidLease, true);
   const large = valuesOf(state).filter(([, bytes]) => bytes > SMALL.valueBytes);
   // What has not changed since stays as it was.
   assert.deepEqual(
@@ -215,14 +217,14 @@
   const next = new Bench("n1", state);
   next.now = b.now + 60_000;
   next.lead();
-  const again = next.core.leaderTerm?.tables.jobByUid("j-000001") ?? assert.fail("not read");
+  const again = next.core.leaderTerm?.cluster.jobByUid("j-000001") ?? assert.fail("not read");
   assert.equal(again.doneCount, ended.length);
-  assert.equal(again.held.size, 150 - ended.length);
+  assert.equal(again.placements.size, 150 - ended.length);
   for (const { task } of ended) assert.ok(again.isDone(task), `task ${task}`);
-  assert.equal(next.core.leaderTerm?.tables.jobByUid("j-8")?.held.size, 60);
-  const machines = [...(next.core.leaderTerm?.tables.machines.values() ?? [])];
+  assert.equal(next.core.leaderTerm?.cluster.jobByUid("j-8")?.placements.size, 60);
+  const machines = [...(next.core.leaderTerm?.cluster.machines.values() ?? [])];
   assert.ok(
-    machines.filter((m) => m.placements.size > 0).every((m) => m.address !== "" || m.bucket === null),
+    machines.filter((m) => m.placements.size > 0).every((m) => m.address !== "" || m.recordIndex === null),
   );
   // A job with both kinds of records completes, and leaves none of them.
   next.cancel("j-000001");
@@ -255,11 +257,11 @@
   b.state.limits = SMALL;
   b.submit(job("j-1", { tasks: 150, need: { cpu: 100, gpu: 0, ram: 100 } }));
   live(b, 15);
-  assert.equal(b.core.view.layout, 2);
+  assert.equal(b.core.config.layout, 2);
   assert.equal(running(b, "j-1"), 150);
   assert.equal(new Set(refused).size, refused.length, "nothing is sent twice as it was");
   assert.ok(refused.length > 0 && refused.length < 10, `${refused.length} refused`);
-  assert.equal(b.core.leadership.confirmed, true);
+  assert.equal(b.core.election.hasValidLease, true);
 });
 
 test("one record that can't be written holds up no other, nor renewals", () => {
@@ -272,7 +274,7 @@
   live(b, 20);
   for (let i = 2; i < 12; i++) assert.equal(running(b, `j-${i}`), 1, `j-${i}`);
   assert.deepEqual(b.starts("j-1"), [], "nothing is started that is not on record");
-  assert.equal(b.core.leadership.confirmed, true);
+  assert.equal(b.core.election.hasValidLease, true);
   assert.ok(refused.length < 10, `${refused.length} refused`);
   assert.ok(b.faults.includes("a record can't be written"));
 });
@@ -328,7 +330,7 @@
 });
 
 test("a record of machines that has become too large is split, what it gives away written first", () => {
-  const tables = new Tables(new Directory());
+  const tables = new ClusterState(new NameRegistry());
   let valueBytes = 8192;
   const records = new MachineRecords(tables, () => valueBytes);
   const at = { address: "10.1.0.232:9000", type: "small", zone: "a", spot: false };
@@ -357,7 +359,7 @@
 });
 
 test("records of machines fit their limit however long the names are", () => {
-  const tables = new Tables(new Directory());
+  const tables = new ClusterState(new NameRegistry());
   const records = new MachineRecords(tables, () => SMALL.valueBytes);
   for (let i = 0; i < 30; i++) {
     const name = `i-${i}${"x".repeat((i * 37) % 290)}`;
@@ -439,9 +441,9 @@
   assert.equal(late.length, 1);
   hearBoth(b);
   live(b, 2);
-  assert.equal(b.core.view.layout, 2);
-  const first = b.core.leaderTerm?.tables.jobByUid("j-1")?.held.get(0) ?? assert.fail("not placed");
-  assert.equal(first.durable, true);
+  assert.equal(b.core.config.layout, 2);
+  const first = b.core.leaderTerm?.cluster.jobByUid("j-1")?.placements.get(0) ?? assert.fail("not placed");
+  assert.equal(first.isRecorded, true);
   // It fails there, and starts on the other machine.
   const others = [...first.machine.placements].filter((p) => p !== first);
   b.report(first.machine.name, [
@@ -450,7 +452,8 @@
   ]);
   b.pass(300);
   live(b, 2);
-  const second = b.core.leaderTerm?.tables.jobByUid("j-1")?.held.get(0) ?? assert.fail("not placed again");
+  const second =
+    b.core.leaderTerm?.cluster.jobByUid("j-1")?.placements.get(0) ?? assert.fail("not placed again");
   assert.notEqual(second.machine.name, first.machine.name);
   for (const call of late)
     assert.equal(b.state.run(call, b.now).kind, "ok", "nothing that it depends on has changed");
@@ -458,7 +461,7 @@
   const next = new Bench("n1", b.state);
   next.now = b.now + 60_000;
   next.lead();
-  const found = next.core.leaderTerm?.tables.jobByUid("j-1")?.held.get(0);
+  const found = next.core.leaderTerm?.cluster.jobByUid("j-1")?.placements.get(0);
   assert.deepEqual([found?.machine.name, found?.attempt], [second.machine.name, second.attempt]);
 });
 
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -4,12 +4,12 @@
 import { changeOperator, defaultOperator, readOperator } from "../src/config/operator.js";
 import { parseSettings, SettingsError } from "../src/config/settings.js";
 import type { AdminRequest } from "../src/core/messages/administration.js";
-import { Directory } from "../src/core/model/interner.js";
+import { NameRegistry } from "../src/core/model/interner.js";
 import type { JobSpec } from "../src/core/model/job-spec.js";
-import { decodeReport, encodeOrders } from "../src/protocol/agents.js";
-import { decodeCloudAnswer } from "../src/protocol/cloud.js";
-import { parseJob } from "../src/protocol/jobs.js";
-import { decodeStateAnswer } from "../src/protocol/store.js";
+import { decodeHeartbeat, encodeAgentCommands } from "../src/protocol/agents.js";
+import { decodeCloudResponse } from "../src/protocol/cloud.js";
+import { decodeJobSubmission } from "../src/protocol/jobs.js";
+import { decodeStoreResponse } from "../src/protocol/store.js";
 import { createServer, type RequestHandler } from "../src/shell/api.js";
 import { openFilesProblem } from "../src/shell/open-files.js";
 import { shareSockets } from "../src/shell/sockets.js";
@@ -84,12 +84,12 @@
 });
 
 test("jobs: a well-formed one is read, and each fault names its field", () => {
-  const good = parseJob(JOB);
+  const good = decodeJobSubmission(JOB);
   assert.ok(typeof good.spec === "object");
   assert.deepEqual(good.spec.need, { cpu: 1100, gpu: 0, ram: 2000 });
   const { racks, due_s, yard, ...sparse } = JOB;
   assert.deepEqual([racks, due_s, yard], [null, null, null]);
-  assert.ok(typeof parseJob(sparse).spec === "object", "a field that may be null may be missing");
+  assert.ok(typeof decodeJobSubmission(sparse).spec === "object", "a field that may be null may be missing");
   for (const [field, value] of Object.entries({
     uid: "x-1",
     pieces: 0,
@@ -101,14 +101,14 @@
     racks: "g8",
     bundle: "",
   })) {
-    const { spec } = parseJob({ ...JOB, [field]: value });
+    const { spec } = decodeJobSubmission({ ...JOB, [field]: value });
     assert.ok(typeof spec === "string" && spec.startsWith(field), `${field}: ${JSON.stringify(spec)}`);
   }
-  for (const body of [null, 5, "j-1", [JOB], undefined]) assert.equal(parseJob(body).uid, null);
+  for (const body of [null, 5, "j-1", [JOB], undefined]) assert.equal(decodeJobSubmission(body).uid, null);
 });
 
 test("reports: malformed ones are refused, and integers beyond a double's reach do no harm", () => {
-  const directory = new Directory();
+  const directory = new NameRegistry();
   const report = {
     host: "i-1",
     address: "10.0.0.1:1",
@@ -120,9 +120,9 @@
     baton: 0,
     pieces: [{ piece: "j-1/3", try: 7, phase: "ended", cause: "error", stored: true }],
   };
-  const read = decodeReport(report, directory);
+  const read = decodeHeartbeat(report, directory);
   assert.equal(read?.tasks[0]?.exitReason, "error");
-  const [order] = encodeOrders(
+  const [order] = encodeAgentCommands(
     [{ kind: "stop", job: read?.tasks[0]?.job ?? -1, task: 3, attempt: 7, graceS: 2 }],
     directory,
   );
@@ -136,20 +136,20 @@
     { ...report, pieces: [{ piece: "j-1/1", try: 1, phase: "dancing" }] },
     { ...report, pieces: {} },
   ];
-  for (const body of bad) assert.equal(decodeReport(body, directory), null, JSON.stringify(body));
+  for (const body of bad) assert.equal(decodeHeartbeat(body, directory), null, JSON.stringify(body));
 });
 
 test("answers from outside that make no sense count as none", () => {
   const txn = { kind: "transaction", conditions: [], changes: [] } as const;
-  assert.equal(decodeStateAnswer(txn, 200, { ledger: "x" }).kind, "timeout");
-  assert.equal(decodeStateAnswer(txn, 409, {}).kind, "timeout");
-  assert.equal(decodeStateAnswer(txn, 503, {}).kind, "unavailable");
-  assert.equal(decodeStateAnswer({ kind: "get", key: "a" }, 200, undefined).kind, "timeout");
+  assert.equal(decodeStoreResponse(txn, 200, { ledger: "x" }).kind, "timeout");
+  assert.equal(decodeStoreResponse(txn, 409, {}).kind, "timeout");
+  assert.equal(decodeStoreResponse(txn, 503, {}).kind, "unavailable");
+  assert.equal(decodeStoreResponse({ kind: "get", key: "a" }, 200, undefined).kind, "timeout");
   const hire = { kind: "create", requestId: "r", type: "t", zone: "z", spot: false, count: 1 } as const;
-  assert.equal(decodeCloudAnswer(hire, 503, { error: "no capacity" }).kind, "noCapacity");
-  assert.equal(decodeCloudAnswer(hire, 503, { error: "trouble" }).kind, "unavailable");
-  assert.equal(decodeCloudAnswer(hire, 200, { hosts: 5 }).kind, "timeout");
-  assert.equal(decodeCloudAnswer({ kind: "list", after: null }, 200, { hosts: [{}] }).kind, "timeout");
+  assert.equal(decodeCloudResponse(hire, 503, { error: "no capacity" }).kind, "noCapacity");
+  assert.equal(decodeCloudResponse(hire, 503, { error: "trouble" }).kind, "unavailable");
+  assert.equal(decodeCloudResponse(hire, 200, { hosts: 5 }).kind, "timeout");
+  assert.equal(decodeCloudResponse({ kind: "list", after: null }, 200, { hosts: [{}] }).kind, "timeout");
 });
 
 /** A job as large as a body may be, and larger. */
