--- a/eslint.config.js
+++ b/eslint.config.js
@@ -31,6 +31,8 @@
     { selector: "enumMember", format: ["PascalCase"] },
     // Headers, paths and the like can't be names.
     { selector: properties, modifiers: ["requiresQuotes"], format: null },
+    // Fields of log lines and of the status are an interface of operators, in snake_case.
+    ...(wire ? [] : [{ selector: "objectLiteralProperty", format: ["camelCase", "snake_case"] }]),
     ...(wire ? [{ selector: properties, format: null }] : []),
     ...(wire ? [{ selector: "parameter", modifiers: ["destructured"], format: null }] : []),
   ];
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -73,7 +73,7 @@
   #readTypes(): void {
     this.#typesAt = this.#ctx.now;
     this.#ctx.callCloud({ kind: "listTypes" }, (answer) => {
-      if (answer.kind === "types") this.#events.onMachineTypes(answer.types);
+      if (answer.kind === "types") this.#events.onMachineTypes(answer.machineTypes);
     });
   }
 
--- a/src/core/messages/cloud.ts
+++ b/src/core/messages/cloud.ts
@@ -30,7 +30,7 @@
 
 /** The outcome of a request to the cloud. */
 export type CloudResponse =
-  | { readonly kind: "types"; readonly types: readonly MachineType[] }
+  | { readonly kind: "types"; readonly machineTypes: readonly MachineType[] }
   | { readonly kind: "created"; readonly machines: readonly string[] }
   | { readonly kind: "noCapacity" }
   | { readonly kind: "deleted" }
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -86,7 +86,7 @@
       if (!result.success) break;
       return {
         kind: "types",
-        types: result.output.racks.map((rack) => ({
+        machineTypes: result.output.racks.map((rack) => ({
           name: rack.name,
           size: roundDownCapacity(rack.cpus, rack.gpus ?? 0, rack.ram_gb),
           cacheGb: rack.cache_gb ?? 0,
--- a/tools/loopback/state-server.ts
+++ b/tools/loopback/state-server.ts
@@ -1,6 +1,6 @@
 import http from "node:http";
 import type { StoreRequest } from "../../src/core/messages/store.js";
-import { StateService } from "../../test/support/fake-store.js";
+import { FakeStore } from "../../test/support/fake-store.js";
 import { readBody, reply } from "./http.js";
 
 const SWEEP_MS = 25;
@@ -14,7 +14,7 @@
 
 /** The state service as a process of its own would serve it: the model's store behind the wire protocol. */
 export class StateServer {
-  readonly store = new StateService();
+  readonly store = new FakeStore();
   requests = 0;
   /** Requests refused for their rate. */
   refused = 0;
@@ -26,7 +26,7 @@
   readonly #server = http.createServer((req, res) => this.#serve(req, res));
 
   listen(port: number): void {
-    this.store.page = 500;
+    this.store.pageSize = 500;
     this.#server.listen(port, "127.0.0.1");
     setInterval(() => {
       this.store.expire(performance.now());
@@ -104,7 +104,7 @@
   #answerFollows(): void {
     const now = performance.now();
     this.#follows = this.#follows.filter((follow) => {
-      const found = this.store.since(follow.prefix, follow.after);
+      const found = this.store.changesSince(follow.prefix, follow.after);
       if (found === null && now < follow.until) return !follow.res.destroyed;
       const events = found?.kind === "events" ? found.events : [];
       const log = events.map((event) =>
