--- a/src/core/election/election.ts
+++ b/src/core/election/election.ts
@@ -1,337 +1,280 @@
 import type { Context } from "../context.js";
 import { randomInt } from "../random.js";
 import type { ConfigWatch } from "../store/config-watch.js";
-import { KEYS, type LeaderRecord } from "../store/records.js";
+import { KEYS } from "../store/records.js";
+import { Campaign, type CampaignOutcome, type CampaignVictory } from "./campaign.js";
+import { FencingTokenAdvancer } from "./fencing-token-advancer.js";
 import type { ElectionEvents, ElectionState, LeaderLease } from "./leader-lease.js";
-import { CLOCK_DRIFT_FACTOR, LeaseRenewalPolicy } from "./lease-renewal-policy.js";
+import { LeaseRenewalPolicy } from "./lease-renewal-policy.js";
+import { PreviousLeaderBound } from "./previous-leader-bound.js";
+import { ELECTION_CALL_TIMEOUT_MS, leaseValidUntil } from "./timing.js";
 
-const MARGIN_MS = 250;
-const CALL_MS = 900;
-const STAY_OUT_MS = 20_000;
-/** Nodes stand one after the other within so long, by chance. */
-const STAND_SPREAD_MS = 150;
+/** A node that resigned does not campaign for so long, so that leadership doesn't flap. */
+const RESIGNED_BACKOFF_MS = 20_000;
+const STEPPED_DOWN_BACKOFF_MS = 500;
+const LOST_BACKOFF_MIN_MS = 200;
+const LOST_BACKOFF_MAX_MS = 600;
+/** Candidates start at random times within so long after the leader key is gone. */
+const CAMPAIGN_JITTER_MS = 150;
 
 /**
- * One leader under a grant of the state service. The token comes from the epoch key, which every
- * acquisition raises in the same transaction: tokens never repeat nor go back.
+ * Leader election under a lease of the key-value store: at most one node holds a valid lease. Owns the campaign, the
+ * keep-alives, the fencing token, and the rules by which a leader steps down.
+ *
+ * The fencing token comes from the epoch key, which every acquisition raises in the same transaction: tokens never
+ * repeat nor decrease.
  */
 export class Election {
   readonly #ctx: Context;
-  readonly #view: ConfigWatch;
+  readonly #config: ConfigWatch;
   readonly #events: ElectionEvents;
   readonly #incarnation: string;
-  readonly #window: LeaseRenewalPolicy;
+  readonly #policy: LeaseRenewalPolicy;
+  readonly #campaign: Campaign;
+  readonly #tokenAdvancer: FencingTokenAdvancer;
+  readonly #previousLeaders: PreviousLeaderBound;
+  /** Where this node stands. */
   state: ElectionState = { kind: "follower" };
-  #runAt = 0;
-  #renewing = false;
-  #renewedAt = 0;
-  #raising = false;
-  #raisedAt = 0;
-  /** The highest token this node has seen anywhere. */
+  /** The highest fencing token that this node has seen anywhere. */
   highestTokenSeen = 0;
-  /** The last token of this process's own last term, and until when it, or any before it, may have answered workers. */
-  #own: { readonly token: number; readonly until: number } | null = null;
-  /** Peers that have shown a token of this term. */
-  readonly #shown = new Set<string>();
+  /** No campaign begins before this time. */
+  #campaignAt = 0;
+  #isKeepAliveInFlight = false;
+  #keepAliveAt = 0;
+  #tokenAdvancedAt = 0;
 
-  constructor(ctx: Context, view: ConfigWatch, incarnation: string, events: ElectionEvents) {
+  constructor(ctx: Context, config: ConfigWatch, incarnation: string, events: ElectionEvents) {
     this.#ctx = ctx;
-    this.#view = view;
+    this.#config = config;
     this.#incarnation = incarnation;
-    this.#window = new LeaseRenewalPolicy(ctx, events);
     this.#events = events;
+    this.#policy = new LeaseRenewalPolicy(ctx, events);
+    this.#campaign = new Campaign(ctx, config, incarnation);
+    this.#previousLeaders = new PreviousLeaderBound(ctx, this.#policy);
+    this.#tokenAdvancer = new FencingTokenAdvancer(ctx, config, {
+      currentLease: () => this.lease,
+      onTokenAdvanced: (token) => this.#recordTokenSeen(token),
+      onLeaderKeyReplaced: () => this.stepDown("another leader is recorded"),
+    });
   }
 
+  /** The lease of the term under way, valid or expired; null while this node doesn't lead. */
   get lease(): LeaderLease | null {
-    return this.state.kind === "leader" ? this.state.term : null;
+    return this.state.kind === "leader" ? this.state.lease : null;
   }
 
+  /** True for a leader whose lease has not expired: only then may it decide anything new. */
   get hasValidLease(): boolean {
-    const term = this.lease;
-    return term !== null && this.#ctx.now < term.validUntil;
+    const { lease } = this;
+    return lease !== null && this.#ctx.now < lease.validUntil;
   }
 
-  /** How long an unconfirmed leader goes on answering reports. */
+  /** How long a leader goes on replying to heartbeats after its lease expired, at most. */
   get gracePeriodMs(): number {
-    return this.#window.gracePeriodMs;
+    return this.#policy.gracePeriodMs;
   }
 
-  /** How long a follow of the job keys may wait. */
+  /** How long a watch of the job keys may wait. */
   get watchWaitMs(): number {
-    return this.#window.watchWaitMs;
+    return this.#policy.watchWaitMs;
   }
 
-  /** Every cancellation confirmed before this time is applied here. */
+  /** Every cancellation confirmed before this time is applied here (I1). */
   get cancellationsKnownThrough(): number {
-    return this.#window.cancellationsKnownThrough;
+    return this.#policy.cancellationsKnownThrough;
   }
 
-  /** May reports be answered, and so leases renewed? Before the records are read, nothing is known of cancellations. */
+  /**
+   * May heartbeats be replied to, and agent leases so be renewed? Within the grace period, and while what is known of
+   * cancellations is recent enough (I1): not before the records are loaded.
+   */
   get mayReplyToAgents(): boolean {
-    const { lease: term } = this;
+    const { lease } = this;
     const { now } = this.#ctx;
     return (
-      term !== null &&
-      now < term.validUntil + this.#window.currentGracePeriodMs &&
-      now < this.#window.knowledgeValidUntil
+      lease !== null &&
+      now < lease.validUntil + this.#policy.currentGracePeriodMs &&
+      now < this.#policy.knowledgeValidUntil
     );
   }
 
-  /** A higher token seen anywhere ends this term. */
+  /** Takes note of a fencing token seen anywhere: one higher than this term's ends the term. */
   observeToken(token: number): void {
-    if (token > this.highestTokenSeen) this.highestTokenSeen = token;
-    const term = this.lease;
-    if (term && token > term.fencingToken && !this.#raising) this.stepDown("a higher token was seen");
+    this.#recordTokenSeen(token);
+    const { lease } = this;
+    // While an advance is in flight the higher token may be this leader's own.
+    if (lease && token > lease.fencingToken && !this.#tokenAdvancer.isInFlight)
+      this.stepDown("a higher fencing token was observed");
   }
 
-  /**
-   * A node that has seen this term's token answers no worker under an older one, nor will any later process of it: once
-   * every peer has, there is no former leader's hold to be waited out. A cut-off peer is, for as long as it may hold.
-   */
-  observePeerToken(node: string, token: number): void {
-    const { lease: term } = this;
-    if (!term || token < term.firstFencingToken || this.#shown.has(node)) return;
-    this.#shown.add(node);
-    const { peers } = this.#ctx.deployment;
-    if (peers.every((peer) => this.#shown.has(peer)))
-      term.previousLeaderUntil = Math.min(term.previousLeaderUntil, this.#ctx.now);
+  /** Takes note of the fencing token that a peer has seen: it may prove that no earlier leader is left. */
+  observePeerToken(peer: string, token: number): void {
+    const { lease } = this;
+    if (lease) this.#previousLeaders.observePeerToken(lease, peer, token);
   }
 
-  /**
-   * Until when a leader before this one may go on answering. The first ever had none. Where it was this very process, and
-   * nobody between (the epoch counts every taking of office), it knows; else it reckons with the longest hold.
-   */
-  #formerUntil(token: number): number {
-    if (token === 1) return this.#ctx.now;
-    if (this.#own && token === this.#own.token + 1) return this.#own.until;
-    const holdMs = this.#window.gracePeriodMs + this.#ctx.settings.leader_grant_ms;
-    return this.#ctx.now + holdMs * CLOCK_DRIFT_FACTOR;
+  #recordTokenSeen(token: number): void {
+    if (token > this.highestTokenSeen) this.highestTokenSeen = token;
   }
 
-  stepDown(why: string): void {
-    if (this.state.kind !== "leader") return;
-    const { term } = this.state;
-    this.#own = { token: term.fencingToken, until: Math.max(term.previousLeaderUntil, this.#ctx.now) };
+  /** Ends this node's term, if it leads, without revoking the lease. */
+  stepDown(reason: string): void {
+    const { lease } = this;
+    if (!lease) return;
+    this.#previousLeaders.endTerm(lease);
     this.state = { kind: "follower" };
-    this.#runAt = this.#ctx.now + 500;
-    this.#events.onSteppedDown(why);
+    this.#campaignAt = this.#ctx.now + STEPPED_DOWN_BACKOFF_MS;
+    this.#events.onSteppedDown(reason);
   }
 
-  /** Gives the office up for others to take, and stays out of the race for a while. */
-  resign(why: string): void {
-    const { lease: term } = this;
-    if (!term) return;
-    this.#ctx.callStore({ kind: "revokeLease", leaseId: term.leaseId }, CALL_MS, () => {});
-    this.stepDown(why);
-    this.#runAt = this.#ctx.now + STAY_OUT_MS;
+  /** Transfers leadership: revokes the lease for others to campaign at once, and stays out of the race for a while. */
+  resign(reason: string): void {
+    const { lease } = this;
+    if (!lease) return;
+    this.#ctx.callStore({ kind: "revokeLease", leaseId: lease.leaseId }, ELECTION_CALL_TIMEOUT_MS, () => {});
+    this.stepDown(reason);
+    this.#campaignAt = this.#ctx.now + RESIGNED_BACKOFF_MS;
   }
 
+  /** To be called whenever a key of the cluster configuration has changed here. */
   onConfigChanged(key: string): void {
-    const term = this.lease;
-    if (key === KEYS.leader && term) {
-      const held = this.#view.leader;
-      if (held && held.version > term.leaderKeyVersion) this.stepDown("another leader is recorded");
-      else if (held === null) this.stepDown("the leader key is gone");
-    }
-    if (key === KEYS.leader && !this.#view.leader) this.#events.onLeaderKeyRemoved();
-    // The key is gone: stand soon, but not all nodes in the same moment.
-    if (key === KEYS.leader && !this.#view.leader && this.state.kind === "follower") {
-      const deferMs = this.#events.campaignDelayMs() + randomInt(this.#ctx.random, 0, STAND_SPREAD_MS);
-      this.#runAt = Math.max(this.#runAt, this.#ctx.now + deferMs);
+    if (key !== KEYS.leader) return;
+    const { leader } = this.#config;
+    const { lease } = this;
+    if (lease) {
+      if (leader && leader.version > lease.leaderKeyVersion) this.stepDown("another leader is recorded");
+      else if (leader === null) this.stepDown("the leader key was removed");
     }
+    if (!this.#config.leader) this.#onLeaderKeyRemoved();
+  }
+
+  #onLeaderKeyRemoved(): void {
+    this.#events.onLeaderKeyRemoved();
+    if (this.state.kind !== "follower") return;
+    const delayMs = this.#events.campaignDelayMs() + randomInt(this.#ctx.random, 0, CAMPAIGN_JITTER_MS);
+    this.#campaignAt = Math.max(this.#campaignAt, this.#ctx.now + delayMs);
   }
 
+  /** Does what is due: campaigns, or steps down, keeps the lease alive and advances the fencing token. */
   tick(): void {
     const { state } = this;
     switch (state.kind) {
       case "follower":
-        this.#maybeRun();
+        this.#campaignIfDue();
         break;
       case "candidate":
         break;
       case "leader":
-        this.#lead(state.term);
+        this.#tickLeader(state.lease);
         break;
     }
   }
 
-  #maybeRun(): void {
-    const { now } = this.#ctx;
-    if (!this.#view.isLoaded || now < this.#runAt || this.#ctx.storeFailingSince !== null) return;
-    const held = this.#view.leader;
-    const own = held !== null && held.value.node === this.#ctx.deployment.node;
-    if (held && !(own && held.value.incarnation !== this.#incarnation)) return;
-    this.#runForLeader(held ? held.version : 0);
+  #campaignIfDue(): void {
+    const { now, storeFailingSince } = this.#ctx;
+    if (!this.#config.isLoaded || now < this.#campaignAt || storeFailingSince !== null) return;
+    const { leader } = this.#config;
+    if (leader && !this.#isEarlierProcessOfThisNode(leader.value)) return;
+    this.state = { kind: "candidate" };
+    this.#campaign.run(leader ? leader.version : 0, (outcome) => this.#onCampaignOver(outcome));
   }
 
-  #runForLeader(leaderVersion: number): void {
-    const ctx = this.#ctx;
-    this.state = { kind: "candidate", since: ctx.now };
-    const asked = ctx.now;
-    const lifeMs = ctx.settings.leader_grant_ms;
-    ctx.callStore({ kind: "grantLease", ttlMs: lifeMs }, CALL_MS, (granted) => {
-      if (granted.kind !== "leaseGranted") {
-        this.#lost("no grant");
-        return;
-      }
-      const { leaseId: grant } = granted;
-      const epoch = this.#view.epoch;
-      const token = (epoch?.value ?? 0) + 1;
-      const record: LeaderRecord = { node: ctx.deployment.node, incarnation: this.#incarnation, token };
-      ctx.callStore(
-        {
-          kind: "transaction",
-          conditions: [
-            { key: KEYS.leader, version: leaderVersion },
-            { key: KEYS.epoch, version: epoch?.version ?? 0 },
-          ],
-          changes: [
-            { put: KEYS.leader, value: record, leaseId: grant },
-            { put: KEYS.epoch, value: { token } },
-          ],
-        },
-        CALL_MS,
-        (answer) => {
-          if (answer.kind !== "ok") {
-            // Also after silence: it may be, or may yet be, executed. The grant is given back, which
-            // takes the key with it; a late execution then fails for want of the grant.
-            ctx.callStore({ kind: "revokeLease", leaseId: grant }, CALL_MS, () => {});
-            this.#lost(answer.kind);
-            return;
-          }
-          const version = answer.revision;
-          const term: LeaderLease = {
-            leaseId: grant,
-            fencingToken: token,
-            firstFencingToken: token,
-            leaderKeyVersion: version,
-            epochKeyVersion: version,
-            electedAt: ctx.now,
-            validUntil: asked + lifeMs / CLOCK_DRIFT_FACTOR - MARGIN_MS,
-            previousLeaderUntil: this.#formerUntil(token),
-          };
-          this.#shown.clear();
-          this.state = { kind: "leader", term };
-          this.#renewedAt = asked;
-          this.#raisedAt = ctx.now;
-          this.highestTokenSeen = Math.max(this.highestTokenSeen, token);
-          this.#view.apply({ key: KEYS.leader, value: record, version });
-          this.#view.apply({ key: KEYS.epoch, value: { token }, version });
-          this.#events.onElected(term);
-        },
-      );
-    });
+  /** A restarted node replaces the leader key of its own earlier process without waiting for the lease to expire. */
+  #isEarlierProcessOfThisNode(leader: { readonly node: string; readonly incarnation: string }): boolean {
+    return leader.node === this.#ctx.deployment.node && leader.incarnation !== this.#incarnation;
+  }
+
+  #onCampaignOver(outcome: CampaignOutcome): void {
+    if (outcome.kind === "won") this.#beginTerm(outcome.victory);
+    else this.#onCampaignLost(outcome.reason);
+  }
+
+  #beginTerm(victory: CampaignVictory): void {
+    const { leaseId, fencingToken, record, version } = victory;
+    const { now } = this.#ctx;
+    const lease: LeaderLease = {
+      leaseId,
+      fencingToken,
+      firstFencingToken: fencingToken,
+      leaderKeyVersion: version,
+      epochKeyVersion: version,
+      electedAt: now,
+      validUntil: victory.leaseValidUntil,
+      previousLeaderUntil: this.#previousLeaders.beginTerm(fencingToken),
+    };
+    this.state = { kind: "leader", lease };
+    this.#keepAliveAt = victory.leaseRequestedAt;
+    this.#tokenAdvancedAt = now;
+    this.#recordTokenSeen(fencingToken);
+    this.#config.apply({ key: KEYS.leader, value: record, version });
+    this.#config.apply({ key: KEYS.epoch, value: { token: fencingToken }, version });
+    this.#events.onElected(lease);
   }
 
-  #lost(why: string): void {
+  #onCampaignLost(reason: string): void {
     this.state = { kind: "follower" };
-    this.#runAt = this.#ctx.now + randomInt(this.#ctx.random, 200, 600);
-    this.#ctx.log("debug", "did not become leader", { why });
-    this.#view.reread();
+    const backoffMs = randomInt(this.#ctx.random, LOST_BACKOFF_MIN_MS, LOST_BACKOFF_MAX_MS);
+    this.#campaignAt = this.#ctx.now + backoffMs;
+    this.#ctx.log("debug", "election lost", { reason });
+    this.#config.reread();
   }
 
-  #lead(term: LeaderLease): void {
-    const ctx = this.#ctx;
-    if (ctx.now >= term.validUntil + this.#window.currentGracePeriodMs) {
-      this.stepDown("unconfirmed for too long");
+  #tickLeader(lease: LeaderLease): void {
+    const { now } = this.#ctx;
+    if (now >= lease.validUntil + this.#policy.currentGracePeriodMs) {
+      this.stepDown("the grace period after the lease expired is over");
       return;
     }
-    if (this.#events.cancellationsKnownThrough() !== null && ctx.now >= this.#window.knowledgeValidUntil) {
-      const why = "cancellations can't be read";
-      if (this.hasValidLease) this.resign(why);
-      else this.stepDown(why);
+    if (this.#areCancellationsStale()) {
+      const reason = "cancellations can't be read";
+      if (this.hasValidLease) this.resign(reason);
+      else this.stepDown(reason);
       return;
     }
-    const lifeMs = ctx.settings.leader_grant_ms;
-    if (!this.#renewing && ctx.now - this.#renewedAt >= lifeMs / 4) this.#renew(term, lifeMs);
-    if (
-      !this.#raising &&
-      ctx.now < term.validUntil &&
-      ctx.now - this.#raisedAt >= ctx.settings.token_raise_s * 1000 &&
-      // Starts under way would have to begin anew, so they are let through first, within reason.
-      (!this.#events.hasStartsInFlight() || ctx.now - this.#raisedAt >= ctx.settings.token_raise_s * 2000)
-    ) {
-      this.advanceFencingToken();
-    }
+    const ttlMs = this.#ctx.settings.leader_grant_ms;
+    if (!this.#isKeepAliveInFlight && now - this.#keepAliveAt >= ttlMs / 4) this.#keepAlive(lease, ttlMs);
+    if (this.#isTokenAdvanceDue()) this.advanceFencingToken();
   }
 
-  #renew(term: LeaderLease, lifeMs: number): void {
-    const ctx = this.#ctx;
-    const asked = ctx.now;
-    this.#renewing = true;
-    this.#renewedAt = asked;
-    ctx.callStore({ kind: "renewLease", leaseId: term.leaseId }, CALL_MS, (answer) => {
-      this.#renewing = false;
-      if (this.lease !== term) return;
-      if (answer.kind === "ok") term.validUntil = asked + lifeMs / CLOCK_DRIFT_FACTOR - MARGIN_MS;
-      else if (answer.kind === "notFound") this.stepDown("the grant is gone");
-    });
+  /** True if the records are loaded, but what is known of cancellations is too old to reply to agents (I1). */
+  #areCancellationsStale(): boolean {
+    return (
+      this.#events.cancellationsKnownThrough() !== null && this.#ctx.now >= this.#policy.knowledgeValidUntil
+    );
   }
 
-  /**
-   * Raises the token within the term. What was sent under the former one can no longer be executed
-   * by a worker that has seen the new one, which is what makes clearing ended attempts safe.
-   */
-  advanceFencingToken(): void {
-    const ctx = this.#ctx;
-    const { lease: term } = this;
-    if (!term || this.#raising || !this.hasValidLease) return;
-    this.#raising = true;
-    this.#raisedAt = ctx.now;
-    const token = term.fencingToken + 1;
-    ctx.callStore(
-      {
-        kind: "transaction",
-        conditions: [
-          { key: KEYS.leader, version: term.leaderKeyVersion },
-          { key: KEYS.epoch, version: term.epochKeyVersion },
-        ],
-        changes: [{ put: KEYS.epoch, value: { token } }],
-      },
-      CALL_MS,
-      (answer) => {
-        if (this.lease !== term) {
-          this.#raising = false;
-          return;
-        }
-        if (answer.kind === "ok") {
-          this.#raising = false;
-          this.#advance(term, token, answer.revision);
-        } else if (answer.kind === "unavailable" || answer.kind === "throttled") {
-          this.#raising = false;
-        } else {
-          this.#reread(term);
-        }
+  #keepAlive(lease: LeaderLease, ttlMs: number): void {
+    const requestedAt = this.#ctx.now;
+    this.#isKeepAliveInFlight = true;
+    this.#keepAliveAt = requestedAt;
+    this.#ctx.callStore(
+      { kind: "renewLease", leaseId: lease.leaseId },
+      ELECTION_CALL_TIMEOUT_MS,
+      (response) => {
+        this.#isKeepAliveInFlight = false;
+        if (this.lease !== lease) return;
+        if (response.kind === "ok") lease.validUntil = leaseValidUntil(requestedAt, ttlMs);
+        else if (response.kind === "notFound") this.stepDown("the lease expired");
       },
     );
   }
 
-  #advance(term: LeaderLease, token: number, version: number): void {
-    term.fencingToken = token;
-    term.epochKeyVersion = version;
-    this.highestTokenSeen = Math.max(this.highestTokenSeen, token);
-    this.#view.apply({ key: KEYS.epoch, value: { token }, version });
+  /** Starts in flight are let through first, for at most one more period: under a new token they would begin anew. */
+  #isTokenAdvanceDue(): boolean {
+    if (this.#tokenAdvancer.isInFlight || !this.hasValidLease) return false;
+    const ageMs = this.#ctx.now - this.#tokenAdvancedAt;
+    const periodMs = this.#ctx.settings.token_raise_s * 1000;
+    return ageMs >= periodMs && (!this.#events.hasStartsInFlight() || ageMs >= 2 * periodMs);
   }
 
   /**
-   * The raise may have been executed without our knowing, so the key is read before deciding. While the
-   * leader key is ours nobody else can have raised it: a higher value under it is our own.
+   * Advances the fencing token within the term, unless the lease expired or an advance is in flight: what was sent under
+   * the token before can't be executed any more by an agent that has seen the new one.
    */
-  #reread(term: LeaderLease): void {
-    const ctx = this.#ctx;
-    ctx.callStore({ kind: "list", prefix: KEYS.config, after: null }, CALL_MS, (answer) => {
-      this.#raising = false;
-      if (this.lease !== term || answer.kind !== "page") return;
-      const leader = answer.entries.find((item) => item.key === KEYS.leader);
-      const epoch = answer.entries.find((item) => item.key === KEYS.epoch);
-      if (leader?.version !== term.leaderKeyVersion) {
-        this.stepDown("another leader is recorded");
-        return;
-      }
-      const token = (epoch?.value as { token?: unknown } | undefined)?.token;
-      if (epoch && typeof token === "number" && token >= term.fencingToken) {
-        this.#advance(term, token, epoch.version);
-      }
-    });
+  advanceFencingToken(): void {
+    const { lease } = this;
+    if (!lease || this.#tokenAdvancer.isInFlight || !this.hasValidLease) return;
+    this.#tokenAdvancedAt = this.#ctx.now;
+    this.#tokenAdvancer.advance(lease);
   }
 }
--- /dev/null
+++ b/src/core/election/fencing-token-advancer.ts
@@ -0,0 +1,102 @@
+import type { Context } from "../context.js";
+import type { StoreEntry, StoreResponse } from "../messages/store.js";
+import type { ConfigWatch } from "../store/config-watch.js";
+import { KEYS } from "../store/records.js";
+import type { LeaderLease } from "./leader-lease.js";
+import { ELECTION_CALL_TIMEOUT_MS } from "./timing.js";
+
+/** What an advance of the fencing token needs to know of the election, and reports to it. */
+export interface FencingTokenEvents {
+  /** The lease of the term under way; null while this node doesn't lead. */
+  currentLease(): LeaderLease | null;
+  /** The lease now has this fencing token. */
+  onTokenAdvanced(fencingToken: number): void;
+  /** The leader key is not the one of this term: another node leads. */
+  onLeaderKeyReplaced(): void;
+}
+
+/**
+ * Advances the fencing token within a term. An agent that has seen the new token executes nothing that was sent under
+ * the one before, which is what makes acknowledging ended attempts safe (I6).
+ */
+export class FencingTokenAdvancer {
+  readonly #ctx: Context;
+  readonly #config: ConfigWatch;
+  readonly #events: FencingTokenEvents;
+  #isInFlight = false;
+
+  constructor(ctx: Context, config: ConfigWatch, events: FencingTokenEvents) {
+    this.#ctx = ctx;
+    this.#config = config;
+    this.#events = events;
+  }
+
+  /** True from the request until its outcome is known; it may outlast the term. */
+  get isInFlight(): boolean {
+    return this.#isInFlight;
+  }
+
+  /** Raises the epoch key, conditioned on the leader key. One advance at a time: none may be in flight. */
+  advance(lease: LeaderLease): void {
+    this.#isInFlight = true;
+    const token = lease.fencingToken + 1;
+    this.#ctx.callStore(
+      {
+        kind: "transaction",
+        conditions: [
+          { key: KEYS.leader, version: lease.leaderKeyVersion },
+          { key: KEYS.epoch, version: lease.epochKeyVersion },
+        ],
+        changes: [{ put: KEYS.epoch, value: { token } }],
+      },
+      ELECTION_CALL_TIMEOUT_MS,
+      (response) => this.#onResponse(lease, token, response),
+    );
+  }
+
+  #onResponse(lease: LeaderLease, token: number, response: StoreResponse): void {
+    if (this.#events.currentLease() !== lease) {
+      this.#isInFlight = false;
+    } else if (response.kind === "ok") {
+      this.#isInFlight = false;
+      this.#apply(lease, token, response.revision);
+    } else if (response.kind === "unavailable" || response.kind === "throttled") {
+      this.#isInFlight = false;
+    } else {
+      this.#resolveUnknownOutcome(lease);
+    }
+  }
+
+  #apply(lease: LeaderLease, token: number, version: number): void {
+    lease.fencingToken = token;
+    lease.epochKeyVersion = version;
+    this.#events.onTokenAdvanced(token);
+    this.#config.apply({ key: KEYS.epoch, value: { token }, version });
+  }
+
+  /**
+   * The advance may have been executed without this node's knowing, so the keys are read before deciding. While the
+   * leader key is that of this term no other node can have raised the epoch: a higher value is this leader's own.
+   */
+  #resolveUnknownOutcome(lease: LeaderLease): void {
+    const call = { kind: "list", prefix: KEYS.config, after: null } as const;
+    this.#ctx.callStore(call, ELECTION_CALL_TIMEOUT_MS, (response) => {
+      this.#isInFlight = false;
+      if (this.#events.currentLease() !== lease || response.kind !== "page") return;
+      const leader = response.entries.find((entry) => entry.key === KEYS.leader);
+      const epoch = response.entries.find((entry) => entry.key === KEYS.epoch);
+      if (leader?.version !== lease.leaderKeyVersion) {
+        this.#events.onLeaderKeyReplaced();
+        return;
+      }
+      const token = epoch && storedToken(epoch);
+      if (epoch && token !== undefined && token >= lease.fencingToken)
+        this.#apply(lease, token, epoch.version);
+    });
+  }
+}
+
+function storedToken(epoch: StoreEntry): number | undefined {
+  const token = (epoch.value as { token?: unknown } | undefined)?.token;
+  return typeof token === "number" ? token : undefined;
+}
