--- a/src/core/leader-term.ts
+++ b/src/core/leader-term.ts
@@ -99,7 +99,7 @@
       this.scheduler,
       (types) => this.#typesRead(types),
     );
-    this.migrator = new ReplicaMigrator(ctx, this.cluster, this.agents, this.recordWriter, this.scheduler);
+    this.migrator = new ReplicaMigrator(ctx, this);
     this.#progress = new ProgressPublisher(ctx, this.cluster);
     this.#modes = new MachineModes(ctx, view, this.cluster, this.agents, this.scheduler);
     this.#typesRecord = new MachineTypesRecord(ctx, view, term);
--- /dev/null
+++ b/src/core/migration/migration-planner.ts
@@ -0,0 +1,148 @@
+import type { Context } from "../context.js";
+import type { ClusterState } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
+import type { Machine } from "../model/machine.js";
+import type { Placement } from "../model/placement.js";
+import { add, fits } from "../model/resources.js";
+import { weightedIndex } from "../random.js";
+import type { Scheduler } from "../scheduling/scheduler.js";
+
+/** What a machine that has the image already is ahead by, among machines of equal share. */
+const IMAGE_PRESENT_BONUS = 1e-6;
+
+/** A replica to migrate, and the machine to migrate it to. */
+export interface MigrationPlan {
+  readonly replica: Placement;
+  readonly from: Machine;
+  readonly to: Machine;
+}
+
+/**
+ * Chooses what to migrate: a service replica of a machine that has been underutilized for the whole window, provided all
+ * of that machine's replicas fit on others, so that it can become empty.
+ */
+export class MigrationPlanner {
+  readonly #ctx: Context;
+  readonly #cluster: ClusterState;
+  readonly #scheduler: Scheduler;
+
+  constructor(ctx: Context, cluster: ClusterState, scheduler: Scheduler) {
+    this.#ctx = ctx;
+    this.#cluster = cluster;
+    this.#scheduler = scheduler;
+  }
+
+  /** Notes since when each machine has been underutilized: up, with a booked share below `move_low`. */
+  trackUtilization(): void {
+    const { now, settings } = this.#ctx;
+    for (const machine of this.#cluster.machines.values()) {
+      if (machine.phase === "up" && machine.bookedShare() < settings.move_low)
+        machine.underutilizedSince ??= now;
+      else machine.underutilizedSince = null;
+    }
+  }
+
+  /** The migration to start in this round; null if no machine qualifies. */
+  plan(): MigrationPlan | null {
+    for (const machine of this.#cluster.machines.values()) {
+      if (!this.#isUnderutilized(machine) || !this.#scheduler.feasibleMachines.isSchedulable(machine))
+        continue;
+      const plan = this.#planFrom(machine);
+      if (plan) return plan;
+    }
+    return null;
+  }
+
+  #planFrom(from: Machine): MigrationPlan | null {
+    const replicas = [...from.placements].filter(({ job }) => job.spec.shape === "service");
+    if (replicas.length === 0 || !this.#allFitElsewhere(from, replicas)) return null;
+    const replica = this.#drawReplica(replicas);
+    if (!replica) return null;
+    const to = this.#findTarget(replica, from, new Map());
+    return to ? { replica, from, to } : null;
+  }
+
+  /** Draws one of the replicas that may be migrated, with odds in proportion to their CPU. */
+  #drawReplica(replicas: readonly Placement[]): Placement | null {
+    // A crash-looping replica would waste the one migration.
+    const movable = replicas.filter(
+      (replica) => replica.observedState === "running" && !replica.stop && replica.job.failures === 0,
+    );
+    const drawn = weightedIndex(
+      this.#ctx.random,
+      movable.map(({ job }) => job.spec.need.cpu),
+    );
+    return drawn === null ? null : (movable[drawn] ?? null);
+  }
+
+  #isUnderutilized(machine: Machine): boolean {
+    return (
+      machine.underutilizedSince !== null &&
+      this.#ctx.now - machine.underutilizedSince >= this.#ctx.settings.move_window_s * 1000
+    );
+  }
+
+  #allFitElsewhere(from: Machine, replicas: readonly Placement[]): boolean {
+    const plannedReplicas = new Map<Machine, number>();
+    for (const replica of replicas) {
+      const target = this.#findTarget(replica, from, plannedReplicas);
+      if (!target) return false;
+      plannedReplicas.set(target, (plannedReplicas.get(target) ?? 0) + 1);
+    }
+    return true;
+  }
+
+  /** The fullest feasible machine, given how many replicas of this size each is to take already; null if there is none. */
+  #findTarget(
+    replica: Placement,
+    from: Machine,
+    plannedReplicas: ReadonlyMap<Machine, number>,
+  ): Machine | null {
+    const { job } = replica;
+    let best: Machine | null = null;
+    let bestScore = -1;
+    for (const machine of this.#cluster.machines.values()) {
+      if (!this.#isCandidate(job, from, machine)) continue;
+      const score = this.#targetScore(job, from, machine, plannedReplicas.get(machine) ?? 0);
+      if (score !== null && score > bestScore) {
+        bestScore = score;
+        best = machine;
+      }
+    }
+    return best;
+  }
+
+  /** An underutilized machine is never a target: it should become empty itself. */
+  #isCandidate(job: Job, from: Machine, machine: Machine): boolean {
+    const { feasibleMachines } = this.#scheduler;
+    return (
+      machine !== from &&
+      !machine.isMarkedForScaleIn &&
+      !this.#isUnderutilized(machine) &&
+      feasibleMachines.isSchedulable(machine) &&
+      feasibleMachines.mayRunOn(job, machine)
+    );
+  }
+
+  /** The machine's booked share, with a bonus for the image; null if the replica doesn't fit below `move_high`. */
+  #targetScore(job: Job, from: Machine, machine: Machine, plannedReplicas: number): number | null {
+    const { now, settings } = this.#ctx;
+    const { need, image } = job.spec;
+    const machineCpu = machine.type?.size.cpu ?? 0;
+    if (machineCpu === 0) return null;
+    const free = add(machine.freeCapacity(), need, -plannedReplicas);
+    const share = machine.bookedShare() + (need.cpu * plannedReplicas) / machineCpu;
+    if (!fits(need, free) || share + need.cpu / machineCpu >= settings.move_high) return null;
+    if (!zonesAllowMigration(job, from, machine)) return null;
+    // The gap between the old copy and the new one is shorter where the image is.
+    const cachedImage = machine.images.get(image);
+    return share + (cachedImage && cachedImage.readyAt <= now ? IMAGE_PRESENT_BONUS : 0);
+  }
+}
+
+/** Do the job's zone rules, one zone for all or a spread over several, still hold after this migration? */
+export function zonesAllowMigration(job: Job, from: Machine, to: Machine): boolean {
+  if (from.zone === to.zone) return true;
+  if (job.spec.oneZone && job.placements.size > 1) return false;
+  return !job.spec.spread || job.countInZone(to.zone) + 1 <= Math.ceil(job.spec.tasks / 2);
+}
--- a/src/core/migration/replica-migration.ts
+++ b/src/core/migration/replica-migration.ts
@@ -6,240 +6,204 @@
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import { add, fits, NO_RESOURCES } from "../model/resources.js";
-import { weightedIndex } from "../random.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
 import type { RecordWriter } from "../store/record-writer.js";
 import { type MigrationRecord, readMigration } from "../store/records.js";
+import { type MigrationPlan, MigrationPlanner, zonesAllowMigration } from "./migration-planner.js";
 
-type Phase = "recording" | "draining" | "stopping" | "starting";
+/** A phase that takes longer than this is given up. */
+const PHASE_TIMEOUT_MS = 120_000;
 
-interface Pending {
+/**
+ * The phases of a migration, as the status shows them. In each but the last the target's capacity is reserved.
+ *
+ * - `recording`: until the migration is on record
+ * - `draining`: the old copy drains for `move_drain_s`
+ * - `stopping`: until the old copy is proved to have ended
+ * - `starting`: until the new copy runs
+ */
+export type MigrationPhase = "recording" | "draining" | "stopping" | "starting";
+
+interface PendingMigration {
   readonly record: MigrationRecord;
   readonly job: Job;
   readonly from: Machine;
   readonly to: Machine;
-  phase: Phase;
-  since: number;
+  phase: MigrationPhase;
+  phaseSince: number;
 }
 
-const GIVE_UP_MS = 120_000;
+/** What the migrator works on. */
+export interface MigratorDependencies {
+  readonly cluster: ClusterState;
+  readonly agents: AgentManager;
+  readonly recordWriter: RecordWriter;
+  readonly scheduler: Scheduler;
+}
 
 /**
- * The design's consolidation: each round at most one service replica leaves a machine that stayed cold,
- * provided all of that machine's replicas fit elsewhere. One move is pending at a time, on record.
+ * Consolidation: each round at most one service replica leaves a machine that has been underutilized for a while,
+ * provided all of that machine's replicas fit elsewhere. At most one migration is pending at any time, and it is on
+ * record: whoever leads next finishes it before starting another.
  *
- * The design starts the new copy before it drains the old one. Here a replica is a numbered task, and the
- * rules forbid it on two machines at once; so the target is booked first, the drain is waited out, and the
- * new copy is started at once when the old one is proved gone (docs/DESIGN.md).
+ * A replica is a numbered task, which must never run on two machines at once (I3). So the new copy can't be started
+ * before the old one is drained: the target's capacity is reserved first, the drain is waited out, and the new copy is
+ * started as soon as the old one is proved to have ended (docs/DESIGN.md).
  */
 export class ReplicaMigrator {
   readonly #ctx: Context;
-  readonly #tables: ClusterState;
-  readonly #fleet: AgentManager;
-  readonly #recorder: RecordWriter;
+  readonly #cluster: ClusterState;
+  readonly #agents: AgentManager;
+  readonly #recordWriter: RecordWriter;
   readonly #scheduler: Scheduler;
-  #pending: Pending | null = null;
-  #roundAt: number;
-  #clearing = false;
+  readonly #planner: MigrationPlanner;
+  #pending: PendingMigration | null = null;
+  #nextRoundAt: number;
+  /** True until the record of the migration before is removed: none starts meanwhile. */
+  #isRemovingRecord = false;
+  /** How many migrations this leader has started. */
   startedMigrations = 0;
 
-  constructor(
-    ctx: Context,
-    tables: ClusterState,
-    fleet: AgentManager,
-    recorder: RecordWriter,
-    scheduler: Scheduler,
-  ) {
+  constructor(ctx: Context, { cluster, agents, recordWriter, scheduler }: MigratorDependencies) {
     this.#ctx = ctx;
-    this.#tables = tables;
-    this.#fleet = fleet;
-    this.#recorder = recorder;
+    this.#cluster = cluster;
+    this.#agents = agents;
+    this.#recordWriter = recordWriter;
     this.#scheduler = scheduler;
-    this.#roundAt = ctx.now + ctx.settings.move_round_s * 1000;
+    this.#planner = new MigrationPlanner(ctx, cluster, scheduler);
+    this.#nextRoundAt = ctx.now + ctx.settings.move_round_s * 1000;
   }
 
-  get pending(): (MigrationRecord & { phase: Phase }) | null {
+  /** The pending migration with its phase, for the status; null if there is none. */
+  get pending(): (MigrationRecord & { phase: MigrationPhase }) | null {
     return this.#pending ? { ...this.#pending.record, phase: this.#pending.phase } : null;
   }
 
-  /** A move that an earlier leader recorded is finished before any other begins. */
-  resume(item: StoreEntry | null): void {
-    if (!item) return;
-    const record = readMigration(item.value);
+  /** Continues the migration that an earlier leader recorded, if any. To be called once the records are loaded. */
+  resume(entry: StoreEntry | null): void {
+    if (!entry) return;
+    const record = readMigration(entry.value);
     if (!record) return;
-    const job = this.#tables.jobByUid(record.job);
-    const from = this.#machine(record.from);
-    const to = this.#machine(record.to);
+    const job = this.#cluster.jobByUid(record.job);
+    const from = this.#machineByName(record.from);
+    const to = this.#machineByName(record.to);
     if (!job || !from || !to) {
-      this.#clear();
+      this.#removeRecord();
       return;
     }
-    const pending: Pending = { record, job, from, to, phase: "draining", since: this.#ctx.now };
+    const pending: PendingMigration = {
+      record,
+      job,
+      from,
+      to,
+      phase: "draining",
+      phaseSince: this.#ctx.now,
+    };
     this.#pending = pending;
     const placement = job.placements.get(record.task);
     if (placement?.machine === to) pending.phase = "starting";
     else to.reservedForMigration = add(to.reservedForMigration, job.spec.need);
-    // Stopped, and its old copy gone already: the target is still booked for it.
+    // The old copy has ended already: what is left to do is to start the new one.
     if (!placement) this.#startOnTarget(pending);
   }
 
-  #machine(name: string): Machine | undefined {
-    const ix = this.#ctx.names.machines.find(name);
-    return ix === undefined ? undefined : this.#tables.machines.get(ix);
+  #machineByName(name: string): Machine | undefined {
+    const index = this.#ctx.names.machines.find(name);
+    return index === undefined ? undefined : this.#cluster.machines.get(index);
   }
 
+  /** Advances the pending migration, and each `move_round_s` starts one if none is pending. */
   tick(): void {
     const { now, settings } = this.#ctx;
-    for (const machine of this.#tables.machines.values()) {
-      if (machine.phase === "up" && machine.bookedShare() < settings.move_low)
-        machine.underutilizedSince ??= now;
-      else machine.underutilizedSince = null;
-    }
-    if (this.#pending) this.#proceed(this.#pending);
-    if (now < this.#roundAt) return;
-    this.#roundAt = now + settings.move_round_s * 1000;
-    if (!this.#pending && !this.#clearing) this.#round();
+    this.#planner.trackUtilization();
+    if (this.#pending) this.#advance(this.#pending);
+    if (now < this.#nextRoundAt) return;
+    this.#nextRoundAt = now + settings.move_round_s * 1000;
+    if (this.#pending || this.#isRemovingRecord) return;
+    const plan = this.#planner.plan();
+    if (plan) this.#start(plan);
   }
 
-  #isCold(machine: Machine): boolean {
-    return (
-      machine.underutilizedSince !== null &&
-      this.#ctx.now - machine.underutilizedSince >= this.#ctx.settings.move_window_s * 1000
-    );
-  }
-
-  #round(): void {
-    const { settings, random } = this.#ctx;
-    for (const machine of this.#tables.machines.values()) {
-      if (!this.#isCold(machine) || !this.#scheduler.feasibleMachines.isSchedulable(machine)) continue;
-      const replicas = [...machine.placements].filter((p) => p.job.spec.shape === "service");
-      if (replicas.length === 0 || !this.#allFitElsewhere(machine, replicas)) continue;
-      // Crash-looping replicas would waste the one move.
-      const movable = replicas.filter(
-        (p) => p.observedState === "running" && !p.stop && p.job.failures === 0,
-      );
-      const drawn = weightedIndex(
-        random,
-        movable.map((p) => p.job.spec.need.cpu),
-      );
-      const replica = drawn === null ? undefined : movable[drawn];
-      const target = replica && this.#target(replica, machine, new Map());
-      if (!replica || !target) continue;
-      const { job } = replica;
-      this.startedMigrations++;
-      const record: MigrationRecord = {
-        job: job.uid,
-        task: replica.task,
-        from: machine.name,
-        to: target.name,
-        startedAt: Math.round(this.#ctx.now),
-      };
-      const pending: Pending = {
-        record,
-        job,
-        from: machine,
-        to: target,
-        phase: "recording",
-        since: this.#ctx.now,
-      };
-      this.#pending = pending;
-      target.reservedForMigration = add(target.reservedForMigration, job.spec.need);
-      this.#ctx.log("info", "move begins", {
-        ...record,
-        share: machine.bookedShare(),
-        targetShare: target.bookedShare(),
-        low: settings.move_low,
-      });
-      this.#recorder.writeMigration(record, () => {
-        if (this.#pending !== pending || pending.phase !== "recording") return;
-        pending.phase = "draining";
-        pending.since = this.#ctx.now;
-      });
-      return;
-    }
+  #start({ replica, from, to }: MigrationPlan): void {
+    const { now, settings } = this.#ctx;
+    const { job, task } = replica;
+    this.startedMigrations++;
+    const record: MigrationRecord = {
+      job: job.uid,
+      task,
+      from: from.name,
+      to: to.name,
+      startedAt: Math.round(now),
+    };
+    const pending: PendingMigration = { record, job, from, to, phase: "recording", phaseSince: now };
+    this.#pending = pending;
+    to.reservedForMigration = add(to.reservedForMigration, job.spec.need);
+    this.#ctx.log("info", "move begins", {
+      ...recordFields(record),
+      from_share: from.bookedShare(),
+      to_share: to.bookedShare(),
+      low_share: settings.move_low,
+    });
+    this.#recordWriter.writeMigration(record, () => {
+      if (this.#pending === pending && pending.phase === "recording") this.#enterPhase(pending, "draining");
+    });
   }
 
-  #allFitElsewhere(machine: Machine, replicas: readonly Placement[]): boolean {
-    const extra = new Map<Machine, number>();
-    for (const replica of replicas) {
-      const target = this.#target(replica, machine, extra);
-      if (!target) return false;
-      extra.set(target, (extra.get(target) ?? 0) + 1);
-    }
-    return true;
+  #enterPhase(pending: PendingMigration, phase: MigrationPhase): void {
+    pending.phase = phase;
+    pending.phaseSince = this.#ctx.now;
   }
 
-  /** The fullest machine where the replica fits below the high mark; never a cold one; the spread holds. */
-  #target(replica: Placement, from: Machine, extra: ReadonlyMap<Machine, number>): Machine | null {
-    const { job } = replica;
-    const { need } = job.spec;
-    let best: Machine | null = null;
-    let bestShare = -1;
-    for (const machine of this.#tables.machines.values()) {
-      if (machine === from || machine.isMarkedForScaleIn || this.#isCold(machine)) continue;
-      if (
-        !this.#scheduler.feasibleMachines.isSchedulable(machine) ||
-        !this.#scheduler.feasibleMachines.mayRunOn(job, machine)
-      )
-        continue;
-      const size = machine.type?.size.cpu ?? 0;
-      if (size === 0) continue;
-      const planned = extra.get(machine) ?? 0;
-      const room = add(machine.freeCapacity(), need, -planned);
-      const share = machine.bookedShare() + (need.cpu * planned) / size;
-      if (!fits(need, room) || share + need.cpu / size >= this.#ctx.settings.move_high) continue;
-      if (!this.#zonesAllow(job, from, machine)) continue;
-      // Among equals the one that has the image, so that the gap is short.
-      const image = machine.images.get(job.spec.image);
-      const rank = share + (image && image.readyAt <= this.#ctx.now ? 1e-6 : 0);
-      if (rank > bestShare) {
-        bestShare = rank;
-        best = machine;
-      }
+  #advance(pending: PendingMigration): void {
+    const outcome = this.#outcomeOf(pending);
+    if (outcome !== null) {
+      this.#finish(pending, outcome);
+      return;
     }
-    return best;
-  }
-
-  #zonesAllow(job: Job, from: Machine, to: Machine): boolean {
-    if (from.zone === to.zone) return true;
-    if (job.spec.oneZone && job.placements.size > 1) return false;
-    return !job.spec.spread || job.countInZone(to.zone) + 1 <= Math.ceil(job.spec.tasks / 2);
+    if (pending.phase !== "draining" || !this.#isDrained(pending)) return;
+    const placement = pending.job.placements.get(pending.record.task);
+    if (!placement) return;
+    this.#enterPhase(pending, "stopping");
+    this.#agents.stopTask(placement, 0, "move");
   }
 
-  #proceed(pending: Pending): void {
-    const { now, settings } = this.#ctx;
-    const { job, record, to, from } = pending;
+  /** How the migration has ended; null while it goes on. */
+  #outcomeOf(pending: PendingMigration): string | null {
+    const { job, record, from, to } = pending;
+    if (job.state !== "active") return "the job ended";
+    if (this.#ctx.now - pending.phaseSince > PHASE_TIMEOUT_MS) return "timed out";
     const placement = job.placements.get(record.task);
-    if (job.state !== "active" || now - pending.since > GIVE_UP_MS) {
-      this.#finish(pending, "given up");
-      return;
-    }
     switch (pending.phase) {
       case "recording":
-        break;
-      case "draining":
-        if (!placement || placement.machine !== from) this.#finish(pending, "the replica is gone");
-        else if (now - pending.since < settings.move_drain_s * 1000) {
-          // A new leader has yet to hear from the target: only a lost one ends the move before the drain is over.
-          if (to.isLeaseExpired || to.phase === "releasing") this.#finish(pending, "the target is lost");
-        } else if (!this.#scheduler.feasibleMachines.isSchedulable(to))
-          this.#finish(pending, "the target can't be used");
-        else {
-          pending.phase = "stopping";
-          pending.since = now;
-          this.#fleet.stopTask(placement, 0, "move");
-        }
-        break;
       case "stopping":
-        break;
+        return null;
+      case "draining":
+        return placement?.machine === from ? this.#targetProblem(pending) : "the old copy ended";
       case "starting":
-        if (placement?.observedState === "running") this.#finish(pending, "done");
-        else if (placement?.machine !== to) this.#finish(pending, "the new copy is gone");
-        break;
+        if (placement?.observedState === "running") return "completed";
+        return placement?.machine === to ? null : "the new copy ended";
     }
   }
 
-  /** Called when a placement is proved gone; true if the move takes the task on itself. */
+  /** Why a draining migration can't go on to this target; null if it can. */
+  #targetProblem(pending: PendingMigration): string | null {
+    const { to } = pending;
+    // A new leader has yet to hear from the target: before the drain is over, only an expired lease ends the migration.
+    if (!this.#isDrained(pending))
+      return to.isLeaseExpired || to.phase === "releasing"
+        ? "the target is expired or being terminated"
+        : null;
+    return this.#scheduler.feasibleMachines.isSchedulable(to) ? null : "the target is not schedulable";
+  }
+
+  #isDrained(pending: PendingMigration): boolean {
+    return this.#ctx.now - pending.phaseSince >= this.#ctx.settings.move_drain_s * 1000;
+  }
+
+  /**
+   * To be called when a placement is proved to have ended. True if the migration has placed the task anew, on its target;
+   * the caller need not look whether the job is over.
+   */
   onPlacementEnded(placement: Placement): boolean {
     const pending = this.#pending;
     if (pending?.phase !== "stopping" || placement.job !== pending.job) return false;
@@ -247,41 +211,53 @@
     return this.#startOnTarget(pending);
   }
 
-  #startOnTarget(pending: Pending): boolean {
-    const { job, to, from, record } = pending;
+  /** Turns the reservation into a placement, or ends the migration; true if the task was placed. */
+  #startOnTarget(pending: PendingMigration): boolean {
+    const { job, to, record } = pending;
     to.reservedForMigration = add(to.reservedForMigration, job.spec.need, -1);
-    const wellPlaced =
-      job.state === "active" &&
-      this.#scheduler.feasibleMachines.isSchedulable(to) &&
-      fits(job.spec.need, to.freeCapacity()) &&
-      this.#scheduler.tasksWithinQuota(job) > 0 &&
-      this.#zonesAllow(job, from, to) &&
-      !job.placements.has(record.task);
-    if (!wellPlaced) {
+    if (!this.#mayStartOnTarget(pending)) {
       this.#pending = null;
-      this.#clear();
+      this.#removeRecord();
       return false;
     }
-    pending.phase = "starting";
-    pending.since = this.#ctx.now;
+    this.#enterPhase(pending, "starting");
     this.#scheduler.placeTask(job, record.task, to);
     return true;
   }
 
-  #finish(pending: Pending, how: string): void {
-    if (pending.phase !== "starting") {
-      pending.to.reservedForMigration = add(pending.to.reservedForMigration, pending.job.spec.need, -1);
-      if (pending.to.reservedForMigration.cpu < 0) pending.to.reservedForMigration = NO_RESOURCES;
-    }
+  /** Checks anew what held when the migration was planned, and that the task has no other placement (I3). */
+  #mayStartOnTarget({ job, from, to, record }: PendingMigration): boolean {
+    return (
+      job.state === "active" &&
+      this.#scheduler.feasibleMachines.isSchedulable(to) &&
+      fits(job.spec.need, to.freeCapacity()) &&
+      this.#scheduler.tasksWithinQuota(job) > 0 &&
+      zonesAllowMigration(job, from, to) &&
+      !job.placements.has(record.task)
+    );
+  }
+
+  #finish(pending: PendingMigration, outcome: string): void {
+    if (pending.phase !== "starting") releaseReservation(pending);
     this.#pending = null;
-    this.#ctx.log("info", "move ends", { ...pending.record, how });
-    this.#clear();
+    this.#ctx.log("info", "move ends", { ...recordFields(pending.record), how: outcome });
+    this.#removeRecord();
   }
 
-  #clear(): void {
-    this.#clearing = true;
-    this.#recorder.writeMigration(null, () => {
-      this.#clearing = false;
+  #removeRecord(): void {
+    this.#isRemovingRecord = true;
+    this.#recordWriter.writeMigration(null, () => {
+      this.#isRemovingRecord = false;
     });
   }
 }
+
+function releaseReservation({ job, to }: PendingMigration): void {
+  to.reservedForMigration = add(to.reservedForMigration, job.spec.need, -1);
+  // A negative reservation would count as free capacity.
+  if (to.reservedForMigration.cpu < 0) to.reservedForMigration = NO_RESOURCES;
+}
+
+function recordFields({ job, task, from, to, startedAt }: MigrationRecord): Record<string, unknown> {
+  return { job, task, from, to, started_at_ms: startedAt };
+}
