--- a/src/core/administration.ts
+++ b/src/core/administration.ts
@@ -2,113 +2,122 @@
 import type { Context } from "./context.js";
 import { unavailable } from "./jobs/submissions.js";
 import type { AdminRequest, AdminResponse } from "./messages/administration.js";
+import type { StoreResponse } from "./messages/store.js";
+import type { MachineMode } from "./model/machine.js";
 import type { ConfigWatch } from "./store/config-watch.js";
 import { KEYS } from "./store/records.js";
 import { encodedBytes } from "./store/store-limits.js";
 
-const CALL_MS = 1500;
+const CALL_TIMEOUT_MS = 1500;
+const STORE_UNANSWERED = "the state service does not answer";
+const TOO_LARGE: AdminResponse = { kind: "invalid", error: "too much to be kept in one record" };
 
-type Answer = (answer: AdminResponse) => void;
+type Respond = (response: AdminResponse) => void;
 
-/** The operators' requests, on every node: their settings, the modes of machines, the status. */
+/** A key of the cluster configuration to write, on the version that the new value was derived from (I5). */
+interface ConfigWrite {
+  readonly key: string;
+  readonly version: number;
+  readonly value: unknown;
+  /** What the operator gets once it is written. */
+  readonly responseBody: Record<string, unknown>;
+}
+
+/** Operators' requests, on every node whoever leads: settings, machine modes and the status. */
 export class Administration {
   readonly #ctx: Context;
-  readonly #view: ConfigWatch;
+  readonly #config: ConfigWatch;
   readonly #status: () => Record<string, unknown>;
 
-  constructor(ctx: Context, view: ConfigWatch, status: () => Record<string, unknown>) {
+  constructor(ctx: Context, config: ConfigWatch, status: () => Record<string, unknown>) {
     this.#ctx = ctx;
-    this.#view = view;
+    this.#config = config;
     this.#status = status;
   }
 
-  handle(ask: AdminRequest, answer: Answer): void {
-    switch (ask.kind) {
+  /** Carries out a request; responds exactly once, and to a change only once it is written. */
+  handle(request: AdminRequest, respond: Respond): void {
+    switch (request.kind) {
       case "getSettings":
-        this.#ctx.callStore({ kind: "get", key: KEYS.settings }, CALL_MS, (got) => {
-          if (got.kind === "found") answer({ kind: "ok", body: { ...readOperator(got.entry.value) } });
-          else if (got.kind === "notFound") answer({ kind: "ok", body: { ...readOperator(null) } });
-          else answer(unavailable("the state service does not answer"));
-        });
+        this.#readSettings((response) => respond(settingsResponse(response)));
         break;
       case "changeSettings":
-        this.#changeSettings(ask.values, answer);
+        this.#readSettings((response) => this.#changeSettings(response, request.values, respond));
         break;
       case "setMachineMode":
-        this.#changeMode(ask.name, ask.mode, answer);
+        this.#setMachineMode(request.name, request.mode, respond);
         break;
       case "getStatus":
-        answer({ kind: "ok", body: this.#status() });
+        respond({ kind: "ok", body: this.#status() });
         break;
       default:
-        ask satisfies never;
+        request satisfies never;
     }
   }
 
-  #changeSettings(values: Record<string, unknown>, answer: Answer): void {
-    this.#ctx.callStore({ kind: "get", key: KEYS.settings }, CALL_MS, (got) => {
-      if (got.kind !== "found" && got.kind !== "notFound") {
-        answer(unavailable("the state service does not answer"));
-        return;
-      }
-      const result = changeOperator(readOperator(got.kind === "found" ? got.entry.value : null), values);
-      if (!result.ok) {
-        answer({ kind: "invalid", error: result.error });
-        return;
-      }
-      const unknown = this.#unknownTeam(values.admission_weights);
-      if (unknown !== undefined) {
-        answer({ kind: "invalid", error: `admission_weights: there is no team ${unknown}` });
-        return;
-      }
-      const version = got.kind === "found" ? got.entry.version : 0;
-      this.#writeConfig(KEYS.settings, version, result.settings, answer, { ...result.settings });
-    });
+  /** Reads the stored settings: those that this node watches may be behind. */
+  #readSettings(onResponse: (response: StoreResponse) => void): void {
+    this.#ctx.callStore({ kind: "get", key: KEYS.settings }, CALL_TIMEOUT_MS, onResponse);
+  }
+
+  #changeSettings(stored: StoreResponse, values: Record<string, unknown>, respond: Respond): void {
+    if (stored.kind !== "found" && stored.kind !== "notFound") {
+      respond(unavailable(STORE_UNANSWERED));
+      return;
+    }
+    const entry = stored.kind === "found" ? stored.entry : null;
+    const result = changeOperator(readOperator(entry ? entry.value : null), values);
+    if (!result.ok) {
+      respond({ kind: "invalid", error: result.error });
+      return;
+    }
+    const unknownTeam = this.#findUnknownTeam(values.admission_weights);
+    if (unknownTeam !== undefined) {
+      respond({ kind: "invalid", error: `admission_weights: there is no team ${unknownTeam}` });
+      return;
+    }
+    const { settings } = result;
+    const version = entry ? entry.version : 0;
+    this.#writeConfig(
+      { key: KEYS.settings, version, value: settings, responseBody: { ...settings } },
+      respond,
+    );
   }
 
-  /** Checked as it is set: a weight stays, without effect, when its team is removed from the platform's file. */
-  #unknownTeam(weights: unknown): string | undefined {
+  /** Weights are checked as they are set only: one whose team is later removed from the deployment has no effect. */
+  #findUnknownTeam(weights: unknown): string | undefined {
     const { teams } = this.#ctx.deployment;
     return Object.keys(weights ?? {}).find((name) => !teams.some((team) => team.name === name));
   }
 
-  #changeMode(name: string, mode: "open" | "cordon" | "drain", answer: Answer): void {
-    const modes = { ...this.#view.machineModes };
-    if (mode === "open") delete modes[name];
-    else modes[name] = mode;
-    this.#writeConfig(KEYS.modes, this.#view.machineModesVersion, modes, answer, { machine: name, mode });
+  #setMachineMode(machine: string, mode: MachineMode, respond: Respond): void {
+    const modes = { ...this.#config.machineModes };
+    if (mode === "open") delete modes[machine];
+    else modes[machine] = mode;
+    const version = this.#config.machineModesVersion;
+    this.#writeConfig({ key: KEYS.modes, version, value: modes, responseBody: { machine, mode } }, respond);
   }
 
-  #writeConfig(
-    key: string,
-    version: number,
-    value: unknown,
-    answer: Answer,
-    body: Record<string, unknown>,
-  ): void {
-    const tooLarge: AdminResponse = { kind: "invalid", error: "too much to be kept in one record" };
+  #writeConfig({ key, version, value, responseBody }: ConfigWrite, respond: Respond): void {
     if (encodedBytes(value) > this.#ctx.limits.valueBytes) {
-      answer(tooLarge);
+      respond(TOO_LARGE);
       return;
     }
     const conditions = [{ key, version }];
-    this.#ctx.callStore(
-      { kind: "transaction", conditions, changes: [{ put: key, value }] },
-      CALL_MS,
-      (result) => {
-        if (result.kind === "ok") {
-          this.#view.apply({ key, value, version: result.revision });
-          answer({ kind: "ok", body });
-        } else if (result.kind === "invalid") {
-          answer(tooLarge);
-        } else {
-          answer(
-            unavailable(
-              result.kind === "conflict" ? "changed at the same time" : "the state service does not answer",
-            ),
-          );
-        }
-      },
-    );
+    const changes = [{ put: key, value }];
+    this.#ctx.callStore({ kind: "transaction", conditions, changes }, CALL_TIMEOUT_MS, (response) => {
+      if (response.kind === "ok") {
+        this.#config.apply({ key, value, version: response.revision });
+        respond({ kind: "ok", body: responseBody });
+      } else if (response.kind === "invalid") respond(TOO_LARGE);
+      else if (response.kind === "conflict") respond(unavailable("changed at the same time"));
+      else respond(unavailable(STORE_UNANSWERED));
+    });
   }
 }
+
+function settingsResponse(stored: StoreResponse): AdminResponse {
+  if (stored.kind === "found") return { kind: "ok", body: { ...readOperator(stored.entry.value) } };
+  if (stored.kind === "notFound") return { kind: "ok", body: { ...readOperator(null) } };
+  return unavailable(STORE_UNANSWERED);
+}
--- a/src/core/leader-status.ts
+++ b/src/core/leader-status.ts
@@ -1,50 +1,66 @@
 import type { LeaderTerm } from "./leader-term.js";
+import type { ClusterState } from "./model/cluster-state.js";
+import type { Machine } from "./model/machine.js";
 
-/** What a leader shows its operators, beside what every node shows. */
+/** What a leader shows its operators, beside what every node shows. The field names are theirs to rely on. */
 export function leaderStatus(
   leaderTerm: LeaderTerm,
-  confirmed: boolean,
+  hasValidLease: boolean,
   layout: number,
 ): Record<string, unknown> {
-  const { cluster: tables } = leaderTerm;
+  const { cluster, migrator, scheduler } = leaderTerm;
   return {
     token: leaderTerm.lease.fencingToken,
-    confirmed,
-    machines: [...tables.machines.values()].map((machine) => ({
-      name: machine.name,
-      type: machine.typeName,
-      zone: machine.zone,
-      spot: machine.spot,
-      phase: machine.isLeaseExpired ? "lost" : machine.phase,
-      mode: machine.mode,
-      tasks: machine.placements.size,
-      share: Math.round(machine.bookedShare() * 1000) / 1000,
-    })),
-    jobs: tables.jobs.size,
-    queue: [...tables.jobs.values()]
-      .filter((job) => job.pending > 0)
-      .map((job) => ({ job: job.uid, tasks: job.pending, why: job.pendingReason ?? "it is next" })),
-    awaiting: [...tables.jobs.values()]
-      .filter((job) => job.state === "active" && !job.dependenciesSatisfied)
-      .map((job) => ({
-        job: job.uid,
-        tasks: job.spec.tasks,
-        awaits: leaderTerm.dependencies.unmetDependencies(job),
-      })),
-    ...longestWaits(leaderTerm),
+    confirmed: hasValidLease,
+    machines: [...cluster.machines.values()].map(machineStatus),
+    jobs: cluster.jobs.size,
+    queue: queueStatus(cluster),
+    awaiting: awaitingStatus(leaderTerm),
+    ...longestWaitStatus(leaderTerm),
     layout,
-    move: leaderTerm.migrator.pending,
-    moves: leaderTerm.migrator.startedMigrations,
-    rounds_cut: leaderTerm.scheduler.interruptedRounds,
+    move: migrator.pending,
+    moves: migrator.startedMigrations,
+    rounds_cut: scheduler.interruptedRounds,
     unwritten: leaderTerm.recordWriter.backlog,
   };
 }
 
-/** By team, in seconds; nothing where turns don't count. */
-function longestWaits(leaderTerm: LeaderTerm): Record<string, unknown> {
+function machineStatus(machine: Machine): Record<string, unknown> {
+  return {
+    name: machine.name,
+    type: machine.typeName,
+    zone: machine.zone,
+    spot: machine.spot,
+    phase: machine.isLeaseExpired ? "lost" : machine.phase,
+    mode: machine.mode,
+    tasks: machine.placements.size,
+    share: Math.round(machine.bookedShare() * 1000) / 1000,
+  };
+}
+
+/** Jobs with pending tasks, and why these are pending. */
+function queueStatus(cluster: ClusterState): Record<string, unknown>[] {
+  return [...cluster.jobs.values()]
+    .filter((job) => job.pending > 0)
+    .map((job) => ({ job: job.uid, tasks: job.pending, why: job.pendingReason ?? "it is next" }));
+}
+
+/** Jobs whose dependencies are not satisfied, and which these are. */
+function awaitingStatus({ cluster, dependencies }: LeaderTerm): Record<string, unknown>[] {
+  return [...cluster.jobs.values()]
+    .filter((job) => job.state === "active" && !job.dependenciesSatisfied)
+    .map((job) => ({
+      job: job.uid,
+      tasks: job.spec.tasks,
+      awaits: dependencies.unmetDependencies(job),
+    }));
+}
+
+/** By team, in seconds; no field at all where round-robin turns don't count. */
+function longestWaitStatus(leaderTerm: LeaderTerm): Record<string, unknown> {
   const waits = leaderTerm.longestWaits();
   if (!waits) return {};
   return {
-    longest_wait_s: Object.fromEntries([...waits].map(([team, ms]) => [team, Math.round(ms / 1000)])),
+    longest_wait_s: Object.fromEntries([...waits].map(([team, waitMs]) => [team, Math.round(waitMs / 1000)])),
   };
 }
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -3,22 +3,25 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 
+/** The one source of randomness in the core: the same seed gives the same draws. */
 export function seededRandom(seed: number): RandomGenerator {
   return xoroshiro128plus(seed);
 }
 
+/** Draws an integer between `from` and `to`, both included. */
 export function randomInt(random: RandomGenerator, from: number, to: number): number {
   return uniformInt(random, from, to);
 }
 
-/** Draws an index with odds in proportion to the weights; null if they sum to nothing. */
+/** Draws an index with odds in proportion to the weights; null, without a draw, if they sum to nothing. */
 export function weightedIndex(random: RandomGenerator, weights: readonly number[]): number | null {
-  const sum = weights.reduce((a, b) => a + b, 0);
-  if (!(sum > 0)) return null;
-  let at = uniformFloat64(random) * sum;
-  for (const [i, weight] of weights.entries()) {
-    at -= weight;
-    if (at < 0) return i;
+  const total = weights.reduce((sum, weight) => sum + weight, 0);
+  if (!(total > 0)) return null;
+  let remaining = uniformFloat64(random) * total;
+  for (const [index, weight] of weights.entries()) {
+    remaining -= weight;
+    if (remaining < 0) return index;
   }
+  // Rounding may leave a little.
   return weights.length - 1;
 }
