--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -3,47 +3,53 @@
 import type { FailoverTimeline } from "../standby/failover-timeline.js";
 import type { StandbyReport } from "../standby/standby.js";
 import { Administration } from "./administration.js";
-import { HeartbeatRouter } from "./agents/heartbeat-router.js";
+import { reasonToResign } from "./agent-isolation.js";
+import { HeartbeatRouter, type HeartbeatRouterEvents } from "./agents/heartbeat-router.js";
 import { Context, type TimeBudget } from "./context.js";
 import { Election } from "./election/election.js";
+import type { ElectionEvents, LeaderLease } from "./election/leader-lease.js";
 import { ProgressCounts } from "./jobs/progress-counts.js";
-import { JobRequests } from "./jobs/submissions.js";
+import { type JobRequestEvents, JobRequests } from "./jobs/submissions.js";
 import { leaderStatus } from "./leader-status.js";
 import { LeaderTerm } from "./leader-term.js";
 import type { Heartbeat, HeartbeatReply } from "./messages/agents.js";
 import type { Command } from "./messages/commands.js";
 import type { Effect } from "./messages/effects.js";
-import type { PeerMessage } from "./messages/peers.js";
+import type { PeerHeartbeat, PeerMessage } from "./messages/peers.js";
 import type { StoreEntry } from "./messages/store.js";
 import type { UserResponse } from "./messages/users.js";
 import type { Deployment } from "./model/deployment.js";
 import { NameRegistry } from "./model/interner.js";
+import { PeerHeartbeatSender } from "./peer-heartbeat-sender.js";
 import { PeerTable } from "./peer-table.js";
 import { seededRandom } from "./random.js";
 import { openJobsByTeam } from "./scheduling/team-load.js";
 import { ConfigWatch } from "./store/config-watch.js";
 import { FeatureGate } from "./store/feature-gate.js";
-import { KEYS, PROTOCOL } from "./store/records.js";
+import { KEYS } from "./store/records.js";
 
-const HEARTBEAT_MS = 1000;
-/** A leader that has heard none of at least so many machines for so many report intervals is cut off from them. */
-const CUT_OFF_MACHINES = 3;
-const CUT_OFF_REPORTS = 3;
-const SWEEP_MS = 30_000;
+const RECLAIM_INTERVAL_MS = 30_000;
+/** For so long a node stays ready although the key-value store fails it. */
 const UNREADY_AFTER_MS = 2500;
 
+/** What makes this process of a node differ from others. */
 export interface Identity {
+  /** Differs between any two processes of a node. */
   readonly incarnation: string;
+  /** Seed of the random generator. */
   readonly seed: number;
   /** Wall time at `now` 0. */
   readonly epochMs: number;
-  /** The most bytes that this node may keep of the records while another leads; 0 or absent: it does not stand by. */
+  /** The most bytes that the cache of the records may take while another node leads; 0 or absent: no standby. */
   readonly standbyBytes?: number;
-  /** Whether submissions are admitted by the teams' shares. */
+  /** Whether submissions pass fair admission by the teams' shares. */
   readonly admission?: boolean;
 }
 
-/** The whole of a node without its inputs and outputs: commands and the time go in, effects come out. */
+/**
+ * A whole node without its input and output: commands and the time go in, effects come out. Every node takes the requests
+ * of users, operators and agents; the one that leads has a `LeaderTerm` beside.
+ */
 export class Controller {
   readonly names = new NameRegistry();
   readonly ctx: Context;
@@ -51,138 +57,171 @@
   readonly election: Election;
   readonly jobs: JobRequests;
   readonly featureGate: FeatureGate;
-  readonly #administration: Administration;
+  /** The term that this node leads; null while it doesn't lead. */
   leaderTerm: LeaderTerm | null = null;
+  readonly #administration: Administration;
   readonly #peers: PeerTable;
   readonly #progress = new ProgressCounts();
-  readonly #reports: HeartbeatRouter;
-  readonly #succession: Failover;
+  readonly #heartbeatRouter: HeartbeatRouter;
+  readonly #peerHeartbeats: PeerHeartbeatSender;
+  readonly #failover: Failover;
   /** Null where fair admission is not switched on. */
   readonly #admission: Admission | null;
-  #heartbeatAt = Number.NEGATIVE_INFINITY;
-  #sweepAt = 0;
+  #reclaimedAt = 0;
 
   constructor(deployment: Deployment, identity: Identity) {
-    this.ctx = new Context(deployment, this.names, seededRandom(identity.seed), identity.epochMs);
-    this.#peers = new PeerTable(this.ctx);
-    this.ctx.hasFairTurns = identity.admission ?? false;
-    this.#admission = identity.admission ? new Admission(this.ctx, identity.incarnation) : null;
-    this.#succession = new Failover(this.ctx, this.#peers, identity.standbyBytes ?? 0);
-    this.config = new ConfigWatch(this.ctx, (key) => {
-      this.election.onConfigChanged(key);
-      if (key === KEYS.modes) this.leaderTerm?.applyMachineModes();
+    const { incarnation, seed, epochMs, standbyBytes = 0, admission = false } = identity;
+    const ctx = new Context(deployment, this.names, seededRandom(seed), epochMs);
+    this.ctx = ctx;
+    ctx.hasFairTurns = admission;
+    this.#peers = new PeerTable(ctx);
+    this.#admission = admission ? new Admission(ctx, incarnation) : null;
+    this.#failover = new Failover(ctx, this.#peers, standbyBytes);
+    this.config = new ConfigWatch(ctx, (key) => this.#onConfigChanged(key));
+    this.election = new Election(ctx, this.config, incarnation, this.#electionEvents());
+    this.#administration = new Administration(ctx, this.config, () => this.status());
+    this.#heartbeatRouter = new HeartbeatRouter(ctx, this.#heartbeatRouterEvents());
+    this.featureGate = new FeatureGate(ctx, this.config, () => this.election.lease);
+    this.jobs = new JobRequests(ctx, this.config, this.#jobRequestEvents(), this.#admission);
+    this.#peerHeartbeats = new PeerHeartbeatSender(ctx, {
+      config: this.config,
+      election: this.election,
+      heartbeatRouter: this.#heartbeatRouter,
+      failover: this.#failover,
+      admission: this.#admission,
     });
-    this.election = new Election(this.ctx, this.config, identity.incarnation, {
-      onElected: (term) => {
-        this.ctx.log("info", "elected", { token: term.fencingToken });
-        this.#succession.onElected();
-        this.leaderTerm = new LeaderTerm(
-          this.ctx,
-          this.config,
-          this.election,
-          term,
-          this.featureGate,
-          (cold) => this.#succession.source(term.leaderKeyVersion, cold),
-        );
-        this.#heartbeatAt = Number.NEGATIVE_INFINITY;
-      },
-      onSteppedDown: (why) => {
-        this.ctx.log("info", "no longer leader", { why });
-        this.leaderTerm?.end();
-        this.leaderTerm = null;
-        this.#heartbeatAt = Number.NEGATIVE_INFINITY;
-      },
+  }
+
+  #electionEvents(): ElectionEvents {
+    return {
+      onElected: (lease) => this.#beginTerm(lease),
+      onSteppedDown: (reason) => this.#endTerm(reason),
       isIsolated: () => this.#peers.isIsolated,
-      campaignDelayMs: () => this.#succession.campaignDelayMs(this.leaderName),
-      onLeaderKeyRemoved: () => this.#succession.onLeaderKeyRemoved(),
+      campaignDelayMs: () => this.#failover.campaignDelayMs(this.leaderName),
+      onLeaderKeyRemoved: () => this.#failover.onLeaderKeyRemoved(),
       hasStartsInFlight: () => this.leaderTerm?.agents.hasStartsInFlight() ?? false,
       cancellationsKnownThrough: () => this.leaderTerm?.cancellationsKnownThrough ?? null,
-    });
-    this.#administration = new Administration(this.ctx, this.config, () => this.status());
-    this.#reports = new HeartbeatRouter(this.ctx, {
-      replyAsLeader: (report) => this.#leaderAnswer(report),
+    };
+  }
+
+  #heartbeatRouterEvents(): HeartbeatRouterEvents {
+    return {
+      replyAsLeader: (heartbeat) => this.#replyAsLeader(heartbeat),
       isLeader: () => this.leaderTerm !== null,
       leader: () => this.config.leader?.value.node ?? null,
       isReachablePeer: (node) => this.#peers.canReceive(node),
-    });
-    this.featureGate = new FeatureGate(this.ctx, this.config, () => this.election.lease);
-    const intakeEvents = {
-      onJobWritten: (item: StoreEntry, cancelled: boolean) => this.#learned(item, cancelled),
+    };
+  }
+
+  #jobRequestEvents(): JobRequestEvents {
+    return {
+      onJobWritten: (entry, isCancellation) => this.#onJobWritten(entry, isCancellation),
       isOlderPeerAlive: () =>
         !this.featureGate.isOpen && this.#peers.isAnyOlderAlive((node) => this.featureGate.isOlderPeer(node)),
-      progressOf: (uid: string) => this.leaderTerm?.progressOf(uid) ?? this.#progress.get(uid) ?? null,
+      progressOf: (uid) => this.leaderTerm?.progressOf(uid) ?? this.#progress.get(uid) ?? null,
     };
-    this.jobs = new JobRequests(this.ctx, this.config, intakeEvents, this.#admission);
   }
 
-  /** Can this node take requests? Not while it alone is refused by the state service; in a common outage, yes. */
+  /* ---- what others ask ---- */
+
+  /** Can this node take requests? Not while the key-value store fails this node alone; in a common outage, yes. */
   get ready(): boolean {
     if (!this.config.isLoaded || this.config.machineTypes.length === 0) return false;
-    const since = this.ctx.storeFailingSince;
-    if (since === null || this.ctx.now - since < UNREADY_AFTER_MS) return true;
-    // Without the state service and without peers it is likely this node that is cut off.
+    const { now, storeFailingSince } = this.ctx;
+    if (storeFailingSince === null || now - storeFailingSince < UNREADY_AFTER_MS) return true;
+    // Without the key-value store and without peers it is likely this node that is partitioned.
     return !this.#peers.isIsolated && !this.#peers.isStoreReachableByAny;
   }
 
   /** For the metrics: the standby, and the steps of this node's last takeover. */
   get failover(): { readonly standby: StandbyReport | null; readonly takeover: FailoverTimeline } {
-    const { timeline: takeover } = this.#succession;
-    return { standby: this.#succession.standbyReport(this.config.revision), takeover };
+    const { timeline: takeover } = this.#failover;
+    return { standby: this.#failover.standbyReport(this.config.revision), takeover };
+  }
+
+  /** For the metrics; null where fair admission is not switched on. */
+  get admissionStatus(): AdmissionStatus | null {
+    return this.#admission?.report() ?? null;
   }
 
+  /** The node that leads, as far as this node knows. */
   get leaderName(): string | null {
     if (this.leaderTerm) return this.ctx.deployment.node;
     return this.config.leader?.value.node ?? null;
   }
 
+  /** What operators are shown of this node; the field names are theirs to rely on. */
+  status(): Record<string, unknown> {
+    const { leaderTerm } = this;
+    const admission = this.#admission?.status();
+    const status = {
+      node: this.ctx.deployment.node,
+      leader: this.leaderName,
+      ready: this.ready,
+      leading: leaderTerm !== null,
+      peers: this.#peers.status(),
+      ...this.#failover.status(this.config.revision),
+      ...(admission ? { admission } : {}),
+    };
+    if (!leaderTerm) return status;
+    return { ...status, ...leaderStatus(leaderTerm, this.election.hasValidLease, this.config.layout) };
+  }
+
+  /* ---- commands in, effects out ---- */
+
+  /** Carries out a batch of commands at a time, and returns the effects that they have, in order. */
   handle(batch: readonly Command[], now: number, budget: TimeBudget): Effect[] {
     this.ctx.now = now;
     this.names.beginBatch();
-    for (const command of batch) this.#guard(() => this.#one(command, budget));
-    this.#guard(() => {
-      this.#reports.retryWaiting();
+    for (const command of batch) this.#containFaults(() => this.#handleCommand(command, budget));
+    this.#containFaults(() => {
+      this.#heartbeatRouter.retryWaiting();
       this.leaderTerm?.finishBatch(budget);
     });
     const effects = this.ctx.takeEffects();
-    if (this.leaderTerm) this.#succession.noteEffects(effects, this.leaderTerm.agents.areRecordsLoaded);
+    if (this.leaderTerm) this.#failover.noteEffects(effects, this.leaderTerm.agents.areRecordsLoaded);
     return effects;
   }
 
   /**
-   * A fault must not end the process, nor end it again and again, nor cost more than the command it is in: answers
-   * that wait in the same batch are owed to somebody. What was decided before it stands; the tables it may have
-   * damaged are given up, and whoever leads next reads the records.
+   * A fault must neither end the process, nor recur without end, nor cost more than the command that it is in: others of
+   * the same batch have someone waiting for their answers. The effects so far stand. The cluster state, which may be
+   * damaged, is dropped with the term; the next leader loads the records.
    */
-  #guard(run: () => void): void {
+  #containFaults(run: () => void): void {
     try {
       run();
     } catch (error) {
-      this.ctx.log("error", "fault in the core", { error: (error as Error).stack });
+      const stack = error instanceof Error ? error.stack : String(error);
+      this.ctx.log("error", "fault in the core", { error: stack });
       this.election.stepDown("a fault in the core");
     }
   }
 
-  #one(command: Command, budget: TimeBudget): void {
+  #handleCommand(command: Command, budget: TimeBudget): void {
     switch (command.kind) {
       case "tick":
         this.#tick(budget);
         break;
       case "submit":
-        this.jobs.submit(command.uid, command.spec, (answer) => this.#respond(command.requestId, answer));
+        this.jobs.submit(command.uid, command.spec, this.#respondToUser(command.requestId));
         break;
       case "poll":
-        this.jobs.poll(command.uid, (answer) => this.#respond(command.requestId, answer));
+        this.jobs.poll(command.uid, this.#respondToUser(command.requestId));
         break;
       case "cancel":
-        this.jobs.cancel(command.uid, (answer) => this.#respond(command.requestId, answer));
+        this.jobs.cancel(command.uid, this.#respondToUser(command.requestId));
         break;
       case "administer":
-        this.#administration.handle(command.request, (answer) => {
-          this.ctx.emit({ kind: "respondToOperator", requestId: command.requestId, response: answer });
+        this.#administration.handle(command.request, (response) => {
+          this.ctx.emit({ kind: "respondToOperator", requestId: command.requestId, response });
         });
         break;
       case "heartbeat":
-        this.#reports.route(command.requestId, command.heartbeat, command.body);
+        this.#heartbeatRouter.route(command.requestId, command.heartbeat, command.body);
+        break;
+      case "forwardedHeartbeat":
+        this.#replyToForwardedHeartbeat(command.from, command.id, command.heartbeat);
         break;
       case "agentReplied":
         this.leaderTerm?.agents.onCommandReply(command.id, command.heartbeat, command.executed);
@@ -194,13 +233,8 @@
         this.ctx.onCloudResponse(command.id, command.response);
         break;
       case "peerMessage":
-        this.#peerSaid(command.from, command.message);
+        if (this.#peers.has(command.from)) this.#onPeerMessage(command.from, command.message);
         break;
-      case "forwardedHeartbeat": {
-        const answer = this.#leaderAnswer(command.heartbeat) ?? { kind: "unavailable" };
-        this.ctx.emit({ kind: "replyToForwardedHeartbeat", to: command.from, id: command.id, reply: answer });
-        break;
-      }
       case "peerLinkChanged":
         this.#peers.onLinkChanged(command.node, command.up);
         break;
@@ -209,8 +243,8 @@
     }
   }
 
-  #respond(requestId: number, response: UserResponse): void {
-    this.ctx.emit({ kind: "respondToUser", requestId, response });
+  #respondToUser(requestId: number): (response: UserResponse) => void {
+    return (response) => this.ctx.emit({ kind: "respondToUser", requestId, response });
   }
 
   #tick(budget: TimeBudget): void {
@@ -219,69 +253,63 @@
     this.jobs.flushRejections();
     this.election.tick();
     this.leaderTerm?.tick(budget);
-    this.#succession.tick(this.leaderName);
-    const { now } = this.ctx;
+    this.#failover.tick(this.leaderName);
     if (this.leaderTerm && !this.featureGate.isOpen) this.featureGate.tick();
-    if (now - this.#heartbeatAt >= HEARTBEAT_MS) {
-      this.#mayHandOver();
-      this.#sendHeartbeat();
-    }
-    if (now - this.#sweepAt >= SWEEP_MS) {
-      this.#sweepAt = now;
-      const used = this.leaderTerm?.indicesInUse() ?? {
-        jobs: new Set<number>(),
-        machines: new Set<number>(),
-      };
-      this.#reports.collectIndices(used);
-      this.names.jobs.reclaim(used.jobs);
-      this.names.machines.reclaim(used.machines);
-      this.#reports.retainMachines(used.machines);
+    if (this.#peerHeartbeats.isDue) {
+      this.#resignIfCutOff();
+      this.#tickAdmission();
+      this.#peerHeartbeats.send(this.leaderTerm !== null);
     }
+    if (this.ctx.now - this.#reclaimedAt >= RECLAIM_INTERVAL_MS) this.#reclaimIndices();
   }
 
-  /**
-   * A leader may reach the state service and yet no worker: renewing on, it would let every lease run out. It hands over
-   * if a peer hears workers, or if no peer is heard either. Were all workers hanging, the next leader would find
-   * the same, and this one stays out of the race for a while: leadership doesn't flap.
-   */
-  #mayHandOver(): void {
-    if (!this.leaderTerm) return;
-    const { now, deployment } = this.ctx;
-    const quietMs = deployment.heartbeatIntervalS * CUT_OFF_REPORTS * 1000;
-    const machines = [...this.leaderTerm.cluster.machines.values()].filter(
-      (m) => m.phase === "up" && !m.isLeaseExpired,
-    );
-    const heard = machines.filter((m) => Number.isFinite(m.heartbeatAt));
-    if (heard.length < CUT_OFF_MACHINES) return;
-    // The other direction: where most don't hear, it is this node that can't send.
-    if (heard.filter((m) => m.unreachableSince !== null).length > heard.length / 2) {
-      this.election.resign("workers can't be reached from this node");
-      return;
-    }
-    if (heard.some((m) => now - m.heartbeatAt < quietMs)) return;
-    if (this.#peers.areAgentsHeardByAny || this.#peers.isIsolated)
-      this.election.resign("no worker is heard here");
+  /** Frees the indices of names that nothing uses any more, so that memory stays bounded. */
+  #reclaimIndices(): void {
+    this.#reclaimedAt = this.ctx.now;
+    const inUse = this.leaderTerm?.indicesInUse() ?? {
+      jobs: new Set<number>(),
+      machines: new Set<number>(),
+    };
+    this.#heartbeatRouter.collectIndices(inUse);
+    this.names.jobs.reclaim(inUse.jobs);
+    this.names.machines.reclaim(inUse.machines);
+    this.#heartbeatRouter.retainMachines(inUse.machines);
   }
 
-  #sendHeartbeat(): void {
-    this.#heartbeatAt = this.ctx.now;
-    this.#tickAdmission();
-    const message: PeerMessage = {
-      kind: "heartbeat",
-      fencingToken: this.election.lease?.fencingToken ?? this.election.highestTokenSeen,
-      leader: this.leaderTerm ? this.ctx.deployment.node : null,
-      storeHealthy: this.ctx.storeFailingSince === null && this.config.isLoaded,
-      agentsHeard: this.#reports.countAgentsHeard(),
-      protocol: PROTOCOL,
-      standby: this.#succession.warmth,
-    };
-    for (const to of this.ctx.deployment.peers) {
-      const admission = this.#admission?.noteFor(to);
-      this.ctx.emit({ kind: "sendToPeer", to, message: { ...message, admission } });
-    }
+  /* ---- leadership ---- */
+
+  #onConfigChanged(key: string): void {
+    this.election.onConfigChanged(key);
+    if (key === KEYS.modes) this.leaderTerm?.applyMachineModes();
   }
 
-  /** Only a leader that may decide issues slices, and only once it knows what is accepted. */
+  #beginTerm(lease: LeaderLease): void {
+    this.ctx.log("info", "elected", { fencing_token: lease.fencingToken });
+    this.#failover.onElected();
+    this.leaderTerm = new LeaderTerm(this.ctx, {
+      config: this.config,
+      election: this.election,
+      lease,
+      featureGate: this.featureGate,
+      chooseSource: (fullRead) => this.#failover.source(lease.leaderKeyVersion, fullRead),
+    });
+    this.#peerHeartbeats.expedite();
+  }
+
+  #endTerm(reason: string): void {
+    this.ctx.log("info", "no longer leader", { why: reason });
+    this.leaderTerm?.end();
+    this.leaderTerm = null;
+    this.#peerHeartbeats.expedite();
+  }
+
+  #resignIfCutOff(): void {
+    if (!this.leaderTerm) return;
+    const reason = reasonToResign(this.ctx, this.leaderTerm.cluster.machines.values(), this.#peers);
+    if (reason !== null) this.election.resign(reason);
+  }
+
+  /** Only a leader with a valid lease issues permit leases, and only once it knows what has been accepted. */
   #tickAdmission(): void {
     const term = this.leaderTerm;
     const mayIssue = term?.agents.areRecordsLoaded === true && this.election.hasValidLease;
@@ -289,20 +317,12 @@
     this.#admission?.tick(this.leaderName, mayIssue ? term.lease.firstFencingToken : null, { openJobs });
   }
 
-  /** For the metrics; null where fair admission is not switched on. */
-  get admissionStatus(): AdmissionStatus | null {
-    return this.#admission?.report() ?? null;
-  }
+  /* ---- peers ---- */
 
-  #peerSaid(from: string, message: PeerMessage): void {
-    if (!this.#peers.has(from)) return;
+  #onPeerMessage(from: string, message: PeerMessage): void {
     switch (message.kind) {
       case "heartbeat":
-        this.#peers.onHeartbeat(from, message);
-        this.#admission?.heard(from, message.admission);
-        this.featureGate.observePeerProtocol(from, message.protocol);
-        this.election.observeToken(message.fencingToken);
-        this.election.observePeerToken(from, message.fencingToken);
+        this.#onPeerHeartbeat(from, message);
         break;
       case "jobRecord":
         this.leaderTerm?.applyJobRecord(message.entry);
@@ -312,51 +332,52 @@
         break;
       case "forwardedHeartbeats":
       case "forwardedReplies":
+        // The shell brings these as commands of their own.
         break;
       default:
         message satisfies never;
     }
   }
 
-  #learned(item: StoreEntry, cancelled: boolean): void {
+  #onPeerHeartbeat(from: string, heartbeat: PeerHeartbeat): void {
+    this.#peers.onHeartbeat(from, heartbeat);
+    this.#admission?.heard(from, heartbeat.admission);
+    this.featureGate.observePeerProtocol(from, heartbeat.protocol);
+    this.election.observeToken(heartbeat.fencingToken);
+    this.election.observePeerToken(from, heartbeat.fencingToken);
+  }
+
+  /**
+   * This node has written a job's key: applies it, or sends it to the leader. A cancellation goes to every peer (I8): any
+   * of them may lead, or still reply to agents, without this node's knowing.
+   */
+  #onJobWritten(entry: StoreEntry, isCancellation: boolean): void {
     if (this.leaderTerm) {
-      this.leaderTerm.applyJobRecord(item);
+      this.leaderTerm.applyJobRecord(entry);
       return;
     }
     const leader = this.leaderName;
-    // A cancellation goes to every peer: one of them may lead, or still answer workers, without this node's knowing.
     for (const to of this.ctx.deployment.peers) {
-      if (to === leader || cancelled)
-        this.ctx.emit({ kind: "sendToPeer", to, message: { kind: "jobRecord", entry: item } });
+      if (to === leader || isCancellation)
+        this.ctx.emit({ kind: "sendToPeer", to, message: { kind: "jobRecord", entry } });
     }
   }
 
-  /* ---- workers' reports ---- */
+  /* ---- agents' heartbeats ---- */
 
-  /** Only the leader's answers carry a token; null if this node may not answer. */
-  #leaderAnswer(report: Heartbeat): HeartbeatReply | null {
-    const { leaderTerm } = this;
-    if (!leaderTerm || !this.election.mayReplyToAgents) return null;
-    const answer = leaderTerm.handleHeartbeat(report);
-    return leaderTerm.hasEnded ? null : answer;
+  #replyToForwardedHeartbeat(from: string, id: number, heartbeat: Heartbeat): void {
+    const reply = this.#replyAsLeader(heartbeat) ?? { kind: "unavailable" };
+    this.ctx.emit({ kind: "replyToForwardedHeartbeat", to: from, id, reply });
   }
 
-  status(): Record<string, unknown> {
+  /**
+   * The leader's reply, which alone carries a fencing token; null if this node may not reply. The heartbeat itself may end
+   * the term, by a higher token that it carries: then there is no reply either.
+   */
+  #replyAsLeader(heartbeat: Heartbeat): HeartbeatReply | null {
     const { leaderTerm } = this;
-    const base = {
-      node: this.ctx.deployment.node,
-      leader: this.leaderName,
-      ready: this.ready,
-      leading: leaderTerm !== null,
-      peers: this.#peers.status(),
-    };
-    const admission = this.#admission?.status();
-    const status = {
-      ...base,
-      ...this.#succession.status(this.config.revision),
-      ...(admission ? { admission } : {}),
-    };
-    const { hasValidLease: confirmed } = this.election;
-    return leaderTerm ? { ...status, ...leaderStatus(leaderTerm, confirmed, this.config.layout) } : status;
+    if (!leaderTerm || !this.election.mayReplyToAgents) return null;
+    const reply = leaderTerm.handleHeartbeat(heartbeat);
+    return leaderTerm.hasEnded ? null : reply;
   }
 }
--- a/src/core/leader-term.ts
+++ b/src/core/leader-term.ts
@@ -5,6 +5,7 @@
 import type { Context, TimeBudget } from "./context.js";
 import type { Election } from "./election/election.js";
 import type { LeaderLease } from "./election/leader-lease.js";
+import { JobLifecycle } from "./job-lifecycle.js";
 import { DependencyGraph } from "./jobs/dependency-graph.js";
 import { ProgressPublisher } from "./jobs/progress-publisher.js";
 import type { Heartbeat, HeartbeatReply } from "./messages/agents.js";
@@ -12,7 +13,6 @@
 import { ReplicaMigrator } from "./migration/replica-migration.js";
 import { ClusterState } from "./model/cluster-state.js";
 import type { MachineType } from "./model/deployment.js";
-import type { Job } from "./model/job.js";
 import type { ExitReason } from "./model/job-spec.js";
 import type { Placement } from "./model/placement.js";
 import { Scheduler } from "./scheduling/scheduler.js";
@@ -24,16 +24,28 @@
 import type { RecordSource, StoredRecords } from "./store/record-reader.js";
 import { RecordRestore } from "./store/record-restore.js";
 import { RecordWriter } from "./store/record-writer.js";
-import { readJob } from "./store/records.js";
-import { rereadJob } from "./store/reread-job.js";
 
-const RETRY_MS = 300;
-const ROUND_MS = 100;
+/** Scheduling rounds are at least so far apart. */
+const ROUND_INTERVAL_MS = 100;
+/** A round without a cause, for what only time changes. */
+const IDLE_ROUND_INTERVAL_MS = 1000;
 /** What looks at every machine, whether or not anything happened there, is done this often. */
-const SURVEY_MS = 500;
-const IDLE_ROUND_MS = 1000;
+const SURVEY_INTERVAL_MS = 500;
 
-/** One time in office: the leader's tables and all that works on them. It is dropped whole when it ends. */
+/** What a term is led with. */
+export interface LeaderTermDependencies {
+  readonly config: ConfigWatch;
+  readonly election: Election;
+  readonly lease: LeaderLease;
+  readonly featureGate: FeatureGate;
+  /** Chooses where the records come from, given the source that reads all of them from the key-value store. */
+  readonly chooseSource: (fullRead: RecordSource) => RecordSource;
+}
+
+/**
+ * One term of a leader: the cluster state as the leader knows it, and everything that works on it. The term begins by
+ * loading the records that earlier leaders left, and decides nothing before; it is dropped whole when it ends.
+ */
 export class LeaderTerm {
   readonly lease: LeaderLease;
   readonly cluster: ClusterState;
@@ -43,220 +55,160 @@
   readonly provisioner: Provisioner;
   readonly migrator: ReplicaMigrator;
   readonly dependencies: DependencyGraph;
+  /** True once the term is over: what still runs of it must have no effect. */
   hasEnded = false;
-  readonly #feed: JobWatch;
-  readonly #progress: ProgressPublisher;
-  readonly #typesRecord: MachineTypesRecord;
-  readonly #modes: MachineModes;
   readonly #ctx: Context;
-  readonly #view: ConfigWatch;
-  readonly #leadership: Election;
-  #dirty = true;
-  #roundAt = 0;
-  #surveyAt = Number.NEGATIVE_INFINITY;
+  readonly #config: ConfigWatch;
+  readonly #election: Election;
+  readonly #jobLifecycle: JobLifecycle;
+  readonly #jobWatch: JobWatch;
+  readonly #progress: ProgressPublisher;
+  readonly #machineTypesRecord: MachineTypesRecord;
+  readonly #machineModes: MachineModes;
+  /** True if something has changed that a scheduling round may act on. */
+  #isRoundNeeded = true;
+  #lastRoundAt = 0;
+  #lastSurveyAt = Number.NEGATIVE_INFINITY;
 
-  constructor(
-    ctx: Context,
-    view: ConfigWatch,
-    leadership: Election,
-    term: LeaderLease,
-    gate: FeatureGate,
-    /** Chooses where the records come from, given the source that reads all of them. */
-    chooseSource: (cold: RecordSource) => RecordSource,
-  ) {
+  constructor(ctx: Context, { config, election, lease, featureGate, chooseSource }: LeaderTermDependencies) {
     this.#ctx = ctx;
-    this.#view = view;
-    this.#leadership = leadership;
-    this.lease = term;
-    this.cluster = new ClusterState(ctx.names);
-    this.cluster.setMachineTypes(view.machineTypes);
-    this.recordWriter = new RecordWriter(ctx, term, this.cluster, view.migration?.version ?? 0, {
-      onPlacementsRecorded: (placements) => this.#recorded(placements),
-      onJobKeyChanged: (job) => this.#reread(job),
-      onJobFinished: (job) => this.#finished(job),
-      onLeadershipLost: (why) => leadership.stepDown(why),
-      onRecordTooLarge: () => gate.open("a record was too large"),
-      layout: () => view.layout,
-    });
-    this.dependencies = new DependencyGraph(ctx, this.cluster, {
-      onDependenciesSatisfied: (job) => this.#released(job),
-      onDependencyCancelled: (job) => this.#cancelled(job),
+    this.#config = config;
+    this.#election = election;
+    this.lease = lease;
+    const cluster = new ClusterState(ctx.names);
+    this.cluster = cluster;
+    cluster.setMachineTypes(config.machineTypes);
+    this.recordWriter = new RecordWriter(ctx, lease, cluster, config.migration?.version ?? 0, {
+      onPlacementsRecorded: (placements) => this.#sendRecordedStarts(placements),
+      onJobKeyChanged: (job) => this.#jobLifecycle.reread(job),
+      onJobFinished: (job) => this.#jobLifecycle.onFinalRecordWritten(job),
+      onLeadershipLost: (reason) => election.stepDown(reason),
+      onRecordTooLarge: () => featureGate.open("a record was too large"),
+      layout: () => config.layout,
     });
-    this.agents = new AgentManager(ctx, leadership, term, this.cluster, this.recordWriter, {
-      onPlacementEnded: (placement, cause) => this.#gone(placement, cause),
-      onTaskRunning: (placement) => this.#started(placement),
-      onCapacityChanged: () => {
-        this.#dirty = true;
+    this.dependencies = new DependencyGraph(ctx, cluster, {
+      onDependenciesSatisfied: (job) => {
+        this.#requestRound();
+        ctx.log("debug", "job dependencies satisfied", { job: job.uid });
       },
+      onDependencyCancelled: (job) => this.#jobLifecycle.cancel(job),
     });
-    this.scheduler = new Scheduler(ctx, term, this.cluster, this.agents, this.recordWriter);
+    this.agents = new AgentManager(ctx, election, lease, cluster, this.recordWriter, {
+      onPlacementEnded: (placement, cause) => this.#onPlacementEnded(placement, cause),
+      onTaskRunning: (placement) => this.#logTaskRunning(placement),
+      onCapacityChanged: () => this.#requestRound(),
+    });
+    this.scheduler = new Scheduler(ctx, lease, cluster, this.agents, this.recordWriter);
     this.provisioner = new Provisioner(
       ctx,
-      term,
-      this.cluster,
+      lease,
+      cluster,
       this.agents,
       this.recordWriter,
       this.scheduler,
-      (types) => this.#typesRead(types),
+      (types) => this.#onMachineTypesRead(types),
+    );
+    const { agents, recordWriter, scheduler, dependencies } = this;
+    this.migrator = new ReplicaMigrator(ctx, { cluster, agents, recordWriter, scheduler });
+    this.#progress = new ProgressPublisher(ctx, cluster);
+    this.#machineModes = new MachineModes(ctx, config, cluster, agents, scheduler);
+    this.#machineTypesRecord = new MachineTypesRecord(ctx, config, lease);
+    this.#jobLifecycle = new JobLifecycle(
+      ctx,
+      { cluster, agents, recordWriter, dependencies },
+      {
+        hasTermEnded: () => this.hasEnded,
+        onJobsChanged: () => this.#requestRound(),
+        onJobRemoved: (job) => this.#progress.forget(job),
+        runAfter: (delayMs, run) => this.#jobWatch.runAfter(delayMs, run),
+      },
     );
-    this.migrator = new ReplicaMigrator(ctx, this);
-    this.#progress = new ProgressPublisher(ctx, this.cluster);
-    this.#modes = new MachineModes(ctx, view, this.cluster, this.agents, this.scheduler);
-    this.#typesRecord = new MachineTypesRecord(ctx, view, term);
-    this.#feed = new JobWatch(ctx, leadership, (item) => this.applyJobRecord(item));
-    this.#feed.load(chooseSource, (records) => this.#rebuild(records));
+    this.#jobWatch = new JobWatch(ctx, election, (entry) => this.applyJobRecord(entry));
+    this.#jobWatch.load(chooseSource, (records) => this.#onRecordsLoaded(records));
   }
 
-  /** Every change of a job's key before this time has been applied here; null before the records are read. */
+  /** Every change of a job's key before this time has been applied here (I1); null until the records are loaded. */
   get cancellationsKnownThrough(): number | null {
-    return this.#feed.cancellationsKnownThrough;
+    return this.#jobWatch.cancellationsKnownThrough;
   }
 
+  /** Ends the term: nothing of it is written, called or replied to from now on. */
   end(): void {
     this.hasEnded = true;
     this.recordWriter.isStopped = true;
-    this.#feed.stop();
+    this.#jobWatch.stop();
     this.provisioner.end();
   }
 
-  /* ---- reading what earlier leaders left ---- */
+  /* ---- loading what earlier leaders left ---- */
 
-  #rebuild({ machines, chunks, jobs }: StoredRecords): void {
-    const { now } = this.#ctx;
-    const restore = new RecordRestore(this.#ctx, this.cluster, this.recordWriter, this.dependencies);
-    for (const item of machines) restore.restoreMachines(item);
-    for (const item of jobs) this.applyJobRecord(item);
-    const held = restore.restorePlacements(chunks);
-    // When work that has begun last ran is not on record: its wait counts anew, else a new leader takes all that is
-    // waiting for its next tasks for aged.
-    for (const job of this.cluster.jobs.values()) if (job.doneCount > 0) job.lastRanAt = now;
-    this.scheduler.turns?.restore(
-      [...this.cluster.jobs.values()].filter((job) => job.doneCount > 0 || job.placements.size > 0),
-    );
+  #onRecordsLoaded(records: StoredRecords): void {
+    const placements = this.#restore(records);
+    this.#estimateLastRuns();
     this.applyMachineModes();
     this.agents.areRecordsLoaded = true;
-    // Reports that came in while the records were being read are as good as new ones.
-    for (const machine of this.cluster.machines.values()) {
-      if (machine.heartbeat) this.agents.reconcile(machine);
-      else if (machine.phase === "up") {
-        for (const placement of machine.placements)
-          machine.incarnation = Math.max(machine.incarnation, placement.incarnation);
-        this.agents.queueFencing(machine);
-      }
-    }
-    for (const job of this.cluster.jobs.values()) {
-      if (job.state === "cancelled") this.#stopAll(job);
-      this.#finishIfOver(job);
-    }
-    this.migrator.resume(this.#view.migration);
-    this.#dirty = true;
+    this.#reconcileMachines();
+    this.#jobLifecycle.settleRestoredJobs();
+    this.migrator.resume(this.#config.migration);
+    this.#requestRound();
     this.#ctx.log("info", "leader ready", {
-      token: this.lease.fencingToken,
+      fencing_token: this.lease.fencingToken,
       jobs: this.cluster.jobs.size,
       machines: this.cluster.machines.size,
-      placements: held,
-      after_ms: Math.round(now - this.lease.electedAt),
+      placements,
+      after_ms: Math.round(this.#ctx.now - this.lease.electedAt),
     });
   }
 
-  /* ---- jobs ---- */
-
-  /** Takes in a job's key, from the first read, from following, or straight from the node that wrote it. */
-  applyJobRecord(item: StoreEntry): void {
-    const record = readJob(item.value);
-    const uid = item.key.slice("j/".length);
-    if (!record || record.spec.uid !== uid) {
-      this.#ctx.log("error", "a record can't be read", { key: item.key });
-      return;
-    }
-    const known = this.cluster.jobByUid(uid);
-    if (known) {
-      if (item.version <= known.version) return;
-      known.version = item.version;
-      if (record.state === "cancelled") this.#cancelled(known);
-      return;
-    }
-    // News of jobs that have ended in this term may still be on its way.
-    if (this.dependencies.isKnownEnded(uid)) return;
-    const job = this.cluster.addJob(record.spec, record.acceptedAt, item.version);
-    if (record.state === "cancelled") job.state = "cancelled";
-    this.dependencies.add(job);
-    if (job.state === "cancelled") this.dependencies.onJobCancelled(job);
-    if (this.agents.areRecordsLoaded) this.#finishIfOver(job);
-    this.#dirty = true;
-  }
-
-  #released(job: Job): void {
-    this.#dirty = true;
-    this.#ctx.log("debug", "job released", { job: job.uid });
-  }
-
-  #cancelled(job: Job): void {
-    if (job.state !== "active") return;
-    job.state = "cancelled";
-    job.isFinalRecordQueued = false;
-    this.#stopAll(job);
-    this.#finishIfOver(job);
-    this.dependencies.onJobCancelled(job);
-    this.#dirty = true;
+  /** Builds the cluster state from the records; returns how many placements are on record. */
+  #restore({ machines, chunks, jobs }: StoredRecords): number {
+    const restore = new RecordRestore(this.#ctx, this.cluster, this.recordWriter, this.dependencies);
+    for (const entry of machines) restore.restoreMachines(entry);
+    for (const entry of jobs) this.applyJobRecord(entry);
+    return restore.restorePlacements(chunks);
   }
 
-  #stopAll(job: Job): void {
-    for (const placement of [...job.placements.values()]) this.agents.stopTask(placement, 0, "cancelled");
+  /**
+   * When a job last ran is not on record. The wait of a job that has begun counts from now, or each of its pending tasks
+   * would count as starving under a new leader.
+   */
+  #estimateLastRuns(): void {
+    const { now } = this.#ctx;
+    for (const job of this.cluster.jobs.values()) if (job.doneCount > 0) job.lastRanAt = now;
+    this.scheduler.turns?.restore(
+      [...this.cluster.jobs.values()].filter((job) => job.doneCount > 0 || job.placements.size > 0),
+    );
   }
 
-  /** The final state is written once nothing of the job is left anywhere. */
-  #finishIfOver(job: Job): void {
-    if (!this.agents.areRecordsLoaded || job.isFinalRecordQueued || job.placements.size > 0) return;
-    if (job.state === "cancelled" || (job.state === "active" && job.isComplete)) {
-      job.isFinalRecordQueued = true;
-      this.recordWriter.queueFinalRecord(job);
+  /** Reconciles machines with the heartbeats that came in during loading; the others are to be fenced first (I3, I4). */
+  #reconcileMachines(): void {
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.heartbeat) this.agents.reconcile(machine);
+      else if (machine.phase === "up") {
+        for (const placement of machine.placements)
+          machine.incarnation = Math.max(machine.incarnation, placement.incarnation);
+        this.agents.queueFencing(machine);
+      }
     }
   }
 
-  #finished(job: Job): void {
-    if (job.state === "active") job.state = "done";
-    this.cluster.jobs.delete(job.index);
-    this.#progress.forget(job);
-    const state = job.state === "cancelled" ? "cancelled" : "done";
-    this.dependencies.onJobEnded(job, job.endedAt === null ? { state } : { state, at: job.endedAt });
-  }
+  /* ---- jobs and placements ---- */
 
-  /** A write has failed on the job's key: what is on record now? */
-  #reread(job: Job): void {
-    rereadJob(this.#ctx, job.uid, (found) => {
-      if (this.hasEnded || !this.cluster.jobs.has(job.index)) return;
-      switch (found.kind) {
-        case "active":
-          this.applyJobRecord(found.item);
-          // Whether or not it has changed after all, what is yet to be written is written on the version just read.
-          if (job.state === "active")
-            for (const p of job.placements.values())
-              if (!p.isRecorded) this.recordWriter.markDirty(job, p.task, true);
-          if (job.isFinalRecordQueued) this.recordWriter.queueFinalRecord(job);
-          break;
-        case "over":
-          job.state = found.state;
-          job.endedAt = found.at;
-          this.#stopAll(job);
-          if (job.placements.size === 0) this.#finished(job);
-          break;
-        case "unknown":
-          this.#feed.runAfter(RETRY_MS, () => this.#reread(job));
-          break;
-      }
-    });
+  /** Applies a job's key: from loading, from the watch, or straight from the node that wrote it. */
+  applyJobRecord(entry: StoreEntry): void {
+    this.#jobLifecycle.applyRecord(entry);
   }
 
-  #recorded(placements: readonly Placement[]): void {
+  /** A start is sent only once its placement is on record (I2). */
+  #sendRecordedStarts(placements: readonly Placement[]): void {
     for (const placement of placements) {
       if (placement.machine.placements.has(placement) && placement.observedState === null)
         this.agents.queueCommands(placement.machine);
     }
   }
 
-  #started({ job, task, machine, placedAt }: Placement): void {
-    this.#ctx.log("debug", "task runs", {
+  #logTaskRunning({ job, task, machine, placedAt }: Placement): void {
+    this.#ctx.log("debug", "task running", {
       job: job.uid,
       task,
       class: job.spec.jobClass,
@@ -266,90 +218,112 @@
     });
   }
 
-  #gone(placement: Placement, cause: ExitReason | "lost"): void {
+  #onPlacementEnded(placement: Placement, cause: ExitReason | "lost"): void {
     const { job, task } = placement;
-    this.#dirty = true;
+    this.#requestRound();
     this.recordWriter.markDirty(job, task, false);
     applyTaskOutcome(this.#ctx, this.recordWriter, placement, cause);
-    const orderly = cause === "done" || cause === "stopped";
-    if (job.spec.shape === "gang" && !orderly && !job.isComplete) {
-      for (const other of [...job.placements.values()]) {
-        if (!other.stop) this.agents.stopTask(other, 0, "its gang is broken");
-      }
+    if (breaksGang(placement, cause)) this.#stopRestOfGang(placement);
+    if (!this.migrator.onPlacementEnded(placement)) this.#jobLifecycle.finishIfOver(job);
+  }
+
+  /** A gang runs whole or not at all. */
+  #stopRestOfGang({ job }: Placement): void {
+    for (const member of [...job.placements.values()]) {
+      if (!member.stop) this.agents.stopTask(member, 0, "its gang is broken");
     }
-    if (!this.migrator.onPlacementEnded(placement)) this.#finishIfOver(job);
   }
 
-  /* ---- the course of time ---- */
+  /* ---- heartbeats, the passing of time ---- */
 
-  handleHeartbeat(report: Heartbeat): HeartbeatReply {
-    return this.agents.replyTo(report);
+  /** The reply to an agent's heartbeat, which renews the agent's lease. */
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
+    return this.agents.replyTo(heartbeat);
   }
 
+  /** Does what is due with time: leases, fencing, machines, migration, and a scheduling round. */
   tick(budget: TimeBudget): void {
-    const { now } = this.#ctx;
-    this.#feed.tick();
+    this.#jobWatch.tick();
     if (!this.agents.areRecordsLoaded) return;
     this.dependencies.tick();
     this.agents.sendQueuedFencing();
-    if (now - this.#surveyAt >= SURVEY_MS) {
-      this.#surveyAt = now;
-      this.agents.expireLeases();
-      this.#modes.drain();
-      if (this.hasEnded) return;
-      this.provisioner.tick(this.#leadership.hasValidLease);
-      if (this.#leadership.hasValidLease) this.migrator.tick();
-    }
-    this.#decide(budget);
+    this.#surveyMachinesIfDue();
+    if (this.hasEnded) return;
+    this.#runRoundIfDue(budget);
     this.#progress.tick();
   }
 
-  /** What has become due in this batch: decisions, records, orders. */
+  #surveyMachinesIfDue(): void {
+    const { now } = this.#ctx;
+    if (now - this.#lastSurveyAt < SURVEY_INTERVAL_MS) return;
+    this.#lastSurveyAt = now;
+    this.agents.expireLeases();
+    this.#machineModes.drain();
+    if (this.hasEnded) return;
+    this.provisioner.tick(this.#election.hasValidLease);
+    if (this.#election.hasValidLease) this.migrator.tick();
+  }
+
+  /** At the end of each batch: decides, writes records and sends commands, in this order (I2). */
   finishBatch(budget: TimeBudget): void {
     if (this.hasEnded || !this.agents.areRecordsLoaded) return;
-    this.#decide(budget);
+    this.#runRoundIfDue(budget);
     this.recordWriter.flush();
     this.agents.sendQueuedCommands();
   }
 
-  #decide(budget: TimeBudget): void {
+  #requestRound(): void {
+    this.#isRoundNeeded = true;
+  }
+
+  #runRoundIfDue(budget: TimeBudget): void {
     const { now } = this.#ctx;
-    if (!this.#leadership.hasValidLease) return;
-    if (now - this.#roundAt < (this.#dirty ? ROUND_MS : IDLE_ROUND_MS)) return;
-    this.#roundAt = now;
-    this.#dirty = !this.scheduler.runRound(budget);
+    if (!this.#election.hasValidLease) return;
+    const intervalMs = this.#isRoundNeeded ? ROUND_INTERVAL_MS : IDLE_ROUND_INTERVAL_MS;
+    if (now - this.#lastRoundAt < intervalMs) return;
+    this.#lastRoundAt = now;
+    const isComplete = this.scheduler.runRound(budget);
+    this.#isRoundNeeded = !isComplete;
   }
 
-  #typesRead(types: readonly MachineType[]): void {
+  #onMachineTypesRead(types: readonly MachineType[]): void {
     this.cluster.setMachineTypes(types);
-    this.#dirty = true;
-    this.#typesRecord.write(types);
+    this.#requestRound();
+    this.#machineTypesRecord.write(types);
   }
 
-  /** Takes over what the operators have set machines to; those set aside for errors stay so. */
+  /** Applies the modes that operators have set machines to; machines cordoned for failures stay so. */
   applyMachineModes(): void {
-    this.#modes.apply();
-    this.#dirty = true;
+    this.#machineModes.apply();
+    this.#requestRound();
   }
 
-  /** The indices in use, for the sweep of the name tables. */
+  /* ---- what others ask ---- */
+
+  /** The indices of job and machine names in use, which must not be reclaimed. */
   indicesInUse(): { jobs: Set<number>; machines: Set<number> } {
     const jobs = new Set(this.cluster.jobs.keys());
     for (const machine of this.cluster.machines.values()) {
-      for (const entry of machine.heartbeat?.tasks ?? []) jobs.add(entry.job);
+      for (const task of machine.heartbeat?.tasks ?? []) jobs.add(task.job);
     }
     return { jobs, machines: new Set(this.cluster.machines.keys()) };
   }
 
-  /** By team, how long the longest wait is; null where turns don't count. */
+  /** By team, the longest wait in milliseconds; null where round-robin turns don't count. */
   longestWaits(): ReadonlyMap<string, number> | null {
     const { turns } = this.scheduler;
     const { deployment, wallMs } = this.#ctx;
     return turns && longestWaits(turns, this.cluster.jobs.values(), deployment.teams, wallMs);
   }
 
+  /** How many tasks of a job are done and running; null for a job that this leader doesn't have. */
   progressOf(uid: string): { done: number; running: number } | null {
     const job = this.cluster.jobByUid(uid);
     return job ? { done: job.doneCount, running: job.countRunning() } : null;
   }
 }
+
+/** A gang is broken once a member has failed or is lost before the job is complete. */
+function breaksGang({ job }: Placement, cause: ExitReason | "lost"): boolean {
+  return job.spec.shape === "gang" && cause !== "done" && cause !== "stopped" && !job.isComplete;
+}
