--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -15,12 +15,11 @@
 import type { Heartbeat, HeartbeatReply } from "./messages/agents.js";
 import type { Command } from "./messages/commands.js";
 import type { Effect } from "./messages/effects.js";
-import type { PeerHeartbeat, PeerMessage } from "./messages/peers.js";
-import type { StoreEntry } from "./messages/store.js";
 import type { UserResponse } from "./messages/users.js";
 import type { Deployment } from "./model/deployment.js";
 import { NameRegistry } from "./model/interner.js";
 import { PeerHeartbeatSender } from "./peer-heartbeat-sender.js";
+import { PeerMessageHandler } from "./peer-message-handler.js";
 import { PeerTable } from "./peer-table.js";
 import { seededRandom } from "./random.js";
 import { openJobsByTeam } from "./scheduling/team-load.js";
@@ -61,9 +60,10 @@
   leaderTerm: LeaderTerm | null = null;
   readonly #administration: Administration;
   readonly #peers: PeerTable;
-  readonly #progress = new ProgressCounts();
   readonly #heartbeatRouter: HeartbeatRouter;
   readonly #peerHeartbeats: PeerHeartbeatSender;
+  readonly #peerMessages: PeerMessageHandler;
+  readonly #progress = new ProgressCounts();
   readonly #failover: Failover;
   /** Null where fair admission is not switched on. */
   readonly #admission: Admission | null;
@@ -90,6 +90,14 @@
       failover: this.#failover,
       admission: this.#admission,
     });
+    this.#peerMessages = new PeerMessageHandler(ctx, {
+      peers: this.#peers,
+      election: this.election,
+      featureGate: this.featureGate,
+      progress: this.#progress,
+      admission: this.#admission,
+      applyJobRecord: (entry) => this.leaderTerm?.applyJobRecord(entry),
+    });
   }
 
   #electionEvents(): ElectionEvents {
@@ -115,7 +123,10 @@
 
   #jobRequestEvents(): JobRequestEvents {
     return {
-      onJobWritten: (entry, isCancellation) => this.#onJobWritten(entry, isCancellation),
+      onJobWritten: (entry, isCancellation) => {
+        if (this.leaderTerm) this.leaderTerm.applyJobRecord(entry);
+        else this.#peerMessages.sendJobRecord(entry, isCancellation, this.leaderName);
+      },
       isOlderPeerAlive: () =>
         !this.featureGate.isOpen && this.#peers.isAnyOlderAlive((node) => this.featureGate.isOlderPeer(node)),
       progressOf: (uid) => this.leaderTerm?.progressOf(uid) ?? this.#progress.get(uid) ?? null,
@@ -233,7 +244,7 @@
         this.ctx.onCloudResponse(command.id, command.response);
         break;
       case "peerMessage":
-        if (this.#peers.has(command.from)) this.#onPeerMessage(command.from, command.message);
+        this.#peerMessages.onMessage(command.from, command.message);
         break;
       case "peerLinkChanged":
         this.#peers.onLinkChanged(command.node, command.up);
@@ -317,52 +328,6 @@
     this.#admission?.tick(this.leaderName, mayIssue ? term.lease.firstFencingToken : null, { openJobs });
   }
 
-  /* ---- peers ---- */
-
-  #onPeerMessage(from: string, message: PeerMessage): void {
-    switch (message.kind) {
-      case "heartbeat":
-        this.#onPeerHeartbeat(from, message);
-        break;
-      case "jobRecord":
-        this.leaderTerm?.applyJobRecord(message.entry);
-        break;
-      case "progress":
-        this.#progress.note(message.rows);
-        break;
-      case "forwardedHeartbeats":
-      case "forwardedReplies":
-        // The shell brings these as commands of their own.
-        break;
-      default:
-        message satisfies never;
-    }
-  }
-
-  #onPeerHeartbeat(from: string, heartbeat: PeerHeartbeat): void {
-    this.#peers.onHeartbeat(from, heartbeat);
-    this.#admission?.heard(from, heartbeat.admission);
-    this.featureGate.observePeerProtocol(from, heartbeat.protocol);
-    this.election.observeToken(heartbeat.fencingToken);
-    this.election.observePeerToken(from, heartbeat.fencingToken);
-  }
-
-  /**
-   * This node has written a job's key: applies it, or sends it to the leader. A cancellation goes to every peer (I8): any
-   * of them may lead, or still reply to agents, without this node's knowing.
-   */
-  #onJobWritten(entry: StoreEntry, isCancellation: boolean): void {
-    if (this.leaderTerm) {
-      this.leaderTerm.applyJobRecord(entry);
-      return;
-    }
-    const leader = this.leaderName;
-    for (const to of this.ctx.deployment.peers) {
-      if (to === leader || isCancellation)
-        this.ctx.emit({ kind: "sendToPeer", to, message: { kind: "jobRecord", entry } });
-    }
-  }
-
   /* ---- agents' heartbeats ---- */
 
   #replyToForwardedHeartbeat(from: string, id: number, heartbeat: Heartbeat): void {
--- a/src/core/leader-term.ts
+++ b/src/core/leader-term.ts
@@ -2,6 +2,7 @@
 import { MachineModes } from "./agents/machine-modes.js";
 import { applyTaskOutcome } from "./agents/task-outcome.js";
 import { Provisioner } from "./autoscaling/provisioner.js";
+import { ClusterRecovery } from "./cluster-recovery.js";
 import type { Context, TimeBudget } from "./context.js";
 import type { Election } from "./election/election.js";
 import type { LeaderLease } from "./election/leader-lease.js";
@@ -22,7 +23,6 @@
 import { JobWatch } from "./store/job-watch.js";
 import { MachineTypesRecord } from "./store/machine-types-record.js";
 import type { RecordSource, StoredRecords } from "./store/record-reader.js";
-import { RecordRestore } from "./store/record-restore.js";
 import { RecordWriter } from "./store/record-writer.js";
 
 /** Scheduling rounds are at least so far apart. */
@@ -62,6 +62,7 @@
   readonly #election: Election;
   readonly #jobLifecycle: JobLifecycle;
   readonly #jobWatch: JobWatch;
+  readonly #recovery: ClusterRecovery;
   readonly #progress: ProgressPublisher;
   readonly #machineTypesRecord: MachineTypesRecord;
   readonly #machineModes: MachineModes;
@@ -123,6 +124,7 @@
         runAfter: (delayMs, run) => this.#jobWatch.runAfter(delayMs, run),
       },
     );
+    this.#recovery = new ClusterRecovery(ctx, { cluster, agents, recordWriter, dependencies, scheduler });
     this.#jobWatch = new JobWatch(ctx, election, (entry) => this.applyJobRecord(entry));
     this.#jobWatch.load(chooseSource, (records) => this.#onRecordsLoaded(records));
   }
@@ -143,11 +145,10 @@
   /* ---- loading what earlier leaders left ---- */
 
   #onRecordsLoaded(records: StoredRecords): void {
-    const placements = this.#restore(records);
-    this.#estimateLastRuns();
+    const placements = this.#recovery.restore(records, (entry) => this.applyJobRecord(entry));
     this.applyMachineModes();
     this.agents.areRecordsLoaded = true;
-    this.#reconcileMachines();
+    this.#recovery.reconcileMachines();
     this.#jobLifecycle.settleRestoredJobs();
     this.migrator.resume(this.#config.migration);
     this.#requestRound();
@@ -160,38 +161,6 @@
     });
   }
 
-  /** Builds the cluster state from the records; returns how many placements are on record. */
-  #restore({ machines, chunks, jobs }: StoredRecords): number {
-    const restore = new RecordRestore(this.#ctx, this.cluster, this.recordWriter, this.dependencies);
-    for (const entry of machines) restore.restoreMachines(entry);
-    for (const entry of jobs) this.applyJobRecord(entry);
-    return restore.restorePlacements(chunks);
-  }
-
-  /**
-   * When a job last ran is not on record. The wait of a job that has begun counts from now, or each of its pending tasks
-   * would count as starving under a new leader.
-   */
-  #estimateLastRuns(): void {
-    const { now } = this.#ctx;
-    for (const job of this.cluster.jobs.values()) if (job.doneCount > 0) job.lastRanAt = now;
-    this.scheduler.turns?.restore(
-      [...this.cluster.jobs.values()].filter((job) => job.doneCount > 0 || job.placements.size > 0),
-    );
-  }
-
-  /** Reconciles machines with the heartbeats that came in during loading; the others are to be fenced first (I3, I4). */
-  #reconcileMachines(): void {
-    for (const machine of this.cluster.machines.values()) {
-      if (machine.heartbeat) this.agents.reconcile(machine);
-      else if (machine.phase === "up") {
-        for (const placement of machine.placements)
-          machine.incarnation = Math.max(machine.incarnation, placement.incarnation);
-        this.agents.queueFencing(machine);
-      }
-    }
-  }
-
   /* ---- jobs and placements ---- */
 
   /** Applies a job's key: from loading, from the watch, or straight from the node that wrote it. */
