--- a/src/core/job-lifecycle.ts
+++ b/src/core/job-lifecycle.ts
@@ -6,7 +6,7 @@
 import type { Job } from "./model/job.js";
 import type { RecordWriter } from "./store/record-writer.js";
 import { KEYS, readJob } from "./store/records.js";
-import { type Reread, rereadJob } from "./store/reread-job.js";
+import { rereadJob } from "./store/reread-job.js";
 
 const REREAD_RETRY_MS = 300;
 
@@ -124,28 +124,29 @@
 
   /** A write conditioned on the job's key has failed: reads what is on record now (I8). */
   reread(job: Job): void {
-    rereadJob(this.#ctx, job.uid, (found) => {
+    rereadJob(this.#ctx, job.uid, (stored) => {
       if (this.#events.hasTermEnded() || !this.#cluster.jobs.has(job.index)) return;
-      this.#onReread(job, found);
+      switch (stored.kind) {
+        case "active":
+          this.applyRecord(stored.item);
+          this.#repeatWrites(job);
+          break;
+        case "over":
+          this.#onFoundOver(job, stored.state, stored.at);
+          break;
+        case "unknown":
+          this.#events.runAfter(REREAD_RETRY_MS, () => this.reread(job));
+          break;
+      }
     });
   }
 
-  #onReread(job: Job, found: Reread): void {
-    switch (found.kind) {
-      case "active":
-        this.applyRecord(found.item);
-        this.#repeatWrites(job);
-        break;
-      case "over":
-        job.state = found.state;
-        job.endedAt = found.at;
-        this.#stopAllTasks(job);
-        if (job.placements.size === 0) this.onFinalRecordWritten(job);
-        break;
-      case "unknown":
-        this.#events.runAfter(REREAD_RETRY_MS, () => this.reread(job));
-        break;
-    }
+  /** The final record was written already, by an earlier leader or by a write whose outcome was unknown. */
+  #onFoundOver(job: Job, state: "done" | "cancelled", endedAt: number | null): void {
+    job.state = state;
+    job.endedAt = endedAt;
+    this.#stopAllTasks(job);
+    if (job.placements.size === 0) this.onFinalRecordWritten(job);
   }
 
   /** Whether or not the key has changed after all, what is yet to be written is written on the version just read. */
