--- a/src/core/store/dirty-chunks.ts
+++ b/src/core/store/dirty-chunks.ts
@@ -2,114 +2,127 @@
 import type { Placement } from "../model/placement.js";
 import { KEYS, type TaskRange } from "./records.js";
 
-/** Consecutive tasks of a job whose record is yet to be written. */
+/** Consecutive tasks of a job whose placement record is yet to be written. */
 export interface DirtyChunk {
   readonly job: Job;
   readonly key: string;
   readonly range: TaskRange;
-  since: number;
+  dirtyAt: number;
+  /** True if it holds a start; else it is deferred, so that several changes share a write. */
   urgent: boolean;
 }
 
-/** What the record of a range of tasks holds. */
+/** What the record of a range of tasks is written from. */
 export interface ChunkContent {
-  /** Task, machine, session, attempt. */
-  readonly held: [number, string, number, number][];
+  /** Task, machine, incarnation, attempt of each active placement. */
+  readonly active: [number, string, number, number][];
+  /** The tasks that are done, ascending. */
   readonly done: number[];
+  /** The active placements. */
   readonly placements: Placement[];
 }
 
+/** Collects the present state of a range of a job's tasks. */
 export function contentOf(job: Job, { first, count }: TaskRange): ChunkContent {
-  const content: ChunkContent = { held: [], done: [], placements: [] };
+  const content: ChunkContent = { active: [], done: [], placements: [] };
   const end = Math.min(job.spec.tasks, first + count);
   for (let task = first; task < end; task++) {
     if (job.isDone(task)) content.done.push(task);
     const placement = job.placements.get(task);
     if (!placement) continue;
     content.placements.push(placement);
-    content.held.push([task, placement.machine.name, placement.incarnation, placement.attempt]);
+    content.active.push([task, placement.machine.name, placement.incarnation, placement.attempt]);
   }
   return content;
 }
 
-/** Which records of placements are yet to be written, in chunks of the present size. */
+/**
+ * The placement records that are yet to be written, in chunks of the size that the current layout and value limit ask
+ * for. The chunks of a job only ever get smaller, as smaller records override larger ones that overlap them.
+ */
 export class DirtyChunks {
+  /** The chunks in the transaction in flight: not on record until its response (I6). */
+  inFlight: readonly DirtyChunk[] = [];
   readonly #chunks = new Map<string, DirtyChunk>();
-  readonly #wantedTasks: () => number;
-  /** Those in the transaction under way: not on record until it is answered. */
-  writing: readonly DirtyChunk[] = [];
-  /** The size of a chunk, as of the last look. */
-  #tasks: number;
-
-  constructor(wantedTasks: () => number) {
-    this.#wantedTasks = wantedTasks;
-    this.#tasks = wantedTasks();
+  readonly #wantedChunkTasks: () => number;
+  /** Tasks per chunk, as of the last call of `applyLayout`. */
+  #chunkTasks: number;
+
+  constructor(wantedChunkTasks: () => number) {
+    this.#wantedChunkTasks = wantedChunkTasks;
+    this.#chunkTasks = wantedChunkTasks();
   }
 
+  /** The number of dirty chunks, without those in flight. */
   get size(): number {
     return this.#chunks.size;
   }
 
+  /** The dirty chunks, in the order in which they became dirty. */
   values(): Iterable<DirtyChunk> {
     return this.#chunks.values();
   }
 
+  /** True if the chunk of this key is dirty. */
   has(key: string): boolean {
     return this.#chunks.has(key);
   }
 
+  /** Removes a chunk: it is being written, or is not to be. */
   delete(key: string): void {
     this.#chunks.delete(key);
   }
 
-  /** Nothing of this job is to be written any more. */
-  forget(job: Job): void {
-    for (const dirty of this.#chunks.values()) if (dirty.job === job) this.#chunks.delete(dirty.key);
+  /** Removes all chunks of a job. */
+  removeJob(job: Job): void {
+    for (const chunk of this.#chunks.values()) if (chunk.job === job) this.#chunks.delete(chunk.key);
   }
 
-  touch(job: Job, task: number, urgent: boolean, since: number): void {
+  /** Marks the chunk of a task; one that is dirty already keeps its age, and becomes urgent if this change is. */
+  markDirty(job: Job, task: number, urgent: boolean, dirtyAt: number): void {
     const range = this.#rangeOf(job, task);
     const key = KEYS.chunk(job.uid, range);
-    const dirty = this.#chunks.get(key);
-    if (dirty) dirty.urgent ||= urgent;
-    else this.#chunks.set(key, { job, key, range, since, urgent });
+    const chunk = this.#chunks.get(key);
+    if (chunk) chunk.urgent ||= urgent;
+    else this.#chunks.set(key, { job, key, range, dirtyAt, urgent });
   }
 
+  /** True while a change of this task is queued or in flight. */
   isDirty(job: Job, task: number): boolean {
     if (this.#chunks.has(KEYS.chunk(job.uid, this.#rangeOf(job, task)))) return true;
-    return this.writing.some(
+    return this.inFlight.some(
       ({ job: other, range }) => other === job && task >= range.first && task < range.first + range.count,
     );
   }
 
-  /** A chunk that could not be written is yet to be, in the size of now. */
-  putBack(dirty: DirtyChunk): void {
-    const newer = this.#chunks.get(dirty.key);
-    if (dirty.range.count !== this.#rangeOf(dirty.job, dirty.range.first).count) this.#rechunk(dirty);
-    else if (newer) newer.urgent ||= dirty.urgent;
-    else this.#chunks.set(dirty.key, dirty);
+  /** Queues a chunk of an uncommitted transaction again, in the chunk size that applies now. */
+  requeue(chunk: DirtyChunk): void {
+    const newer = this.#chunks.get(chunk.key);
+    if (chunk.range.count !== this.#rangeOf(chunk.job, chunk.range.first).count) this.#rechunk(chunk);
+    else if (newer) newer.urgent ||= chunk.urgent;
+    else this.#chunks.set(chunk.key, chunk);
   }
 
-  /** From the opening of layout 2 on, what is yet to be written goes into chunks of its size. */
-  followLayout(): void {
-    const wanted = this.#wantedTasks();
-    if (wanted === this.#tasks) return;
-    this.#tasks = wanted;
-    const old = [...this.#chunks.values()];
+  /** Re-chunks what is dirty if the layout or the value limit asks for another chunk size than before. */
+  applyLayout(): void {
+    const wanted = this.#wantedChunkTasks();
+    if (wanted === this.#chunkTasks) return;
+    this.#chunkTasks = wanted;
+    const previous = [...this.#chunks.values()];
     this.#chunks.clear();
-    for (const dirty of old) this.#rechunk(dirty);
+    for (const chunk of previous) this.#rechunk(chunk);
   }
 
   #rangeOf(job: Job, task: number): TaskRange {
-    const count = Math.min(this.#tasks, job.chunkTasks);
+    const count = Math.min(this.#chunkTasks, job.chunkTasks);
     return { first: task - (task % count), count };
   }
 
-  /** Marks all that a chunk of another size covered, in chunks of the present one. */
-  #rechunk({ job, range, since, urgent }: DirtyChunk): void {
+  /** Marks every task that a chunk of another size covered. */
+  #rechunk({ job, range, dirtyAt, urgent }: DirtyChunk): void {
     const end = Math.min(job.spec.tasks, range.first + range.count);
     for (let task = range.first; task < end; ) {
-      this.touch(job, task, urgent, since);
+      this.markDirty(job, task, urgent, dirtyAt);
       const { first, count } = this.#rangeOf(job, task);
       task = first + count;
     }
--- a/src/core/store/quarantined-keys.ts
+++ b/src/core/store/quarantined-keys.ts
@@ -1,26 +1,28 @@
 import type { Context } from "../context.js";
 
-/** What a record that the state service takes in no form waits before it is tried again, by itself. */
-const SET_ASIDE_MS = 10_000;
+/** How long a record that the store refuses by itself is left out before it is tried again. */
+const QUARANTINE_MS = 10_000;
 
-/** Keys of records that can't be written: left out for a while, so that they hold up no other. */
+/** Keys of records that the store refuses: left out of transactions for a while, so that they block no other record. */
 export class QuarantinedKeys {
   readonly #ctx: Context;
-  readonly #until = new Map<string, number>();
+  readonly #untilByKey = new Map<string, number>();
 
   constructor(ctx: Context) {
     this.#ctx = ctx;
   }
 
+  /** Quarantines a key from now on. */
   add(key: string): void {
-    this.#until.set(key, this.#ctx.now + SET_ASIDE_MS);
+    this.#untilByKey.set(key, this.#ctx.now + QUARANTINE_MS);
   }
 
+  /** True while a key is quarantined. */
   has(key: string): boolean {
-    const until = this.#until.get(key);
+    const until = this.#untilByKey.get(key);
     if (until === undefined) return false;
     if (this.#ctx.now < until) return true;
-    this.#until.delete(key);
+    this.#untilByKey.delete(key);
     return false;
   }
 }
--- a/src/core/store/record-writer.ts
+++ b/src/core/store/record-writer.ts
@@ -1,356 +1,224 @@
 import type { Context } from "../context.js";
 import type { LeaderLease } from "../election/leader-lease.js";
+import type { StoreResponse } from "../messages/store.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
 import type { Placement } from "../model/placement.js";
-import { contentOf, type DirtyChunk, DirtyChunks } from "./dirty-chunks.js";
-import { type Bucket, MachineRecords } from "./machine-records.js";
+import { BatchBuilder } from "./batch-builder.js";
+import type { MachineRecords } from "./machine-records.js";
+import { PendingWrites } from "./pending-writes.js";
 import { QuarantinedKeys } from "./quarantined-keys.js";
-import {
-  type ChunkRecord,
-  chunkTasks,
-  type FinalRecord,
-  KEYS,
-  type MigrationRecord,
-  NO_MIGRATION,
-  toRanges,
-} from "./records.js";
-import { type Batch, emptyBatch, itemsOf, WriteBudget } from "./write-batch.js";
+import { KEYS, type MigrationRecord } from "./records.js";
+import { jobsWithChangedKey, rereadVersions, staleVersions } from "./stale-versions.js";
+import { type Batch, countSeparableRecords } from "./write-batch.js";
+import { WriteBudget } from "./write-budget.js";
 
-const CALL_MS = 1500;
-const RETRY_MS = 200;
-/** Done marks wait this long for other writes to ride along with. */
-const LAZY_MS = 3000;
-/** Then they are as pressing as any other write: until they are on record ended attempts can't be cleared. */
-const LAZY_MAX_MS = 8000;
-/** What part of a transaction is kept for jobs that are over: users wait to be told. */
-const FINALS_PART = 3;
-const TXN_BYTES = 48 * 1024;
-/** With fewer changes than this in one transaction, jobs that are over would wait for ever behind starts. */
-const LEAST_ROOM = 6;
+const TRANSACTION_TIMEOUT_MS = 1500;
+const RETRY_DELAY_MS = 200;
+/**
+ * A transaction waits until the write budget allows this many changes, or as many as are pending: with fewer, starts
+ * would take all of each transaction, and final records would starve.
+ */
+const MIN_TRANSACTION_CHANGES = 6;
 
+/** What the record writer tells the leader's term, and asks of it. */
 export interface RecordWriterEvents {
-  /** These placements are now on record; they may be started. */
+  /** These placements are now on record; they may be started (I2). */
   onPlacementsRecorded(placements: readonly Placement[]): void;
-  /** The job's key has changed under us: it was cancelled, or is gone. */
+  /** The job's key has changed: the job was cancelled, or its key is deleted. Nothing more is written of it until queued again. */
   onJobKeyChanged(job: Job): void;
+  /** The job's final record is written. */
   onJobFinished(job: Job): void;
-  onLeadershipLost(why: string): void;
-  /** The state service takes no records of this size: its limits have fallen. */
+  /** A transaction failed on the leader key: another leader has been elected. */
+  onLeadershipLost(reason: string): void;
+  /** The store refused a transaction as invalid: its limits may have fallen. */
   onRecordTooLarge(): void;
   /** The layout in which placements are recorded (see `chunkTasks`). */
   layout(): number;
 }
 
 /**
- * Writes the leader's records, one transaction at a time, each conditioned on the leadership and on
- * the versions last seen. An unanswered transaction is simply tried again with the same conditions: if the first
- * was executed after all, the conditions fail and the versions are read anew.
+ * Write-behind of the leader's records, one transaction at a time, each conditioned on the leader key and on the versions
+ * last seen of what it replaces (I5). A transaction without a response is sent again on the same conditions: if the first
+ * one was executed after all, they fail, and the versions are read again.
  */
 export class RecordWriter {
+  /** Set when the leader's term ends: nothing is sent any more, and responses are ignored. */
+  isStopped = false;
   readonly #ctx: Context;
-  readonly #term: LeaderLease;
-  readonly #tables: ClusterState;
+  readonly #lease: LeaderLease;
   readonly #events: RecordWriterEvents;
-  readonly #chunks: DirtyChunks;
-  /** So many records are written one by one, after a transaction that was refused for what is in it. */
-  #oneByOne = 0;
-  readonly #setAside: QuarantinedKeys;
-  readonly #finals = new Set<Job>();
-  readonly #gone = new Set<string>();
-  readonly machineRecords: MachineRecords;
-  #move: { value: MigrationRecord | null; then: () => void } | null = null;
-  #moveVersion: number;
+  readonly #pending: PendingWrites;
+  readonly #quarantinedKeys: QuarantinedKeys;
+  readonly #budget: WriteBudget;
+  /** How many records are still to be written in transactions of their own, after a refused transaction. */
+  #singleRecordsLeft = 0;
+  /** True from sending a transaction until its outcome has been dealt with. */
   #busy = false;
   #retryAt = 0;
-  readonly #allowance: WriteBudget;
-  isStopped = false;
 
   constructor(
     ctx: Context,
-    term: LeaderLease,
-    tables: ClusterState,
-    moveVersion: number,
+    lease: LeaderLease,
+    cluster: ClusterState,
+    migrationVersion: number,
     events: RecordWriterEvents,
   ) {
-    this.#moveVersion = moveVersion;
     this.#ctx = ctx;
-    this.#term = term;
-    this.#tables = tables;
+    this.#lease = lease;
     this.#events = events;
-    this.machineRecords = new MachineRecords(tables, () => ctx.limits.valueBytes);
-    this.#chunks = new DirtyChunks(() => chunkTasks(events.layout(), ctx.limits.valueBytes));
-    this.#allowance = new WriteBudget(ctx);
-    this.#setAside = new QuarantinedKeys(ctx);
+    this.#pending = new PendingWrites(cluster, ctx.limits, migrationVersion, () => events.layout());
+    this.#budget = new WriteBudget(ctx);
+    this.#quarantinedKeys = new QuarantinedKeys(ctx);
   }
 
+  /** How many placement chunks and final records wait to be written. */
   get backlog(): number {
-    return this.#chunks.size + this.#finals.size;
+    return this.#pending.backlog;
+  }
+
+  /** Which record lists which machine. */
+  get machineRecords(): MachineRecords {
+    return this.#pending.machineRecords;
   }
 
+  /** Queues the record of a task's placement and done mark; one that is not urgent is deferred by some seconds. */
   markDirty(job: Job, task: number, urgent: boolean): void {
-    this.#chunks.touch(job, task, urgent, this.#ctx.now);
+    this.#pending.chunks.markDirty(job, task, urgent, this.#ctx.now);
   }
 
-  /** True while something about this task is not yet on record. */
+  /** True while something about this task is not on record, writes in flight included (I6). */
   isDirty(job: Job, task: number): boolean {
-    return this.#chunks.isDirty(job, task);
+    return this.#pending.chunks.isDirty(job, task);
   }
 
+  /** Queues the final record of a job of which no placement is active; it replaces the job's key (I3, I8). */
   queueFinalRecord(job: Job): void {
-    this.#finals.add(job);
+    this.#pending.finalJobs.add(job);
   }
 
-  /** Removes what an earlier leader left behind. */
+  /** Queues the deletion of a key that an earlier leader left behind and that is never written again. */
   queueDeletion(key: string): void {
-    this.#gone.add(key);
+    this.#pending.deletions.add(key);
   }
 
-  writeMigration(value: MigrationRecord | null, then: () => void): void {
-    this.#move = { value, then };
+  /** Queues the migration record, or null for none, in place of one still queued. Calls back once it is committed. */
+  writeMigration(value: MigrationRecord | null, onCommitted: () => void): void {
+    this.#pending.migration = { value, onCommitted };
   }
 
+  /** Sends the next transaction, if none is in flight, something is due and the write budget allows it. */
   flush(): void {
-    const ctx = this.#ctx;
-    if (this.isStopped || this.#busy || ctx.now < this.#retryAt || ctx.now >= this.#term.validUntil) return;
-    this.#chunks.followLayout();
-    const room = Math.min(ctx.limits.txnOps, this.#allowance.available());
-    // Short of writes, transactions wait until there are enough for all that has to share them.
-    if (room < Math.min(LEAST_ROOM, ctx.limits.txnOps, this.backlog)) return;
-    if (room < 1) return;
-    const batch = this.#build(room);
-    if (batch.changes.length === 0) return;
-    this.#allowance.spend(batch.changes.length);
-    this.#busy = true;
-    const { conditions, changes } = batch;
-    this.#chunks.writing = batch.chunks;
-    const askedAt = ctx.now;
-    ctx.callStore({ kind: "transaction", conditions, changes }, CALL_MS, (answer) => {
-      if (this.isStopped) return;
-      if (answer.kind !== "ok") this.#putBack(batch);
-      this.#chunks.writing = [];
-      switch (answer.kind) {
-        case "ok":
-          this.#busy = false;
-          if (this.#oneByOne > 0) this.#oneByOne--;
-          this.#succeeded(batch, answer.revision, askedAt);
-          this.flush();
-          break;
-        case "conflict":
-          this.#conflicted(batch, answer.failed);
-          break;
-        case "invalid":
-          this.#busy = false;
-          this.#refused(batch, answer.reason);
-          break;
-        default:
-          this.#busy = false;
-          this.#retryAt = ctx.now + RETRY_MS;
-      }
-    });
-  }
-
-  #build(room: number): Batch {
-    const batch = emptyBatch({ key: KEYS.leader, version: this.#term.leaderKeyVersion });
-    if (this.#move) {
-      batch.move = this.#move;
-      this.#move = null;
-      const { value } = batch.move;
-      batch.conditions.push({ key: KEYS.move, version: this.#moveVersion });
-      // Never removed: a key that is gone has version 0 again, and a late copy of an older record would pass.
-      batch.changes.push({ put: KEYS.move, value: value ?? NO_MIGRATION });
-    }
-    // Starts first, with room left for what users wait to be told, then done marks whose time has come. Done marks
-    // used to ride along with any start: at the grown sizes they took the writes that starts were waiting for.
+    if (!this.#maySend()) return;
+    this.#pending.chunks.applyLayout();
+    const maxChanges = this.#allowedChanges();
+    if (maxChanges < 1) return;
+    const batch = new BatchBuilder({
+      ctx: this.#ctx,
+      leaderKeyVersion: this.#lease.leaderKeyVersion,
+      pending: this.#pending,
+      quarantinedKeys: this.#quarantinedKeys,
+      maxChanges,
+      singleRecord: this.#singleRecordsLeft > 0,
+    }).build();
+    if (batch.changes.length > 0) this.#send(batch);
+  }
+
+  #maySend(): boolean {
     const { now } = this.#ctx;
-    const urgent: DirtyChunk[] = [];
-    const lazy: DirtyChunk[] = [];
-    for (const dirty of this.#chunks.values()) {
-      if (this.#setAside.has(dirty.key)) continue;
-      if (dirty.urgent || now - dirty.since >= LAZY_MAX_MS) urgent.push(dirty);
-      else if (now - dirty.since >= LAZY_MS) lazy.push(dirty);
-    }
-    urgent.sort((a, b) => b.job.effectivePriority - a.job.effectivePriority || a.since - b.since);
-    const jobs = new Set<Job>();
-    const forFinals = Math.min(this.#finals.size * 2, Math.ceil(room / FINALS_PART));
-    for (const dirty of urgent) {
-      if (this.#isFull(batch) || !this.#addChunk(batch, dirty, room - forFinals, jobs)) break;
-    }
-    for (const job of this.#finalsInOrder()) {
-      if (batch.changes.length + 2 > room || this.#isFull(batch)) break;
-      if (!jobs.has(job)) this.#addFinal(batch, job);
-    }
-    for (const dirty of lazy) {
-      if (this.#isFull(batch)) break;
-      if (this.#chunks.has(dirty.key) && !this.#addChunk(batch, dirty, room, jobs)) break;
-    }
-    for (const key of this.#gone) {
-      if (batch.changes.length >= room || this.#isFull(batch)) break;
-      batch.changes.push({ remove: key });
-      batch.removed.push(key);
-      this.#gone.delete(key);
-    }
-    // Machines that are gone are struck off when there is something else to write.
-    if (batch.changes.length > 0 && this.#oneByOne === 0) {
-      for (const bucket of this.machineRecords.changed()) {
-        if (batch.changes.length >= room || this.#isFull(batch)) break;
-        if (!batch.buckets.includes(bucket)) this.#addBucket(batch, bucket);
-      }
-    }
-    return batch;
+    return !this.isStopped && !this.#busy && now >= this.#retryAt && now < this.#lease.validUntil;
   }
 
-  #isFull(batch: Batch): boolean {
-    return batch.bytes > TXN_BYTES || (this.#oneByOne > 0 && itemsOf(batch) > 0);
+  /** The most changes of a transaction now; 0 while the write budget is too small for one. */
+  #allowedChanges(): number {
+    const { txnOps } = this.#ctx.limits;
+    const changes = Math.min(txnOps, this.#budget.available());
+    return changes < Math.min(MIN_TRANSACTION_CHANGES, txnOps, this.backlog) ? 0 : changes;
   }
 
-  /** Jobs that others wait for come first: the next of a pipeline starts once this one is on record as done. */
-  #finalsInOrder(): Job[] {
-    const finals = [...this.#finals].filter((job) => !this.#setAside.has(KEYS.job(job.uid)));
-    return finals.sort((a, b) => Number(b.dependentCount > 0) - Number(a.dependentCount > 0));
+  #send(batch: Batch): void {
+    const { conditions, changes } = batch;
+    this.#budget.spend(changes.length);
+    this.#busy = true;
+    this.#pending.chunks.inFlight = batch.chunks;
+    const requestedAt = this.#ctx.now;
+    this.#ctx.callStore({ kind: "transaction", conditions, changes }, TRANSACTION_TIMEOUT_MS, (response) => {
+      if (!this.isStopped) this.#onResponse(batch, response, requestedAt);
+    });
   }
 
-  #addChunk(batch: Batch, dirty: DirtyChunk, room: number, jobs: Set<Job>): boolean {
-    const { job, key, range } = dirty;
-    const { held, done, placements } = contentOf(job, range);
-    const buckets = new Set<Bucket>();
-    for (const { machine } of placements)
-      for (const bucket of this.machineRecords.toWrite(machine))
-        if (!batch.buckets.includes(bucket)) buckets.add(bucket);
-    // Where they don't all fit beside it, the machines are on record first.
-    for (const bucket of buckets) if (batch.changes.length < room) this.#addBucket(batch, bucket);
-    if (batch.changes.length + 1 > room) return false;
-    this.#chunks.delete(key);
-    // What another size of chunk has left empty needs no record.
-    if (held.length === 0 && done.length === 0 && job.chunkVersions.size === 0) return true;
-    const value: ChunkRecord = { held, done: toRanges(done) };
-    const starts = placements.some((placement) => !placement.isRecorded);
-    // A start depends on the job not having been cancelled since.
-    if (starts && !jobs.has(job)) {
-      jobs.add(job);
-      batch.conditions.push({ key: KEYS.job(job.uid), version: job.version });
+  #onResponse(batch: Batch, response: StoreResponse, requestedAt: number): void {
+    // Queued again before the in-flight marks go: no dirty task may look recorded in between (I6).
+    if (response.kind !== "ok") this.#pending.requeue(batch);
+    this.#pending.chunks.inFlight = [];
+    if (response.kind === "conflict") {
+      this.#onConflict(batch, response.failed);
+      return;
+    }
+    this.#busy = false;
+    if (response.kind === "ok") {
+      if (this.#singleRecordsLeft > 0) this.#singleRecordsLeft--;
+      this.#onCommitted(batch, response.revision, requestedAt);
+      this.flush();
+    } else if (response.kind === "invalid") {
+      this.#onInvalid(batch, response.reason);
+    } else {
+      this.#retryAt = this.#ctx.now + RETRY_DELAY_MS;
     }
-    batch.conditions.push({ key, version: job.chunkVersions.get(key) ?? 0 });
-    batch.changes.push({ put: key, value });
-    job.chunkTasks = Math.min(job.chunkTasks, range.count);
-    batch.chunks.push(dirty);
-    batch.placements.push(...placements);
-    batch.bytes += 200 + held.length * 48;
-    return true;
-  }
-
-  #addBucket(batch: Batch, bucket: Bucket): void {
-    const key = KEYS.bucket(bucket.index);
-    const value = this.machineRecords.value(bucket);
-    batch.conditions.push({ key, version: bucket.version });
-    batch.changes.push({ put: key, value });
-    batch.buckets.push(bucket);
-    batch.bytes += 100 + bucket.machines.size * 90;
-    // What is added while this is under way makes it dirty again.
-    bucket.dirty = false;
-  }
-
-  #addFinal(batch: Batch, job: Job): void {
-    this.#finals.delete(job);
-    batch.finals.push(job);
-    batch.conditions.push({ key: KEYS.job(job.uid), version: job.version });
-    batch.changes.push({ remove: KEYS.job(job.uid) });
-    const state = job.state === "cancelled" ? "cancelled" : "done";
-    job.endedAt = Math.round(this.#ctx.wallMs);
-    const value: FinalRecord = { state, tasks: job.spec.tasks, at: job.endedAt };
-    if (job.spec.shape === "service") value.service = true;
-    batch.changes.push({ put: KEYS.final(job.uid), value });
-    this.#chunks.forget(job);
-    batch.bytes += 200;
   }
 
-  #succeeded(batch: Batch, revision: number, askedAt: number): void {
+  #onCommitted(batch: Batch, revision: number, requestedAt: number): void {
     for (const { job, key } of batch.chunks) job.chunkVersions.set(key, revision);
     for (const bucket of batch.buckets) bucket.version = revision;
     for (const placement of batch.placements) {
-      // Only a start makes the transaction depend on the job's key.
-      if (!placement.isRecorded) placement.notCancelledAsOf = askedAt;
+      // Only a start conditions the transaction on the job's key, and so shows that it was not cancelled (I2).
+      if (!placement.isRecorded) placement.notCancelledAsOf = requestedAt;
       placement.isRecorded = true;
     }
-    if (batch.move) this.#moveVersion = revision;
-    batch.move?.then();
+    if (batch.migration) this.#pending.migrationVersion = revision;
+    batch.migration?.onCommitted();
     if (batch.placements.length > 0) this.#events.onPlacementsRecorded(batch.placements);
-    for (const job of batch.finals) {
-      for (const key of job.chunkVersions.keys()) this.#gone.add(key);
+    for (const job of batch.finalJobs) {
+      for (const key of job.chunkVersions.keys()) this.#pending.deletions.add(key);
       this.#events.onJobFinished(job);
     }
   }
 
-  #putBack(batch: Batch): void {
-    for (const dirty of batch.chunks) if (this.#tables.jobs.has(dirty.job.index)) this.#chunks.putBack(dirty);
-    for (const job of batch.finals) this.#finals.add(job);
-    for (const key of batch.removed) this.#gone.add(key);
-    for (const bucket of batch.buckets) bucket.dirty = true;
-    if (batch.move && !this.#move) this.#move = batch.move;
-  }
-
   /**
-   * Refused for what is in it: never repeated as it is. The records are written one by one, in the layout of the limits
-   * to come; one that is refused by itself is left out for a while, so that it holds up no other.
+   * The store refused the transaction for its content: it must not be repeated as it is. Its records are written one at a
+   * time, in the layout of the coming limits; one that is refused alone is quarantined, so that it blocks no other.
    */
-  #refused(batch: Batch, why: string): void {
+  #onInvalid(batch: Batch, reason: string): void {
     this.#events.onRecordTooLarge();
-    const items = itemsOf(batch);
-    this.#oneByOne = Math.max(this.#oneByOne, items);
-    this.#retryAt = this.#ctx.now + RETRY_MS;
-    if (items > 1) return;
-    const keys = [...batch.chunks.map(({ key }) => key), ...batch.finals.map(({ uid }) => KEYS.job(uid))];
-    for (const key of keys) this.#setAside.add(key);
-    if (batch.move && this.#move === batch.move) this.#move = null;
-    this.#ctx.log("error", "a record can't be written", { keys, why });
-  }
-
-  #conflicted(batch: Batch, failed: readonly string[]): void {
-    if (failed.includes(KEYS.leader)) {
+    const records = countSeparableRecords(batch);
+    this.#singleRecordsLeft = Math.max(this.#singleRecordsLeft, records);
+    this.#retryAt = this.#ctx.now + RETRY_DELAY_MS;
+    if (records > 1) return;
+    const keys = [...batch.chunks.map(({ key }) => key), ...batch.finalJobs.map(({ uid }) => KEYS.job(uid))];
+    for (const key of keys) this.#quarantinedKeys.add(key);
+    if (batch.migration && this.#pending.migration === batch.migration) this.#pending.migration = null;
+    this.#ctx.log("error", "a record can't be written", { keys, reason });
+  }
+
+  /** Stays busy until the versions that failed have been read again. */
+  #onConflict(batch: Batch, failedKeys: readonly string[]): void {
+    if (failedKeys.includes(KEYS.leader)) {
       this.#events.onLeadershipLost("a transaction failed on the leader key");
       return;
     }
-    // Chunks may differ because an earlier, unanswered write of ours was executed: take the new version.
-    const stale: { key: string; take: (version: number) => void }[] = [];
-    for (const { job, key } of batch.chunks) {
-      if (failed.includes(key)) stale.push({ key, take: (version) => job.chunkVersions.set(key, version) });
-    }
-    for (const bucket of batch.buckets) {
-      const key = KEYS.bucket(bucket.index);
-      const take = (version: number) => {
-        bucket.version = version;
-      };
-      if (failed.includes(key)) stale.push({ key, take });
-    }
-    const takeMove = (version: number) => {
-      this.#moveVersion = version;
-    };
-    if (failed.includes(KEYS.move)) stale.push({ key: KEYS.move, take: takeMove });
-    const jobs = new Set<Job>();
-    for (const { job } of batch.chunks) if (failed.includes(KEYS.job(job.uid))) jobs.add(job);
-    for (const job of batch.finals) if (failed.includes(KEYS.job(job.uid))) jobs.add(job);
-    let waiting = stale.length;
-    const done = () => {
-      this.#busy = false;
-      this.#retryAt = this.#ctx.now;
-      this.flush();
-    };
-    for (const job of jobs) {
-      this.#finals.delete(job);
-      for (const dirty of batch.chunks) if (dirty.job === job) this.#chunks.delete(dirty.key);
+    for (const job of jobsWithChangedKey(batch, failedKeys)) {
+      this.#pending.dropJob(job, batch);
       this.#events.onJobKeyChanged(job);
     }
-    if (waiting === 0) {
-      done();
-      return;
-    }
-    for (const { key, take } of stale) {
-      this.#ctx.callStore({ kind: "get", key }, CALL_MS, (answer) => {
-        if (this.isStopped) return;
-        if (answer.kind === "found") take(answer.entry.version);
-        else if (answer.kind === "notFound") take(0);
-        if (--waiting === 0) done();
-      });
-    }
+    rereadVersions(
+      this.#ctx,
+      staleVersions(batch, failedKeys, this.#pending),
+      () => this.isStopped,
+      () => {
+        this.#busy = false;
+        this.#retryAt = this.#ctx.now;
+        this.flush();
+      },
+    );
   }
 }
--- a/src/core/store/write-batch.ts
+++ b/src/core/store/write-batch.ts
@@ -1,4 +1,3 @@
-import type { Context } from "../context.js";
 import type { StoreChange, VersionCondition } from "../messages/store.js";
 import type { Job } from "../model/job.js";
 import type { Placement } from "../model/placement.js";
@@ -6,28 +5,41 @@
 import type { Bucket } from "./machine-records.js";
 import type { MigrationRecord } from "./records.js";
 
-/** The leader's part of the write limit; the rest is left to submissions and cancellations. */
-const SHARE = 0.8;
+/** A queued change of the one migration record; null clears it. */
+export interface MigrationWrite {
+  readonly value: MigrationRecord | null;
+  /** Called once, after the change is committed. */
+  readonly onCommitted: () => void;
+}
 
-/** What goes into one transaction, and what it is made of. */
+/**
+ * One transaction, and the records that it is made of: what is applied when it is committed, and what is queued again
+ * when it is not.
+ */
 export interface Batch {
   readonly conditions: VersionCondition[];
   readonly changes: StoreChange[];
+  /** Placement chunks written. */
   readonly chunks: DirtyChunk[];
+  /** The active placements that those chunks list. */
   readonly placements: Placement[];
+  /** Machine records written. */
   readonly buckets: Bucket[];
-  readonly finals: Job[];
-  readonly removed: string[];
-  move: { readonly value: MigrationRecord | null; readonly then: () => void } | null;
+  /** Jobs whose key is replaced by their final record. */
+  readonly finalJobs: Job[];
+  /** Keys deleted, other than those of `finalJobs`. */
+  readonly deletedKeys: string[];
+  migration: MigrationWrite | null;
+  /** Estimated encoded size. */
   bytes: number;
 }
 
-/** How many records are in it that could each be written alone. */
-export function itemsOf(batch: Batch): number {
-  return batch.chunks.length + batch.finals.length + batch.removed.length + (batch.move ? 1 : 0);
+/** How many records of a batch could each be written in a transaction of their own. */
+export function countSeparableRecords(batch: Batch): number {
+  return batch.chunks.length + batch.finalJobs.length + batch.deletedKeys.length + (batch.migration ? 1 : 0);
 }
 
-/** A transaction without changes, under the condition that this leader still leads. */
+/** A batch without changes, on the condition that this node still is the leader (I5). */
 export function emptyBatch(leadership: VersionCondition): Batch {
   return {
     conditions: [leadership],
@@ -35,34 +47,9 @@
     chunks: [],
     placements: [],
     buckets: [],
-    finals: [],
-    removed: [],
-    move: null,
+    finalJobs: [],
+    deletedKeys: [],
+    migration: null,
     bytes: 0,
   };
 }
-
-/** How many changes the leader may write at this moment: its part of the rate, with bursts of a second's worth. */
-export class WriteBudget {
-  readonly #ctx: Context;
-  #left: number;
-  #at: number;
-
-  constructor(ctx: Context) {
-    this.#ctx = ctx;
-    this.#left = ctx.limits.writeRps(ctx.now) * SHARE;
-    this.#at = ctx.now;
-  }
-
-  available(): number {
-    const { limits, now } = this.#ctx;
-    const rate = limits.writeRps(now) * SHARE;
-    this.#left = Math.min(rate, this.#left + ((now - this.#at) * rate) / 1000);
-    this.#at = now;
-    return Math.floor(this.#left);
-  }
-
-  spend(changes: number): void {
-    this.#left -= changes;
-  }
-}
--- /dev/null
+++ b/src/core/store/write-budget.ts
@@ -0,0 +1,34 @@
+import type { Context } from "../context.js";
+
+/** The leader's share of the store's write rate; submissions and cancellations, on any node, use the rest. */
+const LEADER_WRITE_SHARE = 0.8;
+
+/**
+ * Token bucket for the leader's writes: one token is one change of a transaction. It refills at the leader's share of
+ * the store's current write rate and holds at most one second's worth, which bounds bursts.
+ */
+export class WriteBudget {
+  readonly #ctx: Context;
+  #tokens: number;
+  #refilledAt: number;
+
+  constructor(ctx: Context) {
+    this.#ctx = ctx;
+    this.#tokens = ctx.limits.writeRps(ctx.now) * LEADER_WRITE_SHARE;
+    this.#refilledAt = ctx.now;
+  }
+
+  /** Refills the bucket up to the present and returns how many changes may be sent now. */
+  available(): number {
+    const { limits, now } = this.#ctx;
+    const ratePerS = limits.writeRps(now) * LEADER_WRITE_SHARE;
+    this.#tokens = Math.min(ratePerS, this.#tokens + ((now - this.#refilledAt) * ratePerS) / 1000);
+    this.#refilledAt = now;
+    return Math.floor(this.#tokens);
+  }
+
+  /** Takes the tokens of a transaction with this many changes. */
+  spend(changes: number): void {
+    this.#tokens -= changes;
+  }
+}
