--- a/src/core/store/batch-builder.ts
+++ b/src/core/store/batch-builder.ts
@@ -1,10 +1,11 @@
 import type { Context } from "../context.js";
 import type { Job } from "../model/job.js";
+import { toRanges } from "./chunk-layout.js";
 import { contentOf, type DirtyChunk } from "./dirty-chunks.js";
 import type { Bucket } from "./machine-records.js";
 import type { PendingWrites } from "./pending-writes.js";
 import type { QuarantinedKeys } from "./quarantined-keys.js";
-import { type ChunkRecord, type FinalRecord, KEYS, NO_MIGRATION, toRanges } from "./records.js";
+import { type ChunkRecord, type FinalRecord, KEYS, NO_MIGRATION } from "./records.js";
 import { type Batch, countSeparableRecords, emptyBatch } from "./write-batch.js";
 
 /** Done marks are deferred for this long, so that several share a transaction. */
@@ -17,7 +18,7 @@
 const CHANGES_PER_FINAL_RECORD = 2;
 const MAX_TRANSACTION_BYTES = 48 * 1024;
 
-/** Estimated encoded sizes, conditions included. */
+/** Estimates of what a record adds to a transaction, against `MAX_TRANSACTION_BYTES`. */
 const CHUNK_BYTES = 200;
 const CHUNK_ENTRY_BYTES = 48;
 const BUCKET_BYTES = 100;
--- a/src/core/store/dirty-chunks.ts
+++ b/src/core/store/dirty-chunks.ts
@@ -1,6 +1,7 @@
 import type { Job } from "../model/job.js";
 import type { Placement } from "../model/placement.js";
-import { KEYS, type TaskRange } from "./records.js";
+import type { TaskRange } from "./chunk-layout.js";
+import { KEYS } from "./records.js";
 
 /** Consecutive tasks of a job whose placement record is yet to be written. */
 export interface DirtyChunk {
--- a/src/core/store/pending-writes.ts
+++ b/src/core/store/pending-writes.ts
@@ -1,8 +1,8 @@
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
+import { chunkTasks } from "./chunk-layout.js";
 import { DirtyChunks } from "./dirty-chunks.js";
 import { MachineRecords } from "./machine-records.js";
-import { chunkTasks } from "./records.js";
 import type { EffectiveStoreLimits } from "./store-limits.js";
 import type { Batch, MigrationWrite } from "./write-batch.js";
 
--- a/src/core/store/record-restore.ts
+++ b/src/core/store/record-restore.ts
@@ -6,89 +6,99 @@
 import type { Machine } from "../model/machine.js";
 import type { RecordWriter } from "./record-writer.js";
 import { KEYS, readBucket } from "./records.js";
-import { readChunks, type StoredChunk } from "./stored-chunks.js";
+import { readChunks, type StoredChunk, type StoredPlacement } from "./stored-chunks.js";
 
-/** Puts what earlier leaders left on record into the tables of a new one. */
+interface MachineDetails {
+  readonly address: string;
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
+}
+
+/** Restores the cluster state of a new leader from the records of previous ones. */
 export class RecordRestore {
   readonly #ctx: Context;
-  readonly #recorder: RecordWriter;
-  readonly #pipelines: DependencyGraph;
-  readonly #tables: ClusterState;
+  readonly #cluster: ClusterState;
+  readonly #recordWriter: RecordWriter;
+  readonly #dependencies: DependencyGraph;
 
-  constructor(ctx: Context, tables: ClusterState, recorder: RecordWriter, pipelines: DependencyGraph) {
+  constructor(
+    ctx: Context,
+    cluster: ClusterState,
+    recordWriter: RecordWriter,
+    dependencies: DependencyGraph,
+  ) {
     this.#ctx = ctx;
-    this.#tables = tables;
-    this.#recorder = recorder;
-    this.#pipelines = pipelines;
+    this.#cluster = cluster;
+    this.#recordWriter = recordWriter;
+    this.#dependencies = dependencies;
   }
 
-  /** The machines of one record. One that can't be read is told of, and kept. */
-  restoreMachines(item: StoreEntry): void {
-    const { now } = this.#ctx;
-    const record = readBucket(item.value);
-    const bucket = Number(item.key.slice(KEYS.machines.length));
-    if (!record || !Number.isInteger(bucket)) {
-      this.#ctx.log("error", "a record can't be read", { key: item.key });
+  /** Restores the machines of one record. An unreadable record is logged and left in the store. */
+  restoreMachines(entry: StoreEntry): void {
+    const record = readBucket(entry.value);
+    const index = Number(entry.key.slice(KEYS.machines.length));
+    if (!record || !Number.isInteger(index)) {
+      this.#ctx.log("error", "a record can't be read", { key: entry.key });
       return;
     }
-    const listed: Machine[] = [];
-    for (const [name, address, type, zone, spot] of record.machines) {
-      const machine = this.#tables.machine(name, { address, type, zone, spot }, now);
-      if (machine.phase === "booting") machine.phase = "up";
-      listed.push(machine);
-    }
-    this.#recorder.machineRecords.inherit(bucket, listed, item.version);
+    const machines = record.machines.map(([name, address, type, zone, spot]) =>
+      this.#restoreMachine(name, { address, type, zone, spot }),
+    );
+    this.#recordWriter.machineRecords.inherit(index, machines, entry.version);
   }
 
-  /** Puts what is on record as placed into the tables; returns how much that is. */
-  restorePlacements(chunks: readonly StoreEntry[]): number {
-    const { found, unreadable } = readChunks(chunks);
+  /**
+   * Restores the placements and done marks of all chunks; the jobs must have been restored before. Returns how many
+   * placements are active. A placement on record stays active until there is proof that it has ended (I3).
+   */
+  restorePlacements(entries: readonly StoreEntry[]): number {
+    const { found, unreadable } = readChunks(entries);
     for (const { key, uid } of unreadable) {
       this.#ctx.log("error", "a record can't be read", { key });
-      const job = this.#tables.jobByUid(uid);
-      // What can't be read may be running: it is kept, and nothing of the job is started.
+      const job = this.#cluster.jobByUid(uid);
+      // The record may be of running tasks: nothing of the job may start until it is readable (I3).
       if (job) job.hasUnreadableRecord = true;
     }
-    let held = 0;
-    for (const [uid, records] of found) {
-      const job = this.#tables.jobByUid(uid);
-      // The job's final state was written while none of its tasks was left.
-      if (!job) for (const { key } of records) this.#recorder.queueDeletion(key);
-      else held += this.#restore(job, records);
+    let restored = 0;
+    for (const [uid, chunks] of found) {
+      const job = this.#cluster.jobByUid(uid);
+      // A job's key is replaced by its final record only when none of its placements is active: its chunks are obsolete.
+      if (!job) for (const { key } of chunks) this.#recordWriter.queueDeletion(key);
+      else restored += this.#restoreJob(job, chunks);
     }
-    return held;
+    return restored;
   }
 
-  #restore(job: Job, records: readonly StoredChunk[]): number {
-    let held = 0;
-    for (const { key, version, count, done, placed } of records) {
+  #restoreJob(job: Job, chunks: readonly StoredChunk[]): number {
+    let restored = 0;
+    for (const { key, version, count, done, placed } of chunks) {
       job.chunkVersions.set(key, version);
       job.chunkTasks = Math.min(job.chunkTasks, count);
       for (const task of done) job.markDone(task);
-      for (const { task, machine: name, session, attempt } of placed) {
-        if (job.isDone(task) && job.spec.shape !== "gang") continue;
-        this.#restorePlacement(job, task, name, session, attempt);
-        held++;
+      for (const placement of placed) {
+        if (job.isDone(placement.task) && job.spec.shape !== "gang") continue;
+        this.#restorePlacement(job, placement);
+        restored++;
       }
     }
-    if (held > 0 || job.doneCount > 0) this.#pipelines.onJobBegun(job);
-    return held;
+    if (restored > 0 || job.doneCount > 0) this.#dependencies.onJobBegun(job);
+    return restored;
   }
 
-  #restorePlacement(job: Job, task: number, name: string, session: number, attempt: number): void {
-    const { now } = this.#ctx;
-    const machine = this.#tables.machine(name, { address: "", type: "", zone: "", spot: false }, now);
-    if (machine.phase === "booting") machine.phase = "up";
-    this.#tables.addPlacement({
+  #restorePlacement(job: Job, { task, machine: name, incarnation, attempt }: StoredPlacement): void {
+    // A machine that no readable record lists is restored by its name alone.
+    const machine = this.#restoreMachine(name, { address: "", type: "", zone: "", spot: false });
+    this.#cluster.addPlacement({
       job,
       task,
       machine,
-      incarnation: session,
+      incarnation,
       attempt,
       priority: job.effectivePriority,
       isRecorded: true,
       notCancelledAsOf: Number.NEGATIVE_INFINITY,
-      placedAt: now,
+      placedAt: this.#ctx.now,
       observedState: null,
       startSentUnder: 0,
       startSentAt: Number.NEGATIVE_INFINITY,
@@ -96,4 +106,11 @@
       stop: null,
     });
   }
+
+  /** A machine on record has been up, if only under a previous leader. */
+  #restoreMachine(name: string, details: MachineDetails): Machine {
+    const machine = this.#cluster.machine(name, details, this.#ctx.now);
+    if (machine.phase === "booting") machine.phase = "up";
+    return machine;
+  }
 }
--- a/src/core/store/records.ts
+++ b/src/core/store/records.ts
@@ -1,15 +1,20 @@
 import * as v from "valibot";
 import type { MachineType } from "../model/deployment.js";
 import type { JobSpec } from "../model/job-spec.js";
+import { chunkKey, type TaskRange } from "./chunk-layout.js";
 import { encodedBytes } from "./store-limits.js";
 
 /**
- * The durable records and their keys. Values carry names, never indices: they outlive every process.
- *   c/…  leader, epoch, operators' settings, machine types, the pending move: followed by every node
- *   j/…  jobs that are not over, f/… jobs that are, p/… placements in chunks, m/… machines, many to a key:
- *   one by one they took a fleet's worth of writes before anything could start
- * Records are read by the version before this one during an upgrade, and its records by this one: fields are only ever
- * added, as optional ones, and none is given another meaning (docs/DESIGN.md, "Two versions at once").
+ * The keys of all durable records. Values hold names, never interned indices: they outlive every process.
+ *
+ * - `c/`: cluster configuration, watched by every node: leader, epoch, operators' settings, machine types, the migration
+ *   in progress, machine modes, features
+ * - `j/`: unfinished jobs; `f/`: finished ones
+ * - `p/`: placements, in chunks of consecutive tasks (chunk-layout.ts)
+ * - `m/`: machines, many to a record (bucket): one each would take a whole cluster's writes before anything could start
+ *
+ * During an upgrade the previous version reads these records and this version its: fields are only ever added, as
+ * optional ones, and none is given another meaning (docs/DESIGN.md, "Two versions at once").
  */
 export const KEYS = {
   config: "c/",
@@ -23,56 +28,27 @@
   jobs: "j/",
   job: (uid: string) => `j/${uid}`,
   final: (uid: string) => `f/${uid}`,
-  /** The placements of a range of a job's tasks, in the layout of its size. */
-  chunk: (uid: string, { first, count }: TaskRange) =>
-    count === MAX_TASKS_PER_CHUNK ? `p/${uid}/${first / count}` : `p/${uid}/${first}.${count}`,
+  chunk: (uid: string, range: TaskRange) => chunkKey(uid, range),
   chunks: "p/",
   machines: "m/",
   bucket: (bucket: number) => `m/${bucket}`,
 } as const;
 
-/** What a task takes of a record, with names of ordinary length. */
-const BYTES_PER_TASK = 64;
-/** The size of a chunk in layout 1, and the largest in layout 2. */
-export const MAX_TASKS_PER_CHUNK = 128;
-/** The most machines in one record. */
-export const MAX_MACHINES_PER_RECORD = 48;
-
-/** The protocol that this version speaks: 2 knows jobs that wait for others, and chunks of any size. */
+/** The protocol that this version speaks: 2 has jobs with dependencies, and chunks of any size. */
 export const PROTOCOL = 2;
 
-/** Consecutive tasks of a job, whose placements share a record. */
-export interface TaskRange {
-  readonly first: number;
-  readonly count: number;
-}
-
-/** How many tasks a chunk covers: in layout 1 always the same; from layout 2 on so many that it fits the value limit. */
-export function chunkTasks(layout: number, valueBytes: number): number {
-  if (layout < PROTOCOL) return MAX_TASKS_PER_CHUNK;
-  return Math.max(1, Math.min(MAX_TASKS_PER_CHUNK, Math.floor(valueBytes / BYTES_PER_TASK)));
-}
+/* ---- schemas, named as the keys; the order of fields is that of the stored values ---- */
 
-/** The job and the tasks that a chunk's key names. */
-export function readChunkKey(key: string): { uid: string; range: TaskRange } | null {
-  const found = /^p\/([^/]+)\/(\d+)(?:\.(\d+))?$/.exec(key);
-  if (!found) return null;
-  const [, uid = "", index = "", size] = found;
-  if (size === undefined)
-    return { uid, range: { first: Number(index) * MAX_TASKS_PER_CHUNK, count: MAX_TASKS_PER_CHUNK } };
-  const range = { first: Number(index), count: Number(size) };
-  return range.count > 0 ? { uid, range } : null;
-}
+const resources = v.object({ cpu: v.number(), gpu: v.number(), ram: v.number() });
 
-const amount = v.object({ cpu: v.number(), gpu: v.number(), ram: v.number() });
-const spec = v.object({
+const jobSpec = v.object({
   uid: v.string(),
   jobClass: v.string(),
   team: v.string(),
   shape: v.picklist(["array", "gang", "service"]),
   priority: v.picklist([0, 1, 2, 3]),
   tasks: v.number(),
-  need: amount,
+  need: resources,
   image: v.string(),
   imageGb: v.number(),
   types: v.nullable(v.array(v.string())),
@@ -87,12 +63,16 @@
   awaits: v.optional(v.array(v.string())),
 });
 
-/** "awaiting": active, and naming jobs that have to be done first. Versions that don't know these can't read it, nor start it. */
 const jobRecord = v.object({
+  /**
+   * "awaiting": active, with dependencies. Versions that know no dependencies can't read such a record, and so never
+   * start the job.
+   */
   state: v.picklist(["active", "awaiting", "cancelled"]),
   acceptedAt: v.number(),
-  spec,
+  spec: jobSpec,
 });
+
 const finalRecord = v.object({
   state: v.picklist(["done", "cancelled"]),
   tasks: v.number(),
@@ -100,28 +80,35 @@
   at: v.optional(v.number()),
   service: v.optional(v.boolean()),
 });
-const featuresRecord = v.object({ layout: v.number() });
+
 const chunkRecord = v.object({
-  /** task, machine, session, attempt */
+  /** Active placements: task, machine, incarnation, attempt. */
   held: v.array(v.tuple([v.number(), v.string(), v.number(), v.number()])),
+  /** Tasks done, as ranges of first and last. */
   done: v.array(v.tuple([v.number(), v.number()])),
 });
-/** name, address, type, zone, spot */
+
 const bucketRecord = v.object({
+  /** Name, address, type, zone, spot. */
   machines: v.array(v.tuple([v.string(), v.string(), v.string(), v.string(), v.boolean()])),
 });
+
 const leaderRecord = v.object({ node: v.string(), incarnation: v.string(), token: v.number() });
 const epochRecord = v.object({ token: v.number() });
-const moveRecord = v.object({
+const featuresRecord = v.object({ layout: v.number() });
+const modesRecord = v.record(v.string(), v.picklist(["cordon", "drain"]));
+
+const migrationRecord = v.object({
   job: v.string(),
   task: v.number(),
   from: v.string(),
   to: v.string(),
   startedAt: v.number(),
 });
+
 const machineType = v.object({
   name: v.string(),
-  size: amount,
+  size: resources,
   cacheGb: v.number(),
   fetchGbPerS: v.number(),
   price: v.number(),
@@ -129,64 +116,63 @@
   bootS: v.number(),
   zones: v.array(v.string()),
 });
-const modesRecord = v.record(v.string(), v.picklist(["cordon", "drain"]));
 
-/** What the move's key holds while none is pending. */
-export const NO_MIGRATION = {};
+/* ---- records ---- */
 
+/** An unfinished job; `acceptedAt` is wall time in milliseconds. */
 export type JobRecord = { state: "active" | "awaiting" | "cancelled"; acceptedAt: number; spec: JobSpec };
+/** The end of a job. */
 export type FinalRecord = v.InferOutput<typeof finalRecord>;
+/** The features that the feature gate has opened. */
 export type FeaturesRecord = v.InferOutput<typeof featuresRecord>;
+/** The placements and done marks of consecutive tasks of a job. */
 export type ChunkRecord = v.InferOutput<typeof chunkRecord>;
+/** Some of the machines. */
 export type BucketRecord = v.InferOutput<typeof bucketRecord>;
+/** The leader, with its process's incarnation and its fencing token at its election. */
 export type LeaderRecord = v.InferOutput<typeof leaderRecord>;
-export type MigrationRecord = v.InferOutput<typeof moveRecord>;
+/** The one replica migration in progress; `startedAt` is wall time in milliseconds. */
+export type MigrationRecord = v.InferOutput<typeof migrationRecord>;
 
-function reader<T>(schema: v.GenericSchema<unknown, T>): (value: unknown) => T | null {
+/** The value of the migration key while no migration is in progress. */
+export const NO_MIGRATION = {};
+
+/** A decoder of stored values: null for what does not match the schema; unknown fields are dropped. */
+function decoder<T>(schema: v.GenericSchema<unknown, T>): (value: unknown) => T | null {
   return (value) => {
     const result = v.safeParse(schema, value);
     return result.success ? result.output : null;
   };
 }
 
-export const readJob: (value: unknown) => JobRecord | null = reader(jobRecord);
-export const readFinal = reader(finalRecord);
-export const readChunk = reader(chunkRecord);
-export const readBucket = reader(bucketRecord);
-export const readLeader = reader(leaderRecord);
-export const readEpoch = reader(epochRecord);
-export const readMigration = reader(moveRecord);
-export const readModes = reader(modesRecord);
-export const readFeatures = reader(featuresRecord);
-export const readTypes: (value: unknown) => MachineType[] | null = reader(v.array(machineType));
-
+export const readJob: (value: unknown) => JobRecord | null = decoder(jobRecord);
+export const readFinal = decoder(finalRecord);
+export const readChunk = decoder(chunkRecord);
+export const readBucket = decoder(bucketRecord);
+export const readLeader = decoder(leaderRecord);
+export const readEpoch = decoder(epochRecord);
+export const readMigration = decoder(migrationRecord);
+export const readModes = decoder(modesRecord);
+export const readFeatures = decoder(featuresRecord);
+export const readTypes: (value: unknown) => MachineType[] | null = decoder(v.array(machineType));
+
+/** The record of a job accepted at this wall time. */
 export function newJobRecord(spec: JobSpec, acceptedAt: number): JobRecord {
   return { state: spec.awaits ? "awaiting" : "active", acceptedAt, spec };
 }
 
 /**
- * The record of a cancelled job. One that was stored under a larger limit loses what says where it may run: nothing of
- * it starts any more.
+ * The record of a cancelled job. If it exceeds the value limit, as it may where it was stored under a larger one, the
+ * fields that say where the job may run are blanked: nothing of it starts any more.
  */
 export function cancelledRecord({ acceptedAt, spec }: JobRecord, valueBytes: number): JobRecord {
-  const whole: JobRecord = { state: "cancelled", acceptedAt, spec };
-  if (encodedBytes(whole) <= valueBytes) return whole;
+  const record: JobRecord = { state: "cancelled", acceptedAt, spec };
+  if (encodedBytes(record) <= valueBytes) return record;
   const { awaits: _, ...rest } = spec;
-  return { ...whole, spec: { ...rest, types: null, zone: null, image: "", jobClass: "" } };
+  return { ...record, spec: { ...rest, types: null, zone: null, image: "", jobClass: "" } };
 }
 
-/** True if a job's record fits, also once it is cancelled. */
+/** True if a job's record fits the value limit in its longest state, which is cancelled. */
 export function fitsRecord(spec: JobSpec, acceptedAt: number, valueBytes: number): boolean {
   return encodedBytes({ state: "cancelled", acceptedAt, spec } satisfies JobRecord) <= valueBytes;
 }
-
-/** Turns task numbers, ascending, into ranges [first, last]. */
-export function toRanges(tasks: Iterable<number>): [number, number][] {
-  const ranges: [number, number][] = [];
-  for (const task of tasks) {
-    const last = ranges[ranges.length - 1];
-    if (last && last[1] === task - 1) last[1] = task;
-    else ranges.push([task, task]);
-  }
-  return ranges;
-}
