--- a/src/core/store/job-watch.ts
+++ b/src/core/store/job-watch.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
 import type { Election } from "../election/election.js";
 import type { StoreEntry, StoreResponse } from "../messages/store.js";
-import { type LoadedRecords, RecordReader, type RecordSource, type StoredRecords } from "./record-reader.js";
+import { RecordReader, type RecordSource, type StoredRecords } from "./record-reader.js";
 import { KEYS } from "./records.js";
 
 const RETRY_DELAY_MS = 300;
@@ -59,11 +59,11 @@
     chooseSource: (fullRead: RecordSource) => RecordSource,
     onLoaded: (records: StoredRecords) => void,
   ): void {
-    chooseSource(this.#reader).load(({ records, revision, askedAt }: LoadedRecords) => {
+    chooseSource(this.#reader).load((loaded) => {
       if (this.#isStopped) return;
-      this.#revision = revision;
-      onLoaded(records);
-      this.cancellationsKnownThrough = askedAt;
+      this.#revision = loaded.revision;
+      onLoaded(loaded.records);
+      this.cancellationsKnownThrough = loaded.askedAt;
       this.#isLoaded = true;
     });
   }
--- a/src/core/store/machine-types-record.ts
+++ b/src/core/store/machine-types-record.ts
@@ -26,11 +26,11 @@
    */
   write(types: readonly MachineType[]): void {
     if (this.#isWriting || validationFacts(types) === validationFacts(this.#config.machineTypes)) return;
-    const { valueBytes } = this.#ctx.limits;
-    if (encodedBytes(types) > valueBytes) {
+    const maxBytes = this.#ctx.limits.valueBytes;
+    if (encodedBytes(types) > maxBytes) {
       this.#ctx.log("error", "machine types exceed the value limit of the store", {
         types: types.length,
-        limit_bytes: valueBytes,
+        limit_bytes: maxBytes,
       });
       return;
     }
--- a/src/core/store/record-reader.ts
+++ b/src/core/store/record-reader.ts
@@ -64,8 +64,8 @@
   load(onLoaded: (loaded: LoadedRecords) => void): void {
     this.readAll(KEYS.machines, (machines) => {
       this.readAll(KEYS.chunks, (chunks) => {
-        this.readAll(KEYS.jobs, (jobs, revision, requestedAt) => {
-          onLoaded({ records: { machines, chunks, jobs }, revision, askedAt: requestedAt });
+        this.readAll(KEYS.jobs, (jobs, revision, firstRequestedAt) => {
+          onLoaded({ records: { machines, chunks, jobs }, revision, askedAt: firstRequestedAt });
         });
       });
     });
--- a/src/core/store/record-restore.ts
+++ b/src/core/store/record-restore.ts
@@ -53,15 +53,15 @@
    * placements are active. A placement on record stays active until there is proof that it has ended (I3).
    */
   restorePlacements(entries: readonly StoreEntry[]): number {
-    const { found, unreadable } = readChunks(entries);
-    for (const { key, uid } of unreadable) {
+    const stored = readChunks(entries);
+    for (const { key, uid } of stored.unreadable) {
       this.#ctx.log("error", "a record can't be read", { key });
       const job = this.#cluster.jobByUid(uid);
       // The record may be of running tasks: nothing of the job may start until it is readable (I3).
       if (job) job.hasUnreadableRecord = true;
     }
     let restored = 0;
-    for (const [uid, chunks] of found) {
+    for (const [uid, chunks] of stored.found) {
       const job = this.#cluster.jobByUid(uid);
       // A job's key is replaced by its final record only when none of its placements is active: its chunks are obsolete.
       if (!job) for (const { key } of chunks) this.#recordWriter.queueDeletion(key);
@@ -72,11 +72,11 @@
 
   #restoreJob(job: Job, chunks: readonly StoredChunk[]): number {
     let restored = 0;
-    for (const { key, version, count, done, placed } of chunks) {
-      job.chunkVersions.set(key, version);
-      job.chunkTasks = Math.min(job.chunkTasks, count);
-      for (const task of done) job.markDone(task);
-      for (const placement of placed) {
+    for (const chunk of chunks) {
+      job.chunkVersions.set(chunk.key, chunk.version);
+      job.chunkTasks = Math.min(job.chunkTasks, chunk.count);
+      for (const task of chunk.done) job.markDone(task);
+      for (const placement of chunk.placed) {
         if (job.isDone(placement.task) && job.spec.shape !== "gang") continue;
         this.#restorePlacement(job, placement);
         restored++;
--- a/src/core/store/record-writer.ts
+++ b/src/core/store/record-writer.ts
@@ -131,9 +131,9 @@
 
   /** The most changes of a transaction now; 0 while the write budget is too small for one. */
   #allowedChanges(): number {
-    const { txnOps } = this.#ctx.limits;
-    const changes = Math.min(txnOps, this.#budget.available());
-    return changes < Math.min(MIN_TRANSACTION_CHANGES, txnOps, this.backlog) ? 0 : changes;
+    const maxChanges = this.#ctx.limits.txnOps;
+    const changes = Math.min(maxChanges, this.#budget.available());
+    return changes < Math.min(MIN_TRANSACTION_CHANGES, maxChanges, this.backlog) ? 0 : changes;
   }
 
   #send(batch: Batch): void {
--- a/src/core/store/stored-chunks.ts
+++ b/src/core/store/stored-chunks.ts
@@ -65,18 +65,18 @@
  */
 export function readChunks(entries: readonly StoreEntry[]): StoredChunks {
   const { parsed, unreadable } = parseAll(entries);
-  const found = new Map<string, StoredChunk[]>();
+  const chunksByJob = new Map<string, StoredChunk[]>();
   const coverageByJob = new Map<string, Coverage>();
   for (const chunk of parsed.sort(byPrecedence)) {
     const { uid } = chunk;
     const coverage = coverageByJob.get(uid) ?? new Coverage();
     coverageByJob.set(uid, coverage);
     const stored = effectiveChunk(chunk, coverage);
-    const chunks = found.get(uid);
+    const chunks = chunksByJob.get(uid);
     if (chunks) chunks.push(stored);
-    else found.set(uid, [stored]);
+    else chunksByJob.set(uid, [stored]);
   }
-  return { found, unreadable };
+  return { found: chunksByJob, unreadable };
 }
 
 function parseAll(entries: readonly StoreEntry[]): {
@@ -106,8 +106,8 @@
   const done: number[] = [];
   for (const [first, last] of record.done)
     for (let task = first; task <= last; task++) if (isEffective(task)) done.push(task);
-  const placed = record.held
+  const effectivePlacements = record.held
     .map(([task, machine, incarnation, attempt]) => ({ task, machine, incarnation, attempt }))
     .filter(({ task }) => isEffective(task));
-  return { key, version, count: range.count, done, placed };
+  return { key, version, count: range.count, done, placed: effectivePlacements };
 }
