--- a/src/core/agents/command-planner.ts
+++ b/src/core/agents/command-planner.ts
@@ -1,123 +1,156 @@
 import type { Context } from "../context.js";
 import type { Election } from "../election/election.js";
 import type { LeaderLease } from "../election/leader-lease.js";
-import type { AgentCommand, Heartbeat } from "../messages/agents.js";
+import type { AgentCommand, Heartbeat, ReportedTask } from "../messages/agents.js";
 import { fencingTokenOf } from "../model/attempt-number.js";
 import type { ClusterState } from "../model/cluster-state.js";
+import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import type { RecordWriter } from "../store/record-writer.js";
 
-const RESEND_MS = 1000;
-/** Starts are sent on knowledge of the job's key no older than this: a few rounds of following it. */
-const ALLOWED_MS = 6000;
+/** A command that shows no effect is sent again after this. */
+const RESEND_INTERVAL_MS = 1000;
+/** I2: starts rest on knowledge of their job's cancellation no older than this, a few rounds of the job watch. */
+const CANCELLATION_KNOWLEDGE_MAX_AGE_MS = 6000;
 
-/** Works out what a worker is to be told: what to start, what to stop, which ended attempts to forget. */
+/** What the planner works with. */
+export interface CommandPlannerDependencies {
+  readonly ctx: Context;
+  readonly election: Election;
+  readonly lease: LeaderLease;
+  readonly cluster: ClusterState;
+  readonly recordWriter: RecordWriter;
+  /** The start of a placement can no longer be sent under the fencing token of its attempt: it has to be removed. */
+  onStartAbandoned(placement: Placement): void;
+}
+
+/** Decides what an agent is to do: which tasks to start and to stop, which ended attempts it need no longer report. */
 export class CommandPlanner {
   readonly #ctx: Context;
-  readonly #leadership: Election;
-  readonly #term: LeaderLease;
-  readonly #tables: ClusterState;
-  readonly #recorder: RecordWriter;
-  /** Takes back a placement whose start can no longer be sent under the token of its attempt. */
-  readonly #startAnew: (placement: Placement) => void;
+  readonly #election: Election;
+  readonly #lease: LeaderLease;
+  readonly #cluster: ClusterState;
+  readonly #recordWriter: RecordWriter;
+  readonly #onStartAbandoned: (placement: Placement) => void;
 
-  constructor(
-    ctx: Context,
-    leadership: Election,
-    term: LeaderLease,
-    tables: ClusterState,
-    recorder: RecordWriter,
-    startAnew: (placement: Placement) => void,
-  ) {
-    this.#ctx = ctx;
-    this.#leadership = leadership;
-    this.#term = term;
-    this.#tables = tables;
-    this.#recorder = recorder;
-    this.#startAnew = startAnew;
+  constructor(dependencies: CommandPlannerDependencies) {
+    this.#ctx = dependencies.ctx;
+    this.#election = dependencies.election;
+    this.#lease = dependencies.lease;
+    this.#cluster = dependencies.cluster;
+    this.#recordWriter = dependencies.recordWriter;
+    this.#onStartAbandoned = (placement) => dependencies.onStartAbandoned(placement);
   }
 
-  /** The orders a report is answered with; also what a direct command carries. */
+  /**
+   * The commands that are due for a machine, in a heartbeat's reply or in a batch sent directly. They count as sent:
+   * until the resend interval is over they are not returned again.
+   */
   commandsFor(machine: Machine): AgentCommand[] {
-    const orders: AgentCommand[] = [];
-    const { now } = this.#ctx;
-    const { heartbeat: report } = machine;
-    const starting = this.#leadership.hasValidLease;
-    const { fencingToken: token } = this.#term;
+    const commands: AgentCommand[] = [];
+    const { heartbeat } = machine;
+    const canStart = this.#election.hasValidLease;
     for (const placement of machine.placements) {
       if (!placement.isRecorded || placement.incarnation !== machine.incarnation) continue;
-      const { job, task, attempt } = placement;
-      const unseen = placement.observedState === null;
-      if (unseen && placement.startSentUnder === 0 && this.#isStale(placement)) {
-        // Recorded under a token that was raised before its start was ever sent: begin anew.
-        this.#recorder.markDirty(job, task, false);
-        this.#startAnew(placement);
-        continue;
-      }
-      // A start is only ever sent under the token its attempt carries: what clearing relies on.
-      if (unseen && (fencingTokenOf(attempt) !== token || !starting)) continue;
-      if (unseen && !placement.stop && !this.#stillAllowed(placement)) continue;
-      if (unseen && now - placement.startSentAt >= (placement.stop ? 0 : RESEND_MS)) {
-        placement.startSentAt = now;
-        placement.startSentUnder = token;
-        orders.push({ kind: "start", job: job.index, task, attempt });
-      }
-      const { stop } = placement;
-      if (
-        stop &&
-        now - stop.sentAt >= RESEND_MS &&
-        !(placement.observedState === "saving" && stop.graceS > 0)
-      ) {
-        stop.sentAt = now;
-        orders.push({ kind: "stop", job: job.index, task, attempt, graceS: stop.graceS });
+      if (placement.observedState === null) {
+        if (this.#isAbandoned(placement)) {
+          this.#abandonStart(placement);
+          continue;
+        }
+        if (!canStart || !this.#maySendStart(placement)) continue;
+        this.#planStart(placement, commands);
       }
+      this.#planStop(placement, commands);
     }
-    if (report && report.incarnation === machine.incarnation) this.#tidy(machine, report, orders);
-    return orders;
+    if (heartbeat && heartbeat.incarnation === machine.incarnation)
+      this.#planForUnknownTasks(machine, heartbeat, commands);
+    return commands;
+  }
+
+  /** True for a placement of this term whose fencing token was advanced before its start was ever sent. */
+  #isAbandoned({ startSentUnder, attempt }: Placement): boolean {
+    if (startSentUnder !== 0) return false;
+    const fencingToken = fencingTokenOf(attempt);
+    return fencingToken >= this.#lease.firstFencingToken && fencingToken < this.#lease.fencingToken;
+  }
+
+  #abandonStart(placement: Placement): void {
+    this.#recordWriter.markDirty(placement.job, placement.task, false);
+    this.#onStartAbandoned(placement);
   }
 
-  /** A start, or its repeat, rests on recent knowledge that its job is not cancelled. */
-  #stillAllowed({ notCancelledAsOf: allowedAt }: Placement): boolean {
-    return this.#ctx.now - Math.max(allowedAt, this.#leadership.cancellationsKnownThrough) < ALLOWED_MS;
+  /**
+   * A start is only ever sent under the fencing token that its attempt carries: acknowledging ended attempts relies on
+   * it. A start, or its repeat, also rests on recent knowledge that its job is not cancelled (I2), unless the task is
+   * being stopped anyway.
+   */
+  #maySendStart(placement: Placement): boolean {
+    if (fencingTokenOf(placement.attempt) !== this.#lease.fencingToken) return false;
+    return placement.stop !== null || this.#isKnownNotCancelled(placement);
   }
 
-  #isStale({ attempt }: Placement): boolean {
-    return (
-      fencingTokenOf(attempt) >= this.#term.firstFencingToken &&
-      fencingTokenOf(attempt) < this.#term.fencingToken
-    );
+  #isKnownNotCancelled({ notCancelledAsOf }: Placement): boolean {
+    const knownAt = Math.max(notCancelledAsOf, this.#election.cancellationsKnownThrough);
+    return this.#ctx.now - knownAt < CANCELLATION_KNOWLEDGE_MAX_AGE_MS;
   }
 
-  /** Starts under way that a raised token would cut off. */
+  #planStart(placement: Placement, commands: AgentCommand[]): void {
+    const { now } = this.#ctx;
+    const { job, task, attempt } = placement;
+    // A stop is sent behind the start, so that the attempt exists, ended, and a late copy of the start has no effect.
+    const resendIntervalMs = placement.stop ? 0 : RESEND_INTERVAL_MS;
+    if (now - placement.startSentAt < resendIntervalMs) return;
+    placement.startSentAt = now;
+    placement.startSentUnder = this.#lease.fencingToken;
+    commands.push({ kind: "start", job: job.index, task, attempt });
+  }
+
+  #planStop({ job, task, attempt, stop, observedState }: Placement, commands: AgentCommand[]): void {
+    if (!stop || this.#ctx.now - stop.sentAt < RESEND_INTERVAL_MS) return;
+    const isWritingCheckpoint = observedState === "saving" && stop.graceS > 0;
+    if (isWritingCheckpoint) return;
+    stop.sentAt = this.#ctx.now;
+    commands.push({ kind: "stop", job: job.index, task, attempt, graceS: stop.graceS });
+  }
+
+  /** True while starts are under way that agents would refuse if this leader advanced its fencing token. */
   hasStartsInFlight(): boolean {
-    for (const machine of this.#tables.machines.values()) {
+    for (const machine of this.#cluster.machines.values()) {
       if (machine.isLeaseExpired || machine.phase !== "up") continue;
-      for (const p of machine.placements)
-        if (p.observedState === null && fencingTokenOf(p.attempt) === this.#term.fencingToken) return true;
+      for (const { observedState, attempt } of machine.placements)
+        if (observedState === null && fencingTokenOf(attempt) === this.#lease.fencingToken) return true;
     }
     return false;
   }
 
-  /** Strays are stopped; ended attempts are cleared once no start for them can still arrive. */
-  #tidy(machine: Machine, report: Heartbeat, orders: AgentCommand[]): void {
-    for (const entry of report.tasks) {
-      const job = this.#tables.jobs.get(entry.job);
-      const placement = job?.placements.get(entry.task);
-      const ours = placement?.machine === machine && placement.attempt === entry.attempt;
-      // What runs of a job whose record can't be read is ours for all we know.
-      if (ours || (job?.hasUnreadableRecord && job.state === "active")) continue;
-      const { job: ix, task, attempt } = entry;
-      if (entry.state !== "ended") {
-        orders.push({ kind: "stop", job: ix, task, attempt, graceS: 0 });
-      } else if (
-        fencingTokenOf(attempt) < machine.fencingToken &&
-        machine.fencingToken === this.#term.fencingToken &&
-        !(job && this.#recorder.isDirty(job, task))
-      ) {
-        // Repeats of starts that were carried out may arrive late; this worker refuses them by their token.
-        orders.push({ kind: "acknowledge", job: ix, task, attempt });
+  /** Reported tasks without a placement here are stopped; ended attempts are acknowledged once that is safe. */
+  #planForUnknownTasks(machine: Machine, heartbeat: Heartbeat, commands: AgentCommand[]): void {
+    for (const reported of heartbeat.tasks) {
+      const { job: jobIndex, task, attempt, state } = reported;
+      const job = this.#cluster.jobs.get(jobIndex);
+      if (job && mayBelongHere(machine, job, reported)) continue;
+      if (state !== "ended") {
+        commands.push({ kind: "stop", job: jobIndex, task, attempt, graceS: 0 });
+      } else if (this.#canAcknowledge(machine, job, reported)) {
+        commands.push({ kind: "acknowledge", job: jobIndex, task, attempt });
       }
     }
   }
+
+  /**
+   * An ended attempt is acknowledged only when the agent would refuse a late copy of its start by the fencing token,
+   * and when its end is on record (I6).
+   */
+  #canAcknowledge({ fencingToken }: Machine, job: Job | undefined, { task, attempt }: ReportedTask): boolean {
+    if (fencingTokenOf(attempt) >= fencingToken || fencingToken !== this.#lease.fencingToken) return false;
+    return !(job && this.#recordWriter.isDirty(job, task));
+  }
+}
+
+/** True for a task that is placed here, or may be: a job with an unreadable record may have any placement. */
+function mayBelongHere(machine: Machine, job: Job, { task, attempt }: ReportedTask): boolean {
+  const placement = job.placements.get(task);
+  if (placement?.machine === machine && placement.attempt === attempt) return true;
+  return job.hasUnreadableRecord && job.state === "active";
 }
--- a/src/core/agents/failure-tracking.ts
+++ b/src/core/agents/failure-tracking.ts
@@ -4,20 +4,21 @@
 
 const JOB_BACKOFF_MS = 2000;
 const JOB_BACKOFF_MAX_MS = 60_000;
-const JOB_BACKOFF_DOUBLINGS = 10;
-/** A job that has failed on so many machines is held back. */
-const JOB_FAULTS = 2;
-/** A machine on which so many jobs have failed is set aside. */
-const MACHINE_FAULTS = 2;
+const JOB_BACKOFF_MAX_DOUBLINGS = 10;
+/** A job that has failed on this many machines is put into back-off. */
+const JOB_BACKOFF_MIN_MACHINES = 2;
+/** A machine on which this many jobs have failed is faulty. */
+const FAULTY_MACHINE_MIN_JOBS = 2;
 
-/** True for a machine that is set aside because different jobs have failed on it. */
+/** True for a machine that is drained because different jobs have failed on it. */
 export function isFaulty(machine: Machine): boolean {
-  return machine.failedJobs.size >= MACHINE_FAULTS;
+  return machine.failedJobs.size >= FAULTY_MACHINE_MIN_JOBS;
 }
 
 /**
- * Mostly the machine is faulty: one on which different jobs fail is set aside. A job that fails
- * on machine after machine has a mistake in it and must not keep the others waiting.
+ * Counts a failed task against its job and its machine. Most often the machine is at fault: one on which different jobs
+ * fail is drained. A job that fails on machine after machine was submitted with a mistake: its exponential back-off keeps
+ * it from delaying other jobs.
  */
 export function recordFailure(ctx: Context, { job, machine }: Placement): void {
   job.failures++;
@@ -28,7 +29,7 @@
     machine.mode = "drain";
     ctx.log("info", "machine set aside", { machine: machine.name, failures: machine.failures });
   }
-  if (job.failedMachines.size < JOB_FAULTS) return;
-  const doublings = Math.min(JOB_BACKOFF_DOUBLINGS, job.failures - JOB_FAULTS);
+  if (job.failedMachines.size < JOB_BACKOFF_MIN_MACHINES) return;
+  const doublings = Math.min(JOB_BACKOFF_MAX_DOUBLINGS, job.failures - JOB_BACKOFF_MIN_MACHINES);
   job.backoffUntil = ctx.now + Math.min(JOB_BACKOFF_MAX_MS, JOB_BACKOFF_MS * 2 ** doublings);
 }
--- a/src/core/agents/machine-modes.ts
+++ b/src/core/agents/machine-modes.ts
@@ -1,60 +1,70 @@
 import type { Context } from "../context.js";
 import type { ClusterState } from "../model/cluster-state.js";
+import type { Machine } from "../model/machine.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
 import type { ConfigWatch } from "../store/config-watch.js";
 import type { AgentManager } from "./agent-manager.js";
 import { isFaulty } from "./failure-tracking.js";
 
-/** Carries out what operators, failures and notices have set machines to. */
+/** A service replica is evicted no sooner than this after its start was sent. */
+const REPLICA_MIN_AGE_MS = 30_000;
+const EVICTION_REASON = "its machine is going";
+
+/** Applies the machine modes that operators and failures have set, and evicts the tasks of machines that go. */
 export class MachineModes {
   readonly #ctx: Context;
-  readonly #view: ConfigWatch;
-  readonly #tables: ClusterState;
-  readonly #fleet: AgentManager;
+  readonly #config: ConfigWatch;
+  readonly #cluster: ClusterState;
+  readonly #agents: AgentManager;
   readonly #scheduler: Scheduler;
 
   constructor(
     ctx: Context,
-    view: ConfigWatch,
-    tables: ClusterState,
-    fleet: AgentManager,
+    config: ConfigWatch,
+    cluster: ClusterState,
+    agents: AgentManager,
     scheduler: Scheduler,
   ) {
     this.#ctx = ctx;
-    this.#view = view;
-    this.#tables = tables;
-    this.#fleet = fleet;
+    this.#config = config;
+    this.#cluster = cluster;
+    this.#agents = agents;
     this.#scheduler = scheduler;
   }
 
-  /** Takes over what the operators have set machines to; those set aside for errors stay so. */
+  /** Sets each machine's mode to what the operators have chosen; where they have not, faulty machines keep theirs. */
   apply(): void {
-    for (const machine of this.#tables.machines.values()) {
-      const mode = this.#view.machineModes[machine.name];
+    for (const machine of this.#cluster.machines.values()) {
+      const mode = this.#config.machineModes[machine.name];
       if (mode) machine.mode = mode;
       else if (!isFaulty(machine)) machine.mode = "open";
     }
   }
 
-  /** Machines about to be taken back or drained: what can save is stopped in time to do so. */
+  /** Evicts the tasks of machines that are drained or about to be reclaimed, in time to write their checkpoints. */
   drain(): void {
-    const { now } = this.#ctx;
-    for (const machine of this.#tables.machines.values()) {
+    for (const machine of this.#cluster.machines.values()) {
       if (machine.phase !== "up" || machine.isLeaseExpired) continue;
       if (machine.reclaimedAt === null && machine.mode !== "drain") continue;
-      for (const placement of [...machine.placements]) {
-        const { spec } = placement.job;
-        if (placement.stop || spec.shape === "service") continue;
-        if (spec.checkpointS > 0)
-          this.#scheduler.preemption.stopGracefully(placement, "its machine is going");
-      }
-      if (machine.reclaimedAt !== null || machine.mode === "drain") {
-        for (const placement of [...machine.placements]) {
-          if (placement.stop || placement.job.spec.shape !== "service") continue;
-          if (now - placement.startSentAt > 30_000)
-            this.#fleet.stopTask(placement, 0, "its machine is going");
-        }
-      }
+      this.#stopTasksWithCheckpoints(machine);
+      this.#stopReplicas(machine);
+    }
+  }
+
+  /** Tasks without checkpoints are left: they may end by themselves, and would lose their work. */
+  #stopTasksWithCheckpoints(machine: Machine): void {
+    for (const placement of [...machine.placements]) {
+      const { spec } = placement.job;
+      if (placement.stop || spec.shape === "service" || spec.checkpointS <= 0) continue;
+      this.#scheduler.preemption.stopGracefully(placement, EVICTION_REASON);
+    }
+  }
+
+  #stopReplicas(machine: Machine): void {
+    for (const placement of [...machine.placements]) {
+      if (placement.stop || placement.job.spec.shape !== "service") continue;
+      if (this.#ctx.now - placement.startSentAt > REPLICA_MIN_AGE_MS)
+        this.#agents.stopTask(placement, 0, EVICTION_REASON);
     }
   }
 }
--- a/src/core/agents/reachability-tracker.ts
+++ b/src/core/agents/reachability-tracker.ts
@@ -4,64 +4,76 @@
 import type { Machine } from "../model/machine.js";
 import type { FencingQueue } from "./fencing-queue.js";
 
-/** What was sent is given this long to show, and at least so many report intervals. */
-const OWED_MS = 4000;
-const OWED_REPORTS = 2.5;
+/** An acknowledgement is overdue after this time, and no sooner than after so many heartbeat intervals. */
+const ACKNOWLEDGEMENT_TIMEOUT_MS = 4000;
+const ACKNOWLEDGEMENT_TIMEOUT_INTERVALS = 2.5;
 
 /**
- * Judges which workers hear this node. That a worker reports proves nothing of the other direction: only an effect in a
- * later report does. Answers and commands may be lost while reports arrive; such a machine would be given work for ever
- * that never starts.
+ * Tells which agents can be reached from this node (I7). That heartbeats arrive proves nothing of the other direction:
+ * in a one-way partition replies and commands are lost, and such a machine would be given tasks that never start. Only
+ * the effect of something sent, in a later heartbeat, proves that the agent is reached.
  */
 export class ReachabilityTracker {
   readonly #ctx: Context;
-  readonly #term: LeaderLease;
-  readonly #fencing: FencingQueue;
-  readonly #changed: () => void;
+  readonly #lease: LeaderLease;
+  readonly #fencingQueue: FencingQueue;
+  readonly #onMachineReachable: () => void;
 
-  constructor(ctx: Context, term: LeaderLease, fencing: FencingQueue, changed: () => void) {
+  /**
+   * @param ctx What all parts of the core share.
+   * @param lease This leader's lease.
+   * @param fencingQueue Sends unreachable agents something that has an effect once it arrives.
+   * @param onMachineReachable A machine that was unreachable is schedulable again.
+   */
+  constructor(ctx: Context, lease: LeaderLease, fencingQueue: FencingQueue, onMachineReachable: () => void) {
     this.#ctx = ctx;
-    this.#term = term;
-    this.#fencing = fencing;
-    this.#changed = changed;
+    this.#lease = lease;
+    this.#fencingQueue = fencingQueue;
+    this.#onMachineReachable = onMachineReachable;
   }
 
-  /** Notes that a report was answered: what it was told has to show in the next ones. */
+  /** Notes that a heartbeat was answered: from now on the effect of what was sent has to show in a heartbeat. */
   onReplied(machine: Machine): void {
-    if (this.#owes(machine)) machine.acknowledgementOverdueSince ??= this.#ctx.now;
+    if (this.#expectsAcknowledgement(machine)) machine.acknowledgementOverdueSince ??= this.#ctx.now;
   }
 
-  #owes(machine: Machine): boolean {
-    if (machine.heartbeat && machine.heartbeat.fencingToken < this.#term.fencingToken) return true;
-    for (const p of machine.placements) if (p.observedState === null && p.startSentUnder > 0) return true;
+  /** True if a fencing token or a start was sent whose effect no heartbeat has shown yet. */
+  #expectsAcknowledgement(machine: Machine): boolean {
+    if (machine.heartbeat && machine.heartbeat.fencingToken < this.#lease.fencingToken) return true;
+    for (const { observedState, startSentUnder } of machine.placements)
+      if (observedState === null && startSentUnder > 0) return true;
     return false;
   }
 
-  /** Judges a new report against the one before it. */
-  observeHeartbeat(machine: Machine, report: Heartbeat): void {
+  /** Judges a new heartbeat against the previous one, which `machine.heartbeat` still holds. */
+  observeHeartbeat(machine: Machine, heartbeat: Heartbeat): void {
     const { now, deployment } = this.#ctx;
-    const before = machine.heartbeat;
-    if (before && report.fencingToken > before.fencingToken) this.markReachable(machine);
+    const previous = machine.heartbeat;
+    if (previous && heartbeat.fencingToken > previous.fencingToken) this.markReachable(machine);
     if (machine.acknowledgementOverdueSince === null) return;
-    const patienceMs = Math.max(OWED_MS, deployment.heartbeatIntervalS * OWED_REPORTS * 1000);
-    if (now - machine.acknowledgementOverdueSince > patienceMs)
+    const timeoutMs = Math.max(
+      ACKNOWLEDGEMENT_TIMEOUT_MS,
+      deployment.heartbeatIntervalS * ACKNOWLEDGEMENT_TIMEOUT_INTERVALS * 1000,
+    );
+    if (now - machine.acknowledgementOverdueSince > timeoutMs)
       this.markUnreachable(machine, "nothing sent to it shows");
   }
 
+  /** Something that was sent to the agent has had an effect. */
   markReachable(machine: Machine): void {
     machine.acknowledgementOverdueSince = null;
     if (machine.unreachableSince === null) return;
     machine.unreachableSince = null;
-    this.#fencing.remove(machine);
+    this.#fencingQueue.remove(machine);
     this.#ctx.log("info", "machine is reached again", { machine: machine.name });
-    this.#changed();
+    this.#onMachineReachable();
   }
 
-  markUnreachable(machine: Machine, why: string): void {
-    // A harmless order now and then tells when it is reached again.
-    if (machine.phase === "up") this.#fencing.add(machine);
+  /** Takes the machine out of scheduling. Its fencing token is sent again: once that has an effect, it is reachable. */
+  markUnreachable(machine: Machine, reason: string): void {
+    if (machine.phase === "up") this.#fencingQueue.add(machine);
     if (machine.unreachableSince !== null) return;
     machine.unreachableSince = this.#ctx.now;
-    this.#ctx.log("info", "machine can't be reached", { machine: machine.name, why });
+    this.#ctx.log("info", "machine can't be reached", { machine: machine.name, why: reason });
   }
 }
--- a/src/core/agents/task-outcome.ts
+++ b/src/core/agents/task-outcome.ts
@@ -4,47 +4,32 @@
 import type { RecordWriter } from "../store/record-writer.js";
 import { recordFailure } from "./failure-tracking.js";
 
-/** A machine that refused a start for want of room, or for its former copy, gets nothing for so long. */
-const REFUSED_MS = 2000;
-/** A job that a worker did not know is tried again after this. */
-const UNKNOWN_MS = 1000;
+/** The back-off of a machine that refused a start for lack of capacity, or for an earlier attempt of the task. */
+const REFUSED_START_BACKOFF_MS = 2000;
+/** The back-off of a job that an agent did not know. */
+const UNKNOWN_JOB_BACKOFF_MS = 1000;
 
 /** Draws the conclusions for job and machine from how a placement has ended. */
 export function applyTaskOutcome(
   ctx: Context,
-  recorder: RecordWriter,
+  recordWriter: RecordWriter,
   placement: Placement,
   cause: ExitReason | "lost",
 ): void {
-  const { job, machine, task } = placement;
-  const { now } = ctx;
+  const { job, machine } = placement;
   switch (cause) {
     case "done":
-      // What a task took after it had saved and been stopped says nothing of the whole.
-      if (placement.runningSince !== null && (job.spec.checkpointS === 0 || !Number.isFinite(job.lastRanAt)))
-        ctx.estimates.observe(job.spec, (now - placement.runningSince) / 1000);
-      if (job.spec.shape === "gang") {
-        // If one task of a gang is done, all of them are.
-        for (let i = 0; i < job.spec.tasks; i++) {
-          if (!job.isDone(i)) {
-            job.markDone(i);
-            recorder.markDirty(job, i, false);
-          }
-        }
-      } else if (job.spec.shape === "array") job.markDone(task);
-      job.failures = 0;
-      machine.failures = 0;
-      machine.failedJobs.clear();
+      applyCompletion(ctx, recordWriter, placement);
       break;
     case "error":
       recordFailure(ctx, placement);
       break;
     case "no_room":
     case "busy":
-      machine.backoffUntil = now + REFUSED_MS;
+      machine.backoffUntil = ctx.now + REFUSED_START_BACKOFF_MS;
       break;
     case "unknown":
-      job.backoffUntil = now + UNKNOWN_MS;
+      job.backoffUntil = ctx.now + UNKNOWN_JOB_BACKOFF_MS;
       break;
     case "stopped":
     case "peers":
@@ -53,3 +38,21 @@
       break;
   }
 }
+
+function applyCompletion(ctx: Context, recordWriter: RecordWriter, placement: Placement): void {
+  const { job, machine, task, runningSince } = placement;
+  // The duration of a task that went on from a checkpoint tells nothing of the whole.
+  if (runningSince !== null && (job.spec.checkpointS === 0 || !Number.isFinite(job.lastRanAt)))
+    ctx.estimates.observe(job.spec, (ctx.now - runningSince) / 1000);
+  if (job.spec.shape === "gang") {
+    // If one task of a gang is done, all of them are.
+    for (let other = 0; other < job.spec.tasks; other++) {
+      if (job.isDone(other)) continue;
+      job.markDone(other);
+      recordWriter.markDirty(job, other, false);
+    }
+  } else if (job.spec.shape === "array") job.markDone(task);
+  job.failures = 0;
+  machine.failures = 0;
+  machine.failedJobs.clear();
+}
