--- a/src/core/model/cluster-state.ts
+++ b/src/core/model/cluster-state.ts
@@ -2,65 +2,74 @@
 import type { NameRegistry } from "./interner.js";
 import { Job } from "./job.js";
 import type { JobSpec } from "./job-spec.js";
-import { Machine } from "./machine.js";
+import { Machine, type MachineOrigin } from "./machine.js";
 import type { Placement } from "./placement.js";
 import type { Resources } from "./resources.js";
 import { add, NO_RESOURCES } from "./resources.js";
 
-/** All that is placed, by job, machine and team: the one place where placements come and go. */
+/**
+ * The cluster state: unfinished jobs, machines and the placements between them. Placements come and go here alone, so
+ * that job, machine and quota usage always agree (I3).
+ */
 export class ClusterState {
+  /** Unfinished jobs by index. */
   readonly jobs = new Map<number, Job>();
+  /** Machines by index. */
   readonly machines = new Map<number, Machine>();
+  /** What the placements of each team use, by its name. */
   readonly teamUsage = new Map<string, Resources>();
+  /** The cloud's catalogue by name. */
   readonly machineTypes = new Map<string, MachineType>();
-  /** Counts placements that have come and gone: what was worked out before a change may be stale. */
+  /** Rises with every placement added or removed: what was computed before may be stale. */
   placementChanges = 0;
-  /** Machines whose release the cloud has confirmed, and when: late lists and reports may still show them. */
+  /** When the cloud confirmed a machine's termination, by its name: late lists and heartbeats may still show it. */
   readonly terminatedMachines = new Map<string, number>();
   readonly names: NameRegistry;
 
-  constructor(directory: NameRegistry) {
-    this.names = directory;
+  constructor(names: NameRegistry) {
+    this.names = names;
   }
 
+  /** Takes in the cloud's catalogue; types that it no longer lists stay known. */
   setMachineTypes(types: readonly MachineType[]): void {
     for (const type of types) this.machineTypes.set(type.name, type);
-    for (const ensureMachine of this.machines.values())
-      ensureMachine.type = this.machineTypes.get(ensureMachine.typeName) ?? null;
+    for (const machine of this.machines.values())
+      machine.type = this.machineTypes.get(machine.typeName) ?? null;
   }
 
+  /** The unfinished job of this id, if there is one. */
   jobByUid(uid: string): Job | undefined {
-    const ix = this.names.jobs.find(uid);
-    return ix === undefined ? undefined : this.jobs.get(ix);
+    const index = this.names.jobs.find(uid);
+    return index === undefined ? undefined : this.jobs.get(index);
   }
 
+  /** Adds a job that is not there yet. */
   addJob(spec: JobSpec, acceptedAt: number, version: number): Job {
     const job = new Job(this.names.jobs.intern(spec.uid), spec, acceptedAt, version);
     this.jobs.set(job.index, job);
     return job;
   }
 
-  machine(
-    name: string,
-    at: { address: string; type: string; zone: string; spot: boolean },
-    now: number,
-  ): Machine {
-    const ix = this.names.machines.intern(name);
-    const known = this.machines.get(ix);
+  /** The machine of this name, which is added if it is not known; one that is known gets the address, if there is one. */
+  machine(name: string, origin: MachineOrigin, createdAt: number): Machine {
+    const index = this.names.machines.intern(name);
+    const known = this.machines.get(index);
     if (known) {
-      if (at.address !== "") known.address = at.address;
+      if (origin.address !== "") known.address = origin.address;
       return known;
     }
-    const machine = new Machine(ix, name, at, now);
-    machine.type = this.machineTypes.get(at.type) ?? null;
-    this.machines.set(ix, machine);
+    const machine = new Machine(index, name, origin, createdAt);
+    machine.type = this.machineTypes.get(origin.type) ?? null;
+    this.machines.set(index, machine);
     return machine;
   }
 
+  /** Removes a machine whose placements have been removed before. */
   removeMachine(machine: Machine): void {
     this.machines.delete(machine.index);
   }
 
+  /** Binds a task to a machine, and counts what it uses. */
   addPlacement(placement: Placement): void {
     const { job, machine } = placement;
     job.addPlacement(placement);
@@ -69,6 +78,7 @@
     machine.idleSince = null;
   }
 
+  /** Removes a placement that has ended; one that was removed before is left as it is. */
   removePlacement(placement: Placement, now: number): void {
     const { job, machine } = placement;
     if (!machine.placements.delete(placement)) return;
--- a/src/core/model/job-spec.ts
+++ b/src/core/model/job-spec.ts
@@ -25,24 +25,36 @@
  * stored, so no field may be renamed.
  */
 export interface JobSpec {
+  /** The job's id, which its user knows it by. */
   readonly uid: string;
   readonly jobClass: string;
   readonly team: string;
   readonly shape: JobShape;
   readonly priority: Priority;
+  /** How many tasks it has. */
   readonly tasks: number;
+  /** What each task needs. */
   readonly need: Resources;
   readonly image: string;
   readonly imageGb: number;
+  /** The machine types it may run on; null for all. */
   readonly types: readonly string[] | null;
+  /** The zone it must run in; null for any. */
   readonly zone: string | null;
+  /** All of its tasks must run in one zone, whichever. */
   readonly oneZone: boolean;
+  /** No zone may have more than half of its tasks, rounded up. */
   readonly spread: boolean;
+  /** It may run on spot machines. */
   readonly spot: boolean;
+  /** How long a task runs by its user's estimate. */
   readonly estimateS: number;
+  /** The progress between two checkpoints; 0 if it writes none. */
   readonly checkpointS: number;
+  /** How long a task takes to write a checkpoint when it is stopped. */
   readonly saveS: number;
+  /** The time from submission by which it should be done. */
   readonly deadlineS: number | null;
-  /** The jobs that have to be done before any task of this one starts; absent where there are none. */
+  /** Its dependencies: the jobs that have to be done before a task of it starts; absent where there are none. */
   readonly awaits?: readonly string[];
 }
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -1,69 +1,85 @@
 import type { JobSpec, Priority } from "./job-spec.js";
 import type { Placement } from "./placement.js";
 
+/** A job's state: "active" until it is cancelled or all of its tasks are done. */
 export type JobState = "active" | "cancelled" | "done";
 
+/** The states of a task, in one byte each. */
 const PENDING = 0;
-const HELD = 1;
+const PLACED = 1;
 const DONE = 2;
 
-/** An unfinished job as its leader knows it. */
+/**
+ * An unfinished job in the leader's cluster state. Each of its tasks is pending, placed or done; placements come and go
+ * through `ClusterState` alone, which keeps machines and quotas in step.
+ */
 export class Job {
+  /** The interner's index of its uid. */
   readonly index: number;
   readonly uid: string;
   readonly spec: JobSpec;
+  /** Wall time of its submission, in ms. */
   readonly acceptedAt: number;
+  /** The version of its key: writes of it depend on that (I5). */
   version: number;
   state: JobState = "active";
-  /** Nothing of this job starts before this time (after failures). */
+  /** No task of it is placed before this time, after failures. */
   backoffUntil = 0;
-  /** Until then it is not stopped for anything but production work: it waited too long to begin. */
+  /** Preemption-protected until then against all but production jobs, since it waited long before it began. */
   protectedUntil = 0;
-  /** Why some of its tasks wait, in words for the operators, as of the last round. */
+  /** Why tasks of it are pending as of the last scheduling round, in words for the operators. */
   pendingReason: string | null = null;
-  /** The reasons that the log has told: reasons alternate from round to round, and told each time they were most of it. */
+  /** The pending reasons logged so far: reasons alternate from round to round, and each is logged once. */
   readonly loggedReasons = new Set<string>();
-  /** A record of its placements can't be read: nothing of it may be started, as it may be running. */
+  /** True if a record of its placements can't be read: no task of it may be started, as any may be running. */
   hasUnreadableRecord = false;
+  /** Failed tasks since a task was last done. */
   failures = 0;
+  /** Indices of the machines on which tasks of it have failed. */
   readonly failedMachines = new Set<number>();
+  /** The active placements by task number. */
   readonly placements = new Map<number, Placement>();
+  /** How many tasks are done. */
   doneCount = 0;
-  /** When the last of its tasks that ran left its machine. */
+  /** When the last placement of a task that ran was removed; minus infinity if none was. */
   lastRanAt = Number.NEGATIVE_INFINITY;
+  /** True once the write that ends it is queued (I8). */
   isFinalRecordQueued = false;
+  /** Since when scheduling rounds have found no place for a task of it. */
   blockedSince: number | null = null;
-  /** Nothing of its class and team has begun for some time, and of these jobs it is the oldest. */
+  /** True if no job of its class and team has begun for some time, and it is the oldest of them. */
   hasRoundRobinTurn = false;
-  /** Some machine's room may be kept for it until then. */
+  /** Machines' free capacity may be reserved for it until then. */
   reservationUntil = 0;
-  /** When it was last looked into what might be stopped for it, in vain: not again at once. */
+  /** When preemption was last tried for it in vain: it is not tried again at once. */
   preemptionTriedAt = Number.NEGATIVE_INFINITY;
-  /** Room is being made for it: no more lesser work is stopped for it before this time. */
+  /** Tasks are being preempted for it: no more are before this time. */
   preemptionUntil = 0;
-  /** A gang: until when it waits for that room where its image is; null if it has not tried. */
+  /** For a gang, until when it waits for capacity on machines that cache its image; null if it has not tried. */
   imageWaitUntil: number | null = null;
-  /** The versions of the records of its placements, by key. */
+  /** The versions of its placement records (chunks) by key: writes of them depend on these (I5). */
   readonly chunkVersions = new Map<string, number>();
-  /** The size of the smallest of these records: smaller chunks are right where larger ones overlap, so none grows again. */
+  /** Tasks in the smallest of its chunks: where chunks overlap the smaller one is right, so none may grow again. */
   chunkTasks = Number.POSITIVE_INFINITY;
-  /** Wall time of its end, as the final record has it. */
+  /** Wall time of its end in ms, as in its final record. */
   endedAt: number | null = null;
-  /** What it counts as: its own priority or, if higher, that of a job that waits for it. */
+  /** Its own priority or, if higher, that of a job that depends on it. */
   effectivePriority: Priority;
-  /** Wall time by which it should be done: by its own deadline, or for a job that waits for it to meet its own. */
+  /** Wall time in ms by which it should be done, for its own deadline or for one of a job that depends on it. */
   effectiveDeadlineAt: number | null;
-  /** How many unfinished jobs name it among those that they wait for. */
+  /** How many unfinished jobs depend on it. */
   dependentCount = 0;
-  /** False while jobs that it needs are not on record as done: until then it counts for nothing but a question. */
+  /** False while a job that it depends on is not on record as done: until then it is not queued. */
   dependenciesSatisfied: boolean;
-  /** Wall time from which its waits count: its acceptance or, if later, the end of the last job that it needs. */
+  /** Wall time in ms from which its waiting counts: its acceptance or, if later, the end of its last dependency. */
   queuedSince: number;
-  readonly #status: Uint8Array;
-  #hint = 0;
+  /** PENDING, PLACED or DONE by task number. */
+  readonly #taskStates: Uint8Array;
+  /** No task below this number is pending. */
+  #firstPendingHint = 0;
 
-  constructor(ix: number, spec: JobSpec, acceptedAt: number, version: number) {
-    this.index = ix;
+  constructor(index: number, spec: JobSpec, acceptedAt: number, version: number) {
+    this.index = index;
     this.uid = spec.uid;
     this.spec = spec;
     this.acceptedAt = acceptedAt;
@@ -72,65 +88,73 @@
     this.effectiveDeadlineAt = spec.deadlineS === null ? null : acceptedAt + spec.deadlineS * 1000;
     this.dependenciesSatisfied = spec.awaits === undefined;
     this.version = version;
-    this.#status = new Uint8Array(spec.tasks);
+    this.#taskStates = new Uint8Array(spec.tasks);
   }
 
+  /** How many tasks may be placed now: none while dependencies are not satisfied. */
   get pending(): number {
     return this.state === "active" && this.dependenciesSatisfied
       ? this.spec.tasks - this.doneCount - this.placements.size
       : 0;
   }
 
+  /** True once all tasks are done. */
   get isComplete(): boolean {
     return this.doneCount === this.spec.tasks;
   }
 
+  /** True if the task is done. */
   isDone(task: number): boolean {
-    return this.#status[task] === DONE;
+    return this.#taskStates[task] === DONE;
   }
 
+  /** The lowest number of a pending task; null if there is none. */
   nextPending(): number | null {
-    for (let i = this.#hint; i < this.#status.length; i++) {
-      if (this.#status[i] === PENDING) {
-        this.#hint = i;
-        return i;
+    for (let task = this.#firstPendingHint; task < this.#taskStates.length; task++) {
+      if (this.#taskStates[task] === PENDING) {
+        this.#firstPendingHint = task;
+        return task;
       }
     }
-    this.#hint = this.#status.length;
+    this.#firstPendingHint = this.#taskStates.length;
     return null;
   }
 
+  /** Called by `ClusterState.addPlacement` alone. */
   addPlacement(placement: Placement): void {
     this.placements.set(placement.task, placement);
-    if (this.#status[placement.task] === PENDING) this.#status[placement.task] = HELD;
+    if (this.#taskStates[placement.task] === PENDING) this.#taskStates[placement.task] = PLACED;
   }
 
+  /** Called by `ClusterState.removePlacement` alone: the task is pending again, unless it is done. */
   removePlacement({ task, runningSince }: Placement, now: number): void {
     this.placements.delete(task);
     if (runningSince !== null) this.lastRanAt = now;
-    if (this.#status[task] === HELD) {
-      this.#status[task] = PENDING;
-      this.#hint = Math.min(this.#hint, task);
+    if (this.#taskStates[task] === PLACED) {
+      this.#taskStates[task] = PENDING;
+      this.#firstPendingHint = Math.min(this.#firstPendingHint, task);
     }
   }
 
+  /** Marks a task as done for good. Numbers beyond the job's tasks, and repeats, have no effect. */
   markDone(task: number): void {
-    if (task >= this.#status.length || this.#status[task] === DONE) return;
-    this.#status[task] = DONE;
+    if (task >= this.#taskStates.length || this.#taskStates[task] === DONE) return;
+    this.#taskStates[task] = DONE;
     this.doneCount++;
   }
 
+  /** How many tasks are running, those that write a checkpoint before they stop included. */
   countRunning(): number {
-    let n = 0;
-    for (const p of this.placements.values())
-      if (p.observedState === "running" || p.observedState === "saving") n++;
-    return n;
+    let count = 0;
+    for (const { observedState } of this.placements.values())
+      if (observedState === "running" || observedState === "saving") count++;
+    return count;
   }
 
-  /** How many of its tasks may be in each zone at this moment. */
+  /** How many tasks are placed in a zone. */
   countInZone(zone: string): number {
-    let n = 0;
-    for (const p of this.placements.values()) if (p.machine.zone === zone) n++;
-    return n;
+    let count = 0;
+    for (const { machine } of this.placements.values()) if (machine.zone === zone) count++;
+    return count;
   }
 }
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -5,107 +5,144 @@
 import type { Resources } from "./resources.js";
 import { fits, NO_RESOURCES } from "./resources.js";
 
-/** Can a task of this job be put on machines of this type at all? */
+/** True if a task of this job may run on an empty machine of this type. */
 export function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return fits(spec.need, type.size) && (spec.types === null || spec.types.includes(type.name));
 }
 
+/** An image that a machine is taken to have in its cache, or to be fetching. */
 export interface CachedImage {
+  /** When it is fetched, by estimate. */
   readyAt: number;
   usedAt: number;
   gb: number;
 }
 
+/**
+ * Whether a machine takes tasks, as the operators have set it; faulty machines are drained, too. "cordon" lets run what
+ * is there and takes nothing new; "drain" also evicts, and the machine is terminated once it is empty.
+ */
 export type MachineMode = "open" | "cordon" | "drain";
 
-/** A machine as the leader knows it: what its worker said, what is placed there, what is to become of it. */
+/** Where a machine is and what it is, as its agent's heartbeat or the cloud says. */
+export interface MachineOrigin {
+  /** Of its agent; empty where it is not known yet. */
+  readonly address: string;
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
+}
+
+/** A machine in the leader's cluster state: what its agent reports, what is placed there, what it is needed for. */
 export class Machine {
+  /** The interner's index of its name. */
   readonly index: number;
   readonly name: string;
+  /** Of its agent; empty where it is not known yet. */
   address: string;
   typeName: string;
+  /** Null while the cloud's catalogue has no type of that name. */
   type: MachineType | null = null;
   zone: string;
   spot: boolean;
-  /** up: has reported; booting: only the cloud has spoken of it; releasing: its release was asked for. */
+  /** booting: no heartbeat has come yet; up: its agent has reported; releasing: marked for termination. */
   phase: "booting" | "up" | "releasing" = "booting";
+  /** Of the newest heartbeat (I4); 0 before the first. */
   incarnation = 0;
   sequence = -1;
-  /** The highest token a report of this worker carried. */
+  /** The highest fencing token that its agent had seen by the newest heartbeat. */
   fencingToken = 0;
-  /** Its last report. Answers to direct commands don't count: a worker that can't report loses its lease all the same. */
+  /** When the last heartbeat came. Replies to direct commands don't count (I7): an agent that reaches no node expires. */
   heartbeatAt = Number.NEGATIVE_INFINITY;
+  /** When a heartbeat was last answered, which renews the agent's lease. */
   repliedAt = Number.NEGATIVE_INFINITY;
+  /** When its agent was first seen to carry a fencing token of this term; null until then. */
   fencedAt: number | null = null;
-  /** Since when something that was sent to it should have shown in its reports; null when nothing is owed. */
+  /** Since when the effect of something sent to its agent is awaited in a heartbeat; null if nothing is awaited. */
   acknowledgementOverdueSince: number | null = null;
-  /** Since when it reports but shows no sign of hearing: it gets no work, and is replaced if this lasts. */
+  /** Since when nothing sent to its agent has an effect (I7): nothing is placed here; terminated if this lasts. */
   unreachableSince: number | null = null;
-  /** When the present session was first heard of. */
+  /** When the first heartbeat of the present incarnation came. */
   incarnationSince = Number.NEGATIVE_INFINITY;
-  /** Its lease has run out without a newer report: nothing of ours is on it, nothing is given to it. */
+  /** True from the expiry of its agent's lease to the next heartbeat: no task runs here, and none is placed here. */
   isLeaseExpired = false;
+  /** When the cloud reclaims it by its interruption notice; null without one. */
   reclaimedAt: number | null = null;
   mode: MachineMode = "open";
   readonly placements = new Set<Placement>();
+  /** What its placements use. */
   used: Resources = NO_RESOURCES;
-  /** The same by priority. */
+  /** The same by the placements' priority. */
   readonly usedByPriority: Resources[] = [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES];
-  /** Room kept for a replica that is about to move here. */
+  /** What is kept free for a replica that is about to migrate here. */
   reservedForMigration: Resources = NO_RESOURCES;
-  /** Room taken by reported tasks that we have no placement for. */
+  /** What is used by reported tasks without a placement. */
   usedByUnknownTasks: Resources = NO_RESOURCES;
+  /** The newest heartbeat. */
   heartbeat: Heartbeat | null = null;
+  /** Its image cache, as far as it can be told, by image name. */
   readonly images = new Map<string, CachedImage>();
+  /** When it was created. */
   bootingSince: number;
+  /** Since when nothing runs on it; null while something does. */
   idleSince: number | null = null;
-  /** One of more machines of its kind than are needed: it takes no new small work and is returned when empty. */
+  /** One of more GPU machines than are needed: nothing without GPUs is placed here; terminated once it is empty. */
   isMarkedForScaleIn = false;
+  /** The job that its free capacity is reserved for. */
   reservation: Reservation | null = null;
+  /** Since when little enough runs on it for its replicas to be migrated away. */
   underutilizedSince: number | null = null;
+  /** Nothing is placed on it before this time, after a refused start. */
   backoffUntil = 0;
+  /** Failed tasks since a task was last done here. */
   failures = 0;
+  /** Indices of the jobs of which tasks have failed here. */
   readonly failedJobs = new Set<number>();
-  /** The record that lists it, as of the last one written; null if none does. */
+  /** The machine record that lists it as of the last write; null if none does. */
   recordIndex: number | null = null;
+  /** True while a command batch was sent directly whose reply has not come. */
   isCommandInFlight = false;
+  /** No command batch is sent directly before this time, after one without a reply. */
   commandRetryAt = 0;
+  /** The cloud is not asked to terminate it before this time, after a request that failed. */
   terminationRetryAt = 0;
+  /** Why it is marked for termination. */
   terminationReason: string | null = null;
 
-  constructor(
-    ix: number,
-    name: string,
-    at: { address: string; type: string; zone: string; spot: boolean },
-    now: number,
-  ) {
-    this.index = ix;
+  constructor(index: number, name: string, origin: MachineOrigin, createdAt: number) {
+    this.index = index;
     this.name = name;
-    this.address = at.address;
-    this.typeName = at.type;
-    this.zone = at.zone;
-    this.spot = at.spot;
-    this.bootingSince = now;
+    this.address = origin.address;
+    this.typeName = origin.type;
+    this.zone = origin.zone;
+    this.spot = origin.spot;
+    this.bootingSince = createdAt;
   }
 
-  /** True if a task fits beside what is here; what work below a priority uses may be counted as room. */
-  hasCapacityFor(need: Resources, below = 0): boolean {
-    const { used, reservedForMigration: booked, usedByUnknownTasks: strayUse } = this;
+  /**
+   * True if a task fits beside what is here.
+   *
+   * @param need What the task needs.
+   * @param preemptibleBelow Placements of a lower priority than this count as free.
+   */
+  hasCapacityFor(need: Resources, preemptibleBelow = 0): boolean {
+    const { used, reservedForMigration: reserved, usedByUnknownTasks: unknown } = this;
     const size = this.type?.size ?? NO_RESOURCES;
     let { cpu, gpu, ram } = size;
-    for (let priority = 0; priority < below; priority++) {
-      const part = this.usedByPriority[priority] ?? NO_RESOURCES;
-      cpu += part.cpu;
-      gpu += part.gpu;
-      ram += part.ram;
+    for (let priority = 0; priority < preemptibleBelow; priority++) {
+      const preemptible = this.usedByPriority[priority] ?? NO_RESOURCES;
+      cpu += preemptible.cpu;
+      gpu += preemptible.gpu;
+      ram += preemptible.ram;
     }
     return (
-      need.cpu <= cpu - used.cpu - booked.cpu - strayUse.cpu &&
-      need.gpu <= gpu - used.gpu - booked.gpu - strayUse.gpu &&
-      need.ram <= ram - used.ram - booked.ram - strayUse.ram
+      need.cpu <= cpu - used.cpu - reserved.cpu - unknown.cpu &&
+      need.gpu <= gpu - used.gpu - reserved.gpu - unknown.gpu &&
+      need.ram <= ram - used.ram - reserved.ram - unknown.ram
     );
   }
 
+  /** What is free beside placements, the pending migration and unknown tasks; nothing if its type is not known. */
   freeCapacity(): Resources {
     const size = this.type?.size ?? NO_RESOURCES;
     return {
@@ -115,12 +152,13 @@
     };
   }
 
+  /** The share of its CPUs that is in use or kept for the pending migration; 1 if its type is not known. */
   bookedShare(): number {
     const cpu = this.type?.size.cpu ?? 0;
     return cpu > 0 ? (this.used.cpu + this.reservedForMigration.cpu + this.usedByUnknownTasks.cpu) / cpu : 1;
   }
 
-  /** The part of the CPUs that work of one priority uses. */
+  /** The share of its CPUs that placements of one priority use; 1 if its type is not known. */
   bookedShareOf(priority: number): number {
     const cpu = this.type?.size.cpu ?? 0;
     return cpu > 0 ? (this.usedByPriority[priority]?.cpu ?? 0) / cpu : 1;
--- a/src/core/model/resources.ts
+++ b/src/core/model/resources.ts
@@ -1,47 +1,56 @@
-/** Amounts of the resources that tasks need and machines offer, in whole thousandths, so that sums never drift. */
+/**
+ * Amounts of the resources that tasks need and machines offer: thousandths of a core, of a GPU and of a GB.
+ * They are whole numbers, so that sums never drift.
+ */
 export interface Resources {
   readonly cpu: number;
   readonly gpu: number;
   readonly ram: number;
 }
 
+/** Nothing of any resource. */
 export const NO_RESOURCES: Resources = { cpu: 0, gpu: 0, ram: 0 };
 
-/** What a task takes is rounded up, so that the sum never understates it. */
+/** What a task needs, rounded up to whole thousandths, so that a sum never understates it. */
 export function roundUpDemand(cpu: number, gpu: number, ram: number): Resources {
-  return { cpu: up(cpu), gpu: up(gpu), ram: up(ram) };
+  return { cpu: thousandthsUp(cpu), gpu: thousandthsUp(gpu), ram: thousandthsUp(ram) };
 }
 
-/** What a machine or a limit offers is rounded down. */
+/** What a machine or a quota offers, rounded down to whole thousandths. */
 export function roundDownCapacity(cpu: number, gpu: number, ram: number): Resources {
-  return { cpu: down(cpu), gpu: down(gpu), ram: down(ram) };
+  return { cpu: thousandthsDown(cpu), gpu: thousandthsDown(gpu), ram: thousandthsDown(ram) };
 }
 
-// 1.1 * 1000 is a hair above 1100: rounding noise must not turn into a thousandth.
-function up(x: number): number {
-  return Math.max(0, Math.ceil(x * 1000 - 1e-6));
+/** 1.1 * 1000 is slightly above 1100: the rounding error of the product must not count as a thousandth. */
+const ROUNDING_ERROR = 1e-6;
+
+function thousandthsUp(amount: number): number {
+  return Math.max(0, Math.ceil(amount * 1000 - ROUNDING_ERROR));
 }
-function down(x: number): number {
-  return Math.floor(x * 1000 + 1e-6);
+
+function thousandthsDown(amount: number): number {
+  return Math.floor(amount * 1000 + ROUNDING_ERROR);
 }
 
-export function add(a: Resources, b: Resources, countFitting = 1): Resources {
+/** `a + factor * b`, resource by resource; -1 subtracts. */
+export function add(a: Resources, b: Resources, factor = 1): Resources {
   return {
-    cpu: a.cpu + b.cpu * countFitting,
-    gpu: a.gpu + b.gpu * countFitting,
-    ram: a.ram + b.ram * countFitting,
+    cpu: a.cpu + b.cpu * factor,
+    gpu: a.gpu + b.gpu * factor,
+    ram: a.ram + b.ram * factor,
   };
 }
 
-export function fits(need: Resources, room: Resources): boolean {
-  return need.cpu <= room.cpu && need.gpu <= room.gpu && need.ram <= room.ram;
+/** True if the capacity has at least what is needed of every resource. */
+export function fits(need: Resources, capacity: Resources): boolean {
+  return need.cpu <= capacity.cpu && need.gpu <= capacity.gpu && need.ram <= capacity.ram;
 }
 
-/** How many times `need` goes into `room`. */
-export function times(need: Resources, room: Resources): number {
-  let n = Number.POSITIVE_INFINITY;
-  if (need.cpu > 0) n = Math.min(n, Math.floor(room.cpu / need.cpu));
-  if (need.gpu > 0) n = Math.min(n, Math.floor(room.gpu / need.gpu));
-  if (need.ram > 0) n = Math.min(n, Math.floor(room.ram / need.ram));
-  return Math.max(0, n);
+/** How many tasks of this need fit into the capacity together; infinite for a need of nothing. */
+export function times(need: Resources, capacity: Resources): number {
+  let count = Number.POSITIVE_INFINITY;
+  if (need.cpu > 0) count = Math.min(count, Math.floor(capacity.cpu / need.cpu));
+  if (need.gpu > 0) count = Math.min(count, Math.floor(capacity.gpu / need.gpu));
+  if (need.ram > 0) count = Math.min(count, Math.floor(capacity.ram / need.ram));
+  return Math.max(0, count);
 }
