--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -4,127 +4,137 @@
 import type { MachineType } from "../model/deployment.js";
 import type { Machine } from "../model/machine.js";
 
-const LIST_MS = 4000;
-const TYPES_MS = 60_000;
-/** Without any machine type nothing can be decided: they are asked for again soon. */
+/** The machines are listed this often, or less often where the list has many pages. */
+const LIST_INTERVAL_MS = 4000;
+/** The machine types are read this often. */
+const TYPES_INTERVAL_MS = 60_000;
+/** Without any machine type nothing can be decided: they are read again soon. */
 const TYPES_RETRY_MS = 1000;
-/** A page of the list that was refused is asked for again after this. */
+/** A page that was refused is requested again after this. */
 const PAGE_RETRY_MS = 1000;
-/** The part of the cloud's calls that may be spent on lists: rentals and releases need the rest. */
-const LIST_SHARE = 0.4;
-/** So many pages follow each other at once; the next ones come no faster than the cloud allows calls. */
+/** The share of the cloud's request rate that lists may use: creation and termination need the rest. */
+const LIST_RATE_SHARE = 0.4;
+/** So many pages follow each other at once; the next ones come no faster than the cloud's request rate. */
 const BURST_PAGES = 4;
-/** Copies of reports may come this long after their machine is gone. */
-const RELEASED_KEPT_MS = 600_000;
-/** An excess of machines over what the operators allow is told of in the log this often. */
-const EXCESS_LOG_MS = 60_000;
+/** Copies of heartbeats may come this long after their machine's termination. */
+const TERMINATED_RETENTION_MS = 600_000;
+/** How often more machines than the operators allow are logged. */
+const EXCESS_LOG_INTERVAL_MS = 60_000;
 
+/** What the inventory learns from the cloud. */
 export interface InventoryEvents {
+  /** The cloud's catalogue was read. */
   onMachineTypes(types: readonly MachineType[]): void;
-  /** The cloud lists this machine as one that stopped by itself. */
+  /** The cloud lists this machine as failed. */
   onMachineFailed(machine: Machine): void;
 }
 
-/** Keeps up with what the cloud says there is: machine types and the list of machines. */
+/** Keeps the machine types and the machines of the cluster state in step with what the cloud lists. */
 export class CloudInventory {
   readonly #ctx: Context;
-  readonly #tables: ClusterState;
+  readonly #cluster: ClusterState;
   readonly #events: InventoryEvents;
-  /** Nothing is rented before the first full list of this term: machines an earlier leader rented count too. */
+  /** Nothing is created before the first full listing of this term: machines that earlier leaders created count, too. */
   hasFullListing = false;
-  #listing = false;
-  #listedAt = Number.NEGATIVE_INFINITY;
-  #listAt = Number.NEGATIVE_INFINITY;
-  #stopped = false;
-  /** Where the list goes on, and when. */
-  #resume: { readonly after: string | null; readonly at: number } | null = null;
-  #pages = 0;
-  #typesAt = Number.NEGATIVE_INFINITY;
-  #excessToldAt = Number.NEGATIVE_INFINITY;
+  #isListing = false;
+  #listingSince = Number.NEGATIVE_INFINITY;
+  #nextListingAt = Number.NEGATIVE_INFINITY;
+  #isStopped = false;
+  /** Where the listing continues, and when; null if no page is due. */
+  #nextPage: { readonly after: string | null; readonly at: number } | null = null;
+  #pageCount = 0;
+  #typesRequestedAt = Number.NEGATIVE_INFINITY;
+  #excessLoggedAt = Number.NEGATIVE_INFINITY;
 
-  constructor(ctx: Context, tables: ClusterState, events: InventoryEvents) {
+  constructor(ctx: Context, cluster: ClusterState, events: InventoryEvents) {
     this.#ctx = ctx;
-    this.#tables = tables;
+    this.#cluster = cluster;
     this.#events = events;
   }
 
-  /** The term is over: a list under way is not gone on with. */
+  /** Ends the listing under way, as the leader's term has ended. */
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
+  /** Requests from the cloud what is due. */
   tick(): void {
     const { now } = this.#ctx;
-    if (this.#resume && now >= this.#resume.at) {
-      const { after } = this.#resume;
-      this.#resume = null;
-      this.#page(after);
+    if (this.#nextPage && now >= this.#nextPage.at) {
+      const { after } = this.#nextPage;
+      this.#nextPage = null;
+      this.#requestPage(after);
     }
-    if (!this.#listing && now >= this.#listAt) {
-      this.#listing = true;
-      this.#listedAt = now;
-      this.#pages = 0;
-      this.#page(null);
-    }
-    const typesMs = this.#tables.machineTypes.size === 0 ? TYPES_RETRY_MS : TYPES_MS;
-    if (now - this.#typesAt >= typesMs) this.#readTypes();
+    if (!this.#isListing && now >= this.#nextListingAt) this.#startListing();
+    const typesIntervalMs = this.#cluster.machineTypes.size === 0 ? TYPES_RETRY_MS : TYPES_INTERVAL_MS;
+    if (now - this.#typesRequestedAt >= typesIntervalMs) this.#requestTypes();
   }
 
-  #readTypes(): void {
-    this.#typesAt = this.#ctx.now;
-    this.#ctx.callCloud({ kind: "listTypes" }, (answer) => {
-      if (answer.kind === "types") this.#events.onMachineTypes(answer.machineTypes);
+  #requestTypes(): void {
+    this.#typesRequestedAt = this.#ctx.now;
+    this.#ctx.callCloud({ kind: "listTypes" }, (response) => {
+      if (response.kind === "types") this.#events.onMachineTypes(response.machineTypes);
     });
   }
 
+  #startListing(): void {
+    this.#isListing = true;
+    this.#listingSince = this.#ctx.now;
+    this.#pageCount = 0;
+    this.#requestPage(null);
+  }
+
   /**
-   * Asks for one page. A refused one is asked for again, and the list goes on from there: begun anew each time, the list
-   * of a large fleet would never come to its end beside other calls.
+   * Requests one page. One that was refused is requested again, and the listing continues from there: begun anew each
+   * time, the listing of a large cluster would never be complete beside other requests.
    */
-  #page(after: string | null): void {
-    this.#ctx.callCloud({ kind: "list", after }, (answer) => {
-      if (this.#stopped) return;
-      if (answer.kind !== "page") {
-        this.#resume = { after, at: this.#ctx.now + PAGE_RETRY_MS };
+  #requestPage(after: string | null): void {
+    this.#ctx.callCloud({ kind: "list", after }, (response) => {
+      if (this.#isStopped) return;
+      const { now, deployment } = this.#ctx;
+      if (response.kind !== "page") {
+        this.#nextPage = { after, at: now + PAGE_RETRY_MS };
         return;
       }
-      this.#pages++;
-      for (const listed of answer.machines) this.#listed(listed);
-      const last = answer.machines.at(-1);
-      if (!answer.more || !last) this.#completed();
-      else if (this.#pages < BURST_PAGES) this.#page(last.name);
-      else this.#resume = { after: last.name, at: this.#ctx.now + 1000 / this.#ctx.deployment.cloudRps };
+      this.#pageCount++;
+      for (const listed of response.machines) this.#takeInListed(listed);
+      const last = response.machines.at(-1);
+      if (!response.more || !last) this.#completeListing();
+      else if (this.#pageCount < BURST_PAGES) this.#requestPage(last.name);
+      else this.#nextPage = { after: last.name, at: now + 1000 / deployment.cloudRps };
     });
   }
 
-  #completed(): void {
+  #completeListing(): void {
     const { now, deployment } = this.#ctx;
     this.hasFullListing = true;
-    this.#listing = false;
-    const pagesMs = (this.#pages * 1000) / (deployment.cloudRps * LIST_SHARE);
-    this.#listAt = this.#listedAt + Math.max(LIST_MS, pagesMs);
-    for (const [name, at] of this.#tables.terminatedMachines)
-      if (now - at > deployment.listLagS * 4000 + RELEASED_KEPT_MS)
-        this.#tables.terminatedMachines.delete(name);
-    this.#tellOfExcess();
+    this.#isListing = false;
+    const pagesMs = (this.#pageCount * 1000) / (deployment.cloudRps * LIST_RATE_SHARE);
+    this.#nextListingAt = this.#listingSince + Math.max(LIST_INTERVAL_MS, pagesMs);
+    // Well beyond the list's lag neither a list nor a copy of a heartbeat shows the machine any more.
+    const retentionMs = deployment.listLagS * 4000 + TERMINATED_RETENTION_MS;
+    for (const [name, terminatedAt] of this.#cluster.terminatedMachines)
+      if (now - terminatedAt > retentionMs) this.#cluster.terminatedMachines.delete(name);
+    this.#logExcess();
   }
 
-  /** The list lags and may step back: it adds machines, but its silence proves nothing by itself. */
-  #listed(listed: CloudMachine): void {
-    const ix = this.#ctx.names.machines.find(listed.name);
-    const known = ix === undefined ? undefined : this.#tables.machines.get(ix);
-    // An old list may still show a machine that has been released; one that answers nothing is released again.
-    if (!known && this.#tables.terminatedMachines.has(listed.name)) return;
-    const machine = known ?? this.#tables.machine(listed.name, listed, this.#ctx.now - listed.ageS * 1000);
+  /** The list lags and may go back in time: it adds machines, but that one is not listed proves nothing. */
+  #takeInListed(listed: CloudMachine): void {
+    const index = this.#ctx.names.machines.find(listed.name);
+    const known = index === undefined ? undefined : this.#cluster.machines.get(index);
+    // A late list may still show a machine that has been terminated: it must not come back.
+    if (!known && this.#cluster.terminatedMachines.has(listed.name)) return;
+    const createdAt = this.#ctx.now - listed.ageS * 1000;
+    const machine = known ?? this.#cluster.machine(listed.name, listed, createdAt);
     if (listed.phase === "failed" && machine.phase !== "releasing") this.#events.onMachineFailed(machine);
   }
 
-  /** Machines beyond the operators' bound stay on the books and are used; nothing more is rented, and the log says so. */
-  #tellOfExcess(): void {
+  /** Machines beyond the operators' limit stay and are used; none is created, and the log says so. */
+  #logExcess(): void {
     const { now, settings } = this.#ctx;
-    const { size } = this.#tables.machines;
-    if (size <= settings.max_machines || now - this.#excessToldAt < EXCESS_LOG_MS) return;
-    this.#excessToldAt = now;
+    const { size } = this.#cluster.machines;
+    if (size <= settings.max_machines || now - this.#excessLoggedAt < EXCESS_LOG_INTERVAL_MS) return;
+    this.#excessLoggedAt = now;
     this.#ctx.log("info", "more machines than max_machines", { machines: size, most: settings.max_machines });
   }
 }
--- a/src/core/autoscaling/gpu-headroom.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -8,201 +8,250 @@
 import { hasCompletionObjective } from "../scheduling/queue-order.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
 
-interface Kind {
-  /** The largest GPU task seen that goes on this type: what small work must leave room for. */
+const ADJUST_INTERVAL_MS = 1000;
+/** For how many counting windows the highest number of machines needed is kept. */
+const PEAK_WINDOWS = 1.25;
+/** GPU jobs have ceased if none came for this many of the usual gaps between two, and no sooner than this. */
+const CEASED_GAPS = 4;
+const CEASED_MIN_MS = 45_000;
+/** The weight of the last gap in the moving average. */
+const GAP_WEIGHT = 0.1;
+/** The image size remembered shrinks by this factor with each job, unless one as large comes again. */
+const IMAGE_SIZE_DECAY = 0.9;
+const MIN_FETCH_GB_PER_S = 0.01;
+
+/** The demand for machines of one GPU type, as observed in this term. */
+interface GpuDemand {
+  /** The largest need of a task seen, resource by resource: what jobs without GPUs must leave free. */
   need: Resources | null;
-  /** Slots asked for, and when. */
-  arrivals: { at: number; slots: number }[];
+  /** The jobs of the counting window: how many machines each fills. */
+  readonly arrivals: { readonly at: number; readonly machines: number }[];
   imageGb: number;
-  /** When the last came, and the usual time between two. */
-  lastAt: number;
+  lastArrivalAt: number;
+  /** The moving average of the time between two arrivals. */
   gapMs: number;
-  /** The teams that such work came from: their limits bound how much of it can run at once. */
+  /** The teams that the jobs came from: their quota limits bound how many machines can be used at once. */
   readonly teams: Set<string>;
-  /** How many machines were in use or asked for, with the spare ones. */
-  needed: { at: number; count: number }[];
+  /** How many machines were in use or waited for, with the headroom. */
+  readonly requirements: { readonly at: number; readonly machines: number }[];
 }
 
-const KEEP_WINDOWS = 1.25;
-const CEASED_TIMES = 4;
-const GAP_WEIGHT = 0.1;
-const CEASED_MIN_MS = 45_000;
+/** The blocked jobs that machines of a type would run. */
+interface BlockedDemand {
+  /** How many machines the blocked GPU tasks would fill. */
+  gpuMachines: number;
+  /** True if the provisioner would create an on-demand or spot machine of the type for a job without GPUs. */
+  isWantedOnDemand: boolean;
+  isWantedSpot: boolean;
+}
 
 /**
- * How many machines with GPUs to keep. They are dear, and a new one takes longer to boot and fetch its image
- * than work can wait: so as many are kept free as is likely to be asked for meanwhile, and the rest is returned.
+ * Decides how many machines of each GPU type are kept. They are expensive, and a new one takes longer to boot and to
+ * fetch its image than GPU jobs can wait: so as many are kept free as are likely to be needed in that time (the
+ * headroom), and the rest is marked for scale-in.
  */
 export class GpuHeadroom {
   readonly #ctx: Context;
-  readonly #tables: ClusterState;
+  readonly #cluster: ClusterState;
   readonly #scheduler: Scheduler;
-  readonly #kinds = new Map<string, Kind>();
-  readonly #seen = new Set<Job>();
+  /** By machine type. */
+  readonly #demands = new Map<string, GpuDemand>();
+  readonly #countedJobs = new Set<Job>();
   readonly #startedAt: number;
-  #tickedAt = 0;
+  #adjustedAt = 0;
 
-  constructor(ctx: Context, tables: ClusterState, scheduler: Scheduler) {
+  constructor(ctx: Context, cluster: ClusterState, scheduler: Scheduler) {
     this.#ctx = ctx;
-    this.#tables = tables;
+    this.#cluster = cluster;
     this.#scheduler = scheduler;
     this.#startedAt = ctx.now;
   }
 
+  /** Counts the GPU jobs that have come, and adjusts the headroom of each GPU type, once a second. */
   tick(): void {
     const { now } = this.#ctx;
-    if (now - this.#tickedAt < 1000) return;
-    this.#tickedAt = now;
-    this.#count();
-    for (const type of this.#tables.machineTypes.values()) if (type.size.gpu > 0) this.#adjust(type);
+    if (now - this.#adjustedAt < ADJUST_INTERVAL_MS) return;
+    this.#adjustedAt = now;
+    this.#countArrivals();
+    for (const type of this.#cluster.machineTypes.values()) if (type.size.gpu > 0) this.#adjust(type);
   }
 
-  /** Takes note of the GPU work that has come since. */
-  #count(): void {
-    const windowMs = this.#ctx.settings.spare_window_s * 1000;
-    for (const job of this.#seen) if (!this.#tables.jobs.has(job.index)) this.#seen.delete(job);
-    for (const job of this.#tables.jobs.values()) {
-      if (job.spec.need.gpu === 0 || !job.dependenciesSatisfied || this.#seen.has(job)) continue;
-      this.#seen.add(job);
-      for (const type of this.#tables.machineTypes.values()) {
-        if (!fitsMachineType(job.spec, type)) continue;
-        const kind = this.#kind(type);
-        kind.teams.add(job.spec.team);
-        kind.need = larger(kind.need, job.spec.need);
-        kind.imageGb = Math.max(kind.imageGb * 0.9, job.spec.imageGb);
-        const slots = Math.ceil(job.spec.tasks / times(job.spec.need, type.size));
-        kind.arrivals.push({ at: this.#ctx.now, slots });
-        const gapMs = this.#ctx.now - kind.lastAt;
-        if (Number.isFinite(gapMs)) kind.gapMs += GAP_WEIGHT * (gapMs - kind.gapMs);
-        kind.lastAt = this.#ctx.now;
-      }
+  /** How many machines of a type the quota limits of the teams with such jobs let be in use at once. */
+  maxUsefulMachines(type: MachineType): number {
+    const { need, teams } = this.#demandFor(type);
+    if (!need || need.gpu === 0) return 0;
+    let tasks = 0;
+    for (const team of this.#ctx.deployment.teams) {
+      if (teams.has(team.name)) tasks += Math.floor(team.limit.gpu / need.gpu);
+    }
+    return Math.ceil(tasks / Math.max(1, times(need, type.size)));
+  }
+
+  /** True for a job without GPUs that a GPU machine would run at more than `dear_factor` times the least price. */
+  isTooExpensive(job: Job, type: MachineType, spot: boolean): boolean {
+    if (job.spec.need.gpu > 0 || type.size.gpu === 0) return false;
+    let leastPerTask = Number.POSITIVE_INFINITY;
+    for (const other of this.#cluster.machineTypes.values()) {
+      if (other.size.gpu > 0 || !fitsMachineType(job.spec, other)) continue;
+      leastPerTask = Math.min(leastPerTask, other.price / times(job.spec.need, other.size));
     }
-    for (const kind of this.#kinds.values()) {
-      while (kind.arrivals[0] && kind.arrivals[0].at < this.#ctx.now - windowMs) kind.arrivals.shift();
+    const price = spot ? type.spotPrice : type.price;
+    return price / times(job.spec.need, type.size) > leastPerTask * this.#ctx.settings.dear_factor;
+  }
+
+  /* ---- demand ---- */
+
+  #countArrivals(): void {
+    const windowMs = this.#ctx.settings.spare_window_s * 1000;
+    for (const job of this.#countedJobs)
+      if (!this.#cluster.jobs.has(job.index)) this.#countedJobs.delete(job);
+    for (const job of this.#cluster.jobs.values()) {
+      if (job.spec.need.gpu === 0 || !job.dependenciesSatisfied || this.#countedJobs.has(job)) continue;
+      this.#countedJobs.add(job);
+      for (const type of this.#cluster.machineTypes.values())
+        if (fitsMachineType(job.spec, type)) this.#countArrival(job, type);
     }
+    for (const { arrivals } of this.#demands.values()) dropBefore(arrivals, this.#ctx.now - windowMs);
+  }
+
+  #countArrival({ spec }: Job, type: MachineType): void {
+    const { now } = this.#ctx;
+    const demand = this.#demandFor(type);
+    demand.teams.add(spec.team);
+    demand.need = larger(demand.need, spec.need);
+    demand.imageGb = Math.max(demand.imageGb * IMAGE_SIZE_DECAY, spec.imageGb);
+    demand.arrivals.push({ at: now, machines: Math.ceil(spec.tasks / times(spec.need, type.size)) });
+    const gapMs = now - demand.lastArrivalAt;
+    if (Number.isFinite(gapMs)) demand.gapMs += GAP_WEIGHT * (gapMs - demand.gapMs);
+    demand.lastArrivalAt = now;
   }
 
-  #kind(type: MachineType): Kind {
-    let kind = this.#kinds.get(type.name);
-    if (!kind) {
-      kind = {
+  #demandFor(type: MachineType): GpuDemand {
+    let demand = this.#demands.get(type.name);
+    if (!demand) {
+      demand = {
         need: null,
         arrivals: [],
         imageGb: 0,
-        lastAt: Number.NEGATIVE_INFINITY,
+        lastArrivalAt: Number.NEGATIVE_INFINITY,
         gapMs: 0,
         teams: new Set(),
-        needed: [],
+        requirements: [],
       };
-      this.#kinds.set(type.name, kind);
+      this.#demands.set(type.name, demand);
     }
-    return kind;
+    return demand;
   }
 
-  #adjust(type: MachineType): void {
-    const { settings } = this.#ctx;
-    const kind = this.#kind(type);
-    const machines = [...this.#tables.machines.values()].filter(
-      (m) => m.typeName === type.name && m.phase !== "releasing" && !m.isLeaseExpired,
-    );
-    const busy = (m: Machine) => m.used.gpu > 0;
-    const asked = kind.arrivals.reduce((n, a) => n + a.slots, 0);
-    const leadS = type.bootS + kind.imageGb / Math.max(0.01, type.fetchGbPerS);
-    const likely = (asked / Math.max(1, settings.spare_window_s)) * leadS;
-    const spare = asked === 0 ? 0 : Math.ceil(settings.spare_factor * Math.sqrt(likely));
-    this.#scheduler.feasibleMachines.setGpuHeadroom(type.name, kind.need, spare);
-    let waiting = 0;
-    // What the provisioner would rent for small work is not given back while such work waits: that was a wheel of
-    // spot machines hired, charged their minute, and returned.
-    let wanted = false;
-    let wantedSpot = false;
+  #blockedDemand(type: MachineType): BlockedDemand {
+    const demand = { gpuMachines: 0, isWantedOnDemand: false, isWantedSpot: false };
     for (const { job, count } of this.#scheduler.blocked) {
       if (!fitsMachineType(job.spec, type)) continue;
-      if (job.spec.need.gpu > 0) waiting += Math.ceil(count / times(job.spec.need, type.size));
-      else {
-        wanted ||= !this.isTooExpensive(job, type, false);
-        wantedSpot ||= job.spec.spot && !this.isTooExpensive(job, type, true);
+      if (job.spec.need.gpu > 0) {
+        demand.gpuMachines += Math.ceil(count / times(job.spec.need, type.size));
+      } else {
+        demand.isWantedOnDemand ||= !this.isTooExpensive(job, type, false);
+        demand.isWantedSpot ||= job.spec.spot && !this.isTooExpensive(job, type, true);
       }
     }
-    const free = machines.filter((m) => !busy(m) && m.phase === "up" && !(m.spot && wantedSpot));
-    const most = this.maxUsefulMachines(type);
-    const inUse = Math.min(most, machines.filter(busy).length + waiting);
-    const wantedNow = Math.min(most, inUse + spare);
-    kind.needed.push({ at: this.#ctx.now, count: wantedNow });
-    while (
-      kind.needed[0] &&
-      kind.needed[0].at < this.#ctx.now - KEEP_WINDOWS * settings.spare_window_s * 1000
-    ) {
-      kind.needed.shift();
-    }
-    // While such work keeps coming, what it needed at its height is kept; once it has ceased, only what is in use.
-    const keep = this.#ceased(kind) ? inUse : Math.max(...kind.needed.map((n) => n.count));
-    const young = this.#ctx.now - this.#startedAt < settings.spare_window_s * 1000;
-    let surplus = wanted || young ? 0 : machines.length - keep;
-    this.#ctx.log("debug", "gpu reserve", {
+    return demand;
+  }
+
+  /** True if no GPU job has come for several times as long as it usually takes. */
+  #hasCeased({ lastArrivalAt, gapMs }: GpuDemand): boolean {
+    return this.#ctx.now - lastArrivalAt > Math.max(CEASED_MIN_MS, CEASED_GAPS * gapMs);
+  }
+
+  /* ---- supply ---- */
+
+  #adjust(type: MachineType): void {
+    const demand = this.#demandFor(type);
+    const machines = [...this.#cluster.machines.values()].filter(
+      ({ typeName, phase, isLeaseExpired }) =>
+        typeName === type.name && phase !== "releasing" && !isLeaseExpired,
+    );
+    const headroom = this.#headroomFor(type, demand);
+    this.#scheduler.feasibleMachines.setGpuHeadroom(type.name, demand.need, headroom);
+    const blocked = this.#blockedDemand(type);
+    const busyCount = machines.filter(runsGpuTasks).length;
+    const maxUseful = this.maxUsefulMachines(type);
+    const inUse = Math.min(maxUseful, busyCount + blocked.gpuMachines);
+    const retained = this.#machinesToRetain(demand, inUse, Math.min(maxUseful, inUse + headroom));
+    const isWarmingUp = this.#ctx.now - this.#startedAt < this.#ctx.settings.spare_window_s * 1000;
+    // What the provisioner would create for blocked jobs is not terminated: it would be charged its minimum and come back.
+    const surplus = blocked.isWantedOnDemand || isWarmingUp ? 0 : machines.length - retained;
+    this.#ctx.log("debug", "gpu headroom", {
       type: type.name,
       machines: machines.length,
-      busy: machines.filter(busy).length,
-      waiting,
-      spare,
-      keep,
-      wanted,
+      busy: busyCount,
+      waiting: blocked.gpuMachines,
+      headroom,
+      retained,
+      wanted: blocked.isWantedOnDemand,
       surplus,
     });
-    // Those chosen before: chosen anew each second, one machine after another was cleared of its work and kept.
-    // Then the dear ones, and of those the emptiest.
-    free.sort(
-      (a, b) =>
-        Number(b.isMarkedForScaleIn) - Number(a.isMarkedForScaleIn) ||
-        Number(a.spot) - Number(b.spot) ||
-        a.placements.size - b.placements.size ||
-        a.index - b.index,
+    const candidates = machines.filter(
+      (machine) =>
+        !runsGpuTasks(machine) && machine.phase === "up" && !(machine.spot && blocked.isWantedSpot),
     );
+    candidates.sort(compareForScaleIn);
     for (const machine of machines) machine.isMarkedForScaleIn = false;
-    for (const machine of free) {
-      if (surplus-- <= 0) break;
-      machine.isMarkedForScaleIn = true;
-      for (const placement of [...machine.placements]) {
-        if (
-          placement.job.spec.checkpointS > 0 &&
-          !placement.stop &&
-          !hasCompletionObjective(this.#ctx, placement.job)
-        ) {
-          this.#scheduler.preemption.stopGracefully(placement, "its machine is not needed");
-        }
-      }
-    }
+    for (const machine of candidates.slice(0, Math.max(0, surplus))) this.#markForScaleIn(machine);
   }
 
-  /** More machines than the teams' limits let work run on are of no use. */
-  maxUsefulMachines(type: MachineType): number {
-    const kind = this.#kind(type);
-    const { need } = kind;
-    if (!need || need.gpu === 0) return 0;
-    let tasks = 0;
-    for (const team of this.#ctx.deployment.teams) {
-      if (kind.teams.has(team.name)) tasks += Math.floor(team.limit.gpu / need.gpu);
-    }
-    return Math.ceil(tasks / Math.max(1, times(need, type.size)));
+  /** How many machines are to be kept free: in units of the root of the arrivals to expect while one boots and fetches. */
+  #headroomFor(type: MachineType, { arrivals, imageGb }: GpuDemand): number {
+    const { settings } = this.#ctx;
+    const arrived = arrivals.reduce((sum, arrival) => sum + arrival.machines, 0);
+    if (arrived === 0) return 0;
+    const leadS = type.bootS + imageGb / Math.max(MIN_FETCH_GB_PER_S, type.fetchGbPerS);
+    const expected = (arrived / Math.max(1, settings.spare_window_s)) * leadS;
+    return Math.ceil(settings.spare_factor * Math.sqrt(expected));
   }
 
-  /** No such work for several times as long as it usually takes for some to come. */
-  #ceased({ lastAt, gapMs }: Kind): boolean {
-    return this.#ctx.now - lastAt > Math.max(CEASED_MIN_MS, CEASED_TIMES * gapMs);
+  /** While GPU jobs keep coming, as many as were needed at the peak; once they have ceased, those in use. */
+  #machinesToRetain(demand: GpuDemand, inUse: number, needed: number): number {
+    const { now, settings } = this.#ctx;
+    const { requirements } = demand;
+    requirements.push({ at: now, machines: needed });
+    dropBefore(requirements, now - PEAK_WINDOWS * settings.spare_window_s * 1000);
+    if (this.#hasCeased(demand)) return inUse;
+    return Math.max(...requirements.map(({ machines }) => machines));
   }
 
-  /** Small work is worth a machine with GPUs only up to a multiple of what it costs elsewhere. */
-  isTooExpensive(job: Job, type: MachineType, spot: boolean): boolean {
-    if (job.spec.need.gpu > 0 || type.size.gpu === 0) return false;
-    let least = Number.POSITIVE_INFINITY;
-    for (const other of this.#tables.machineTypes.values()) {
-      if (other.size.gpu > 0 || !fitsMachineType(job.spec, other)) continue;
-      least = Math.min(least, other.price / times(job.spec.need, other.size));
+  /** What runs without GPUs on the machine is stopped if that loses little, for the machine to be empty soon. */
+  #markForScaleIn(machine: Machine): void {
+    machine.isMarkedForScaleIn = true;
+    for (const placement of [...machine.placements]) {
+      const { job, stop } = placement;
+      if (job.spec.checkpointS > 0 && !stop && !hasCompletionObjective(this.#ctx, job))
+        this.#scheduler.preemption.stopGracefully(placement, "its machine is not needed");
     }
-    const price = spot ? type.spotPrice : type.price;
-    return price / times(job.spec.need, type.size) > least * this.#ctx.settings.dear_factor;
   }
 }
 
+/**
+ * Those marked before come first: chosen anew each second, one machine after another would be emptied and kept. Then the
+ * expensive ones, and of those the emptiest.
+ */
+function compareForScaleIn(a: Machine, b: Machine): number {
+  return (
+    Number(b.isMarkedForScaleIn) - Number(a.isMarkedForScaleIn) ||
+    Number(a.spot) - Number(b.spot) ||
+    a.placements.size - b.placements.size ||
+    a.index - b.index
+  );
+}
+
+/** True for a machine whose GPUs are in use. */
+function runsGpuTasks({ used }: Machine): boolean {
+  return used.gpu > 0;
+}
+
+function dropBefore(entries: { readonly at: number }[], before: number): void {
+  while (entries[0] && entries[0].at < before) entries.shift();
+}
+
 function larger(a: Resources | null, b: Resources): Resources {
   if (!a) return b;
   return { cpu: Math.max(a.cpu, b.cpu), gpu: Math.max(a.gpu, b.gpu), ram: Math.max(a.ram, b.ram) };
--- a/src/core/autoscaling/machine-reaper.ts
+++ b/src/core/autoscaling/machine-reaper.ts
@@ -3,89 +3,54 @@
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Machine } from "../model/machine.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
+import { type ClusterHealth, isSilent, machineKindOf, terminationReasonFor } from "./termination-rules.js";
 
-/** Machines of a zone that is cut off are kept so long. */
-const CUT_PATIENCE_MS = 300_000;
-const MIN_CHARGE_MS = 60_000;
+/** The boot time of a machine whose type is not known. */
+const UNKNOWN_BOOT_S = 60;
+/** A machine is silent after 2.6 heartbeat intervals and a margin. */
+const SILENT_MS_PER_INTERVAL_S = 2600;
+const SILENT_MARGIN_MS = 700;
+/** A heartbeat is missed after 1.5 intervals. */
+const MISSED_MS_PER_INTERVAL_S = 1500;
+/** A zone counts as cut off for this many leases after most of its machines were last found quiet. */
+const CUT_OFF_LEASES = 2;
 
-/** Decides which machines are given back: the idle, the stuck, the silent, the broken. */
+/** Decides which machines are terminated: those idle, stuck, silent or broken. The provisioner carries it out. */
 export class MachineReaper {
   readonly #ctx: Context;
-  readonly #term: LeaderLease;
-  readonly #tables: ClusterState;
+  readonly #lease: LeaderLease;
+  readonly #cluster: ClusterState;
   readonly #scheduler: Scheduler;
-  /** Zones that are, or were just now, cut off. */
-  readonly #cutUntil = new Map<string, number>();
+  /** Until when each zone counts as cut off. */
+  readonly #cutOffUntil = new Map<string, number>();
 
-  constructor(ctx: Context, term: LeaderLease, tables: ClusterState, scheduler: Scheduler) {
+  constructor(ctx: Context, lease: LeaderLease, cluster: ClusterState, scheduler: Scheduler) {
     this.#ctx = ctx;
-    this.#term = term;
-    this.#tables = tables;
+    this.#lease = lease;
+    this.#cluster = cluster;
     this.#scheduler = scheduler;
   }
 
-  /** Marks a machine as one to be given back. */
-  markForTermination(machine: Machine, why: string): void {
+  /** Marks a machine for termination, unless it is marked already; nothing is placed on it any more. */
+  markForTermination(machine: Machine, reason: string): void {
     if (machine.phase === "releasing") return;
     machine.phase = "releasing";
-    machine.terminationReason = why;
-    this.#ctx.log("debug", "machine to be released", { machine: machine.name, why });
+    machine.terminationReason = reason;
+    this.#ctx.log("debug", "machine marked for termination", { machine: machine.name, reason });
   }
 
-  /** Looks at every machine: which is idle, stuck, silent or broken? */
+  /** Judges every machine, and marks those that are to be terminated. */
   tick(): void {
-    const { now, settings, deployment } = this.#ctx;
-    const up = [...this.#tables.machines.values()].filter((m) => m.phase === "up");
-    const silentMs = deployment.heartbeatIntervalS * 2600 + 700;
-    const silent = up.filter((m) => now - m.heartbeatAt > silentMs).length;
-    const fewUnreachable = up.filter((m) => m.unreachableSince !== null).length <= Math.max(1, up.length / 3);
-    // When most are silent it is this node that is cut off, not the machines that are gone.
-    const hearing = silent <= Math.max(1, up.length / 3);
-    const cut = this.#cutZones(up);
-    const wanted = this.#wantedKinds();
-    for (const machine of this.#tables.machines.values()) {
+    const health = this.#assessHealth();
+    for (const machine of this.#cluster.machines.values()) {
       switch (machine.phase) {
-        case "booting": {
-          const bootS = machine.type?.bootS ?? 60;
-          if (now - machine.bootingSince > bootS * settings.boot_factor * 1000) {
-            this.markForTermination(machine, "it never came up");
-          }
+        case "booting":
+          this.#judgeBooting(machine);
           break;
-        }
         case "up": {
-          // A new leader counts from its beginning: machines it has never heard may be in a zone that is cut off.
-          const quiet = now - Math.max(machine.heartbeatAt, this.#term.electedAt);
-          if (machine.placements.size > 0 || machine.usedByUnknownTasks.cpu > 0) machine.idleSince = null;
-          else machine.idleSince ??= now;
-          // A zone that is cut off comes back with its machines and their images; given back they would have
-          // to be rented, booted and filled anew, spot ones first, which were taken for taken back.
-          if (!hearing || (cut.has(machine.zone) && quiet < CUT_PATIENCE_MS)) break;
-          const noticed = machine.reclaimedAt !== null && now > machine.reclaimedAt;
-          const unreachableMs =
-            machine.unreachableSince === null || !fewUnreachable ? 0 : now - machine.unreachableSince;
-          if (unreachableMs > deployment.leaseS * 2000)
-            this.markForTermination(machine, "it can't be reached");
-          else if (machine.isLeaseExpired && quiet > deployment.leaseS * 2000)
-            this.markForTermination(machine, "silent");
-          else if (quiet > silentMs && (machine.spot || noticed)) {
-            this.markForTermination(machine, "taken back");
-          } else if (machine.mode === "drain" && machine.placements.size === 0) {
-            this.markForTermination(machine, "drained");
-          } else if (
-            machine.isMarkedForScaleIn &&
-            machine.idleSince !== null &&
-            now - machine.bootingSince > MIN_CHARGE_MS
-          ) {
-            this.markForTermination(machine, "not needed");
-          } else if (
-            machine.idleSince !== null &&
-            machine.type?.size.gpu === 0 &&
-            now - machine.idleSince > settings.idle_s * 1000 &&
-            now - machine.bootingSince > MIN_CHARGE_MS &&
-            !wanted.has(kindOf(machine))
-          ) {
-            this.markForTermination(machine, "idle");
-          }
+          this.#trackIdleness(machine);
+          const reason = terminationReasonFor(machine, health);
+          if (reason) this.markForTermination(machine, reason);
           break;
         }
         case "releasing":
@@ -94,42 +59,71 @@
     }
   }
 
-  /** Zones most of whose machines have missed a report at the same time. */
-  #cutZones(up: readonly Machine[]): Set<string> {
+  #judgeBooting(machine: Machine): void {
+    const { now, settings } = this.#ctx;
+    const bootS = machine.type?.bootS ?? UNKNOWN_BOOT_S;
+    if (now - machine.bootingSince > bootS * settings.boot_factor * 1000)
+      this.markForTermination(machine, "it never came up");
+  }
+
+  #trackIdleness(machine: Machine): void {
+    if (machine.placements.size > 0 || machine.usedByUnknownTasks.cpu > 0) machine.idleSince = null;
+    else machine.idleSince ??= this.#ctx.now;
+  }
+
+  /** What holds for all machines in this tick. */
+  #assessHealth(): ClusterHealth {
+    const { now, settings, deployment } = this.#ctx;
+    const up = [...this.#cluster.machines.values()].filter((machine) => machine.phase === "up");
+    const silentAfterMs = deployment.heartbeatIntervalS * SILENT_MS_PER_INTERVAL_S + SILENT_MARGIN_MS;
+    const silentCount = up.filter((machine) => isSilent(now - machine.heartbeatAt, silentAfterMs)).length;
+    const unreachableCount = up.filter((machine) => machine.unreachableSince !== null).length;
+    const tolerableCount = Math.max(1, up.length / 3);
+    return {
+      now,
+      electedAt: this.#lease.electedAt,
+      leaseMs: deployment.leaseS * 1000,
+      silentAfterMs,
+      maxIdleMs: settings.idle_s * 1000,
+      canReceive: silentCount <= tolerableCount,
+      canSend: unreachableCount <= tolerableCount,
+      cutOffZones: this.#cutOffZones(up),
+      demandedKinds: this.#demandedKinds(),
+    };
+  }
+
+  /** The zones most of whose machines have missed a heartbeat at the same time, now or a short time ago. */
+  #cutOffZones(up: readonly Machine[]): Set<string> {
     const { now, deployment } = this.#ctx;
-    const missedMs = deployment.heartbeatIntervalS * 1500;
+    const missedMs = deployment.heartbeatIntervalS * MISSED_MS_PER_INTERVAL_S;
     const counts = new Map<string, { all: number; quiet: number }>();
-    for (const { zone, heartbeatAt: heardAt } of up) {
+    for (const { zone, heartbeatAt } of up) {
       const count = counts.get(zone) ?? { all: 0, quiet: 0 };
       count.all++;
-      if (now - heardAt > missedMs) count.quiet++;
+      if (now - heartbeatAt > missedMs) count.quiet++;
       counts.set(zone, count);
     }
-    // When it comes back its workers are heard one after the other: those that are yet to come are not silent.
+    // When a zone is connected again its machines report one after the other: those that have yet to are not silent.
     for (const [zone, { all, quiet }] of counts)
-      if (quiet > 1 && quiet >= all / 2) this.#cutUntil.set(zone, now + deployment.leaseS * 2000);
-    return new Set([...this.#cutUntil].filter(([, until]) => now < until).map(([zone]) => zone));
+      if (quiet > 1 && quiet >= all / 2)
+        this.#cutOffUntil.set(zone, now + CUT_OFF_LEASES * deployment.leaseS * 1000);
+    return new Set([...this.#cutOffUntil].filter(([, until]) => now < until).map(([zone]) => zone));
   }
 
   /**
-   * The kinds of machines that some waiting job may be put on. Asked for once in a survey: machine by machine and job by
-   * job it took a large idle fleet beside a long queue more than the round itself.
+   * The kinds of machines that some blocked job may run on. Computed once a tick for each kind: for each machine and job
+   * it would cost a large idle cluster beside a long queue more than a scheduling round.
    */
-  #wantedKinds(): Set<string> {
+  #demandedKinds(): Set<string> {
     const kinds = new Map<string, Machine>();
-    for (const machine of this.#tables.machines.values()) {
-      const kind = kindOf(machine);
+    for (const machine of this.#cluster.machines.values()) {
+      const kind = machineKindOf(machine);
       if (!kinds.has(kind)) kinds.set(kind, machine);
     }
-    const { blocked, feasibleMachines: candidates } = this.#scheduler;
-    const wanted = new Set<string>();
+    const { blocked, feasibleMachines } = this.#scheduler;
+    const demanded = new Set<string>();
     for (const [kind, machine] of kinds)
-      if (blocked.some(({ job }) => candidates.mayRunOn(job, machine))) wanted.add(kind);
-    return wanted;
+      if (blocked.some(({ job }) => feasibleMachines.mayRunOn(job, machine))) demanded.add(kind);
+    return demanded;
   }
 }
-
-/** What decides whether a job may be put on a machine at all: type, zone, spot or ordinary. */
-function kindOf({ typeName, zone, spot }: Machine): string {
-  return `${typeName} ${zone} ${spot}`;
-}
