--- a/src/core/scheduling/guaranteed-quota.ts
+++ b/src/core/scheduling/guaranteed-quota.ts
@@ -2,21 +2,22 @@
 import type { Job } from "../model/job.js";
 
 /**
- * Of jobs in the order of their acceptance, those within their teams' guarantees: a job is if it fits there along with
- * the team's earlier unfinished jobs.
+ * The jobs that are within the guaranteed quotas of their teams: those whose unfinished tasks fit there along with all of
+ * the team's jobs before them. `jobs` are the unfinished jobs in the order in which they were queued; the result keeps it.
  */
-export function findGuaranteedJobs(teams: readonly Team[], inOrder: readonly Job[]): Set<Job> {
-  const used = new Map<string, { cpu: number; gpu: number }>();
-  const result = new Set<Job>();
-  for (const job of inOrder) {
-    const team = teams.find((t) => t.name === job.spec.team);
+export function findGuaranteedJobs(teams: readonly Team[], jobs: readonly Job[]): Set<Job> {
+  const demandByTeam = new Map<string, { cpu: number; gpu: number }>();
+  const guaranteed = new Set<Job>();
+  for (const job of jobs) {
+    const team = teams.find(({ name }) => name === job.spec.team);
     if (!team) continue;
-    const sum = used.get(team.name) ?? { cpu: 0, gpu: 0 };
-    const open = job.spec.tasks - job.doneCount;
-    const cpu = sum.cpu + job.spec.need.cpu * open;
-    const gpu = sum.gpu + job.spec.need.gpu * open;
-    used.set(team.name, { cpu, gpu });
-    if (cpu <= team.guarantee.cpu && (gpu <= team.guarantee.gpu || job.spec.need.gpu === 0)) result.add(job);
+    const { need, tasks } = job.spec;
+    const earlier = demandByTeam.get(team.name) ?? { cpu: 0, gpu: 0 };
+    const unfinishedTasks = tasks - job.doneCount;
+    const cpu = earlier.cpu + need.cpu * unfinishedTasks;
+    const gpu = earlier.gpu + need.gpu * unfinishedTasks;
+    demandByTeam.set(team.name, { cpu, gpu });
+    if (cpu <= team.guarantee.cpu && (gpu <= team.guarantee.gpu || need.gpu === 0)) guaranteed.add(job);
   }
-  return result;
+  return guaranteed;
 }
--- a/src/core/scheduling/negative-fit-cache.ts
+++ b/src/core/scheduling/negative-fit-cache.ts
@@ -1,49 +1,63 @@
 import type { Context } from "../context.js";
 import type { Job } from "../model/job.js";
-import type { Resources } from "../model/resources.js";
-import { fits } from "../model/resources.js";
+import { fits, type Resources } from "../model/resources.js";
 
-/** Demands that found no place in this call: what asks for as much or more need not look again. */
+/** A demand for which no feasible machines were found: so much for each of so many tasks. */
+interface FailedFit {
+  readonly need: Resources;
+  readonly tasks: number;
+}
+
+/**
+ * Negative-result cache of a round: within it free capacity only shrinks, so a job that asks for as much as one that did not
+ * fit, or for more, need not be tried.
+ */
 export class NegativeFitCache {
   readonly #ctx: Context;
-  readonly #byKind = new Map<string, { need: Resources; tasks: number }[]>();
+  readonly #failedByConstraints = new Map<string, FailedFit[]>();
 
   constructor(ctx: Context) {
     this.#ctx = ctx;
   }
 
+  /** Forgets all results: to be called where free capacity may have grown. */
   clear(): void {
-    this.#byKind.clear();
-  }
-
-  /** The kind of place a job asks for: jobs of one kind differ only in how much they need of it. */
-  #kindOf({ spec, effectivePriority: priority }: Job): string {
-    const { types, zone, spot, shape, oneZone, spread, checkpointS } = spec;
-    return [
-      types?.join() ?? "*",
-      zone ?? "*",
-      spot,
-      priority,
-      shape,
-      oneZone,
-      spread,
-      checkpointS > 0,
-    ].join();
+    this.#failedByConstraints.clear();
   }
 
+  /** Is it known that so many tasks of the job don't fit? */
   has(job: Job, tasks: number): boolean {
+    // Its own failures or reservations give such a job another choice of machines than the one that failed.
     if (job.failedMachines.size > 0 || job.reservationUntil > this.#ctx.now) return false;
     const { need } = job.spec;
-    return (this.#byKind.get(this.#kindOf(job)) ?? []).some((v) => tasks >= v.tasks && fits(v.need, need));
+    return (this.#failedByConstraints.get(constraintsKey(job)) ?? []).some(
+      (failed) => tasks >= failed.tasks && fits(failed.need, need),
+    );
   }
 
+  /** Records that so many tasks of the job don't fit. */
   add(job: Job, tasks: number): void {
-    // Fellow tasks narrow this job's choice alone: that tells nothing of others.
+    // Tasks placed before narrow the zones for this job alone: that says nothing of other jobs.
     if (job.placements.size > 0 && (job.spec.spread || job.spec.oneZone)) return;
-    const kind = this.#kindOf(job);
-    const entry = { need: job.spec.need, tasks };
-    const known = this.#byKind.get(kind);
-    if (known) known.push(entry);
-    else this.#byKind.set(kind, [entry]);
+    const key = constraintsKey(job);
+    const failedFit = { need: job.spec.need, tasks };
+    const failedFits = this.#failedByConstraints.get(key);
+    if (failedFits) failedFits.push(failedFit);
+    else this.#failedByConstraints.set(key, [failedFit]);
   }
 }
+
+/** All that decides on feasible machines but the demand: jobs with the same key differ in nothing else. */
+function constraintsKey({ spec, effectivePriority }: Job): string {
+  const { types, zone, spot, shape, oneZone, spread, checkpointS } = spec;
+  return [
+    types?.join() ?? "*",
+    zone ?? "*",
+    spot,
+    effectivePriority,
+    shape,
+    oneZone,
+    spread,
+    checkpointS > 0,
+  ].join();
+}
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -2,196 +2,155 @@
 import type { Context } from "../context.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
-import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
-import type { Resources } from "../model/resources.js";
-import { fits, times } from "../model/resources.js";
-import { guaranteedStartObjectiveS, preemptionPriority, startObjectiveS } from "./queue-order.js";
+import type { FeasibleMachines, MachineFilter } from "./feasible-machines.js";
+import { type PreemptionPlan, PreemptionPlanner } from "./preemption-planner.js";
+import { preemptionPriority } from "./preemption-policy.js";
+import { maxTasksPerZone } from "./zone-spread.js";
 
-const RESERVE_MS = 15_000;
-/** How long a job for which nothing could be stopped waits before that is looked into again. */
-const SEEK_AGAIN_MS = 500;
-const RECLAIM_MS = 5000;
-/** A start that is stopped sooner counts for nothing (PROTOCOL, "How aims are counted"). */
-const START_COUNTS_S = 30;
-/** What passes between a stop and the start of what it made room for, saving aside. */
+/** For how long the freed capacity is reserved for the job that preempted. */
+const RESERVATION_MS = 15_000;
+/** How soon a job that has looked for victims may look again. */
+const RETRY_MS = 500;
+/** What passes between the stop command to a victim and the start command on its capacity, its checkpoint aside. */
 const HANDOVER_S = 1;
 
-/** What may be stopped for what, and the cheapest way to make room. */
+/** For what tasks are to be preempted. */
+export interface PreemptionRequest {
+  readonly job: Job;
+  /** The most tasks of the job to free capacity for. */
+  readonly count: number;
+  /** Lets a job within its guaranteed quota preempt tasks of its own priority of teams beyond theirs. */
+  readonly isWithinGuarantee: boolean;
+  readonly isSuitable: MachineFilter;
+  /** Seconds within which capacity is needed: victims whose checkpoint takes longer aren't given the time. Null: no limit. */
+  readonly maxSaveS: number | null;
+}
+
+/** The plans chosen for a job, in one zone or in all. */
+interface ChosenPlans {
+  readonly plans: readonly PreemptionPlan[];
+  readonly slots: number;
+}
+
+/** Preemption: stops tasks of lower priority so that tasks of a job fit, at the least loss of work. */
 export class Preemption {
   readonly #ctx: Context;
-  readonly #tables: ClusterState;
-  readonly #fleet: AgentManager;
-  /** Machines with room for a task of the job, if what work below a priority uses is counted as room. */
-  readonly #candidates: (job: Job, below: number) => Machine[];
-  /** The jobs within their teams' guarantees, as of this round. */
-  guaranteed: ReadonlySet<Job> = new Set();
+  readonly #agents: AgentManager;
+  readonly #feasibleMachines: FeasibleMachines;
+  readonly #planner: PreemptionPlanner;
 
   constructor(
     ctx: Context,
-    tables: ClusterState,
-    fleet: AgentManager,
-    candidates: (job: Job, below: number) => Machine[],
+    clusterState: ClusterState,
+    agents: AgentManager,
+    feasibleMachines: FeasibleMachines,
   ) {
     this.#ctx = ctx;
-    this.#tables = tables;
-    this.#fleet = fleet;
-    this.#candidates = candidates;
+    this.#agents = agents;
+    this.#feasibleMachines = feasibleMachines;
+    this.#planner = new PreemptionPlanner(ctx, clusterState);
   }
 
-  /** May this placement be stopped so that the job can run? */
-  #mayStop(victim: Placement, job: Job, guaranteed: boolean): boolean {
-    const spec = victim.job.spec;
-    const priority = preemptionPriority(this.#ctx, job);
-    if (priority < 3 && victim.job.protectedUntil > this.#ctx.now) return false;
-    if (victim.job.effectivePriority < priority) return true;
-    // The rules would allow more; but small guaranteed work must not break up a gang of higher priority.
-    if (!guaranteed || spec.team === job.spec.team || victim.job.effectivePriority > priority) return false;
-    if (victim.job.effectivePriority === 3) return false;
-    // What is within its own team's guarantee has borrowed nothing: two teams took turns stopping each other's gangs,
-    // some of them twenty times.
-    if (this.guaranteed.has(victim.job)) return false;
-    // A gang that has run before has had its start: taken back again and again, the same few machines changed hands.
-    if (job.spec.shape === "gang" && Number.isFinite(job.lastRanAt)) return false;
-    // Taking back what another team has borrowed must not throw away much work.
-    const ranMs = victim.runningSince === null ? 0 : this.#ctx.now - victim.runningSince;
-    if (spec.checkpointS === 0 && ranMs > RECLAIM_MS) return false;
-    const team = this.#ctx.deployment.teams.find((t) => t.name === spec.team);
-    const use = this.#tables.teamUsage.get(spec.team);
-    return (
-      team !== undefined &&
-      use !== undefined &&
-      (use.cpu > team.guarantee.cpu || use.gpu > team.guarantee.gpu)
-    );
+  /** Sets the jobs that are within their teams' guaranteed quotas in this round. */
+  beginRound(guaranteedJobs: ReadonlySet<Job>): void {
+    this.#planner.beginRound(guaranteedJobs);
   }
 
   /**
-   * Stops lesser work so that up to `count` tasks of the job find room; returns for how many. With `hurryS` work that
-   * takes longer than that to save is not waited for.
+   * Stops tasks so that up to `count` tasks of the job fit, and reserves the machines for it; returns for how many tasks.
+   * For a gang that is all or none. Nothing is preempted for a job while an earlier preemption for it is under way.
    */
-  preemptFor(
-    job: Job,
-    count: number,
-    guaranteed: boolean,
-    suits: (machine: Machine) => boolean,
-    hurryS: number | null,
-  ): number {
+  preemptFor(request: PreemptionRequest): number {
     const { now } = this.#ctx;
+    const { job } = request;
     if (job.preemptionUntil > now) return 0;
-    // What can't be stopped now can hardly be in the next round: looking costs more than all the rest of one.
-    const sinceMs = now - job.preemptionTriedAt;
-    if (sinceMs > 0 && sinceMs < SEEK_AGAIN_MS) return 0;
+    // Victims that can't be found now can hardly be in the next round, and the search costs more than the rest of a round.
+    const sinceLastTryMs = now - job.preemptionTriedAt;
+    if (sinceLastTryMs > 0 && sinceLastTryMs < RETRY_MS) return 0;
     job.preemptionTriedAt = now;
-    const { need, tasks, oneZone, spread, shape } = job.spec;
-    const plans: { machine: Machine; slots: number; victims: Placement[]; cost: number }[] = [];
-    const priority = preemptionPriority(this.#ctx, job);
-    for (const machine of this.#candidates(job, guaranteed ? priority + 1 : priority)) {
-      if (!suits(machine)) continue;
-      const plan = this.#plan(job, machine, need, guaranteed);
-      if (plan) plans.push({ machine, ...plan });
-    }
-    plans.sort((a, b) => a.cost / a.slots - b.cost / b.slots);
-    const zones = oneZone ? [...new Set(plans.map((p) => p.machine.zone))] : [null];
+    const plans = this.#planMachines(request);
+    const zones = job.spec.oneZone ? new Set(plans.map(({ machine }) => machine.zone)) : [null];
     for (const zone of zones) {
-      let slots = 0;
-      const inZone = new Map<string, number>();
-      const chosen: typeof plans = [];
-      for (const plan of plans) {
-        if (slots >= count) break;
-        if (zone !== null && plan.machine.zone !== zone) continue;
-        let n = Math.min(plan.slots, count - slots);
-        if (spread) {
-          const there = (inZone.get(plan.machine.zone) ?? 0) + job.countInZone(plan.machine.zone);
-          n = Math.min(n, Math.ceil(tasks / 2) - there);
-        }
-        if (n <= 0) continue;
-        inZone.set(plan.machine.zone, (inZone.get(plan.machine.zone) ?? 0) + n);
-        slots += n;
-        chosen.push(plan);
-      }
-      if (slots === 0 || (shape === "gang" && slots < tasks)) continue;
-      let graceS = 0;
-      for (const { machine, victims } of chosen) {
-        machine.reservation = { job, isFirm: false, until: now + RESERVE_MS };
-        job.reservationUntil = now + RESERVE_MS;
-        for (const victim of victims) {
-          const { saveS, checkpointS } = victim.job.spec;
-          const late = hurryS !== null && saveS + HANDOVER_S > hurryS;
-          if (late && checkpointS > 0 && victim.job.spec.shape !== "gang") {
-            this.#fleet.stopTask(victim, 0, `room for ${job.uid}`);
-            continue;
-          }
-          graceS = Math.max(graceS, saveS);
-          this.stopGracefully(victim, `room for ${job.uid}`);
-        }
-      }
-      job.preemptionUntil = now + graceS * 1000 + this.#ctx.deployment.heartbeatIntervalS * 2000;
-      return slots;
+      const chosen = choosePlans(request, plans, zone);
+      if (chosen.slots === 0 || (job.spec.shape === "gang" && chosen.slots < job.spec.tasks)) continue;
+      this.#carryOut(request, chosen.plans);
+      return chosen.slots;
     }
     return 0;
   }
 
-  /** The cheapest tasks to stop on this machine so that at least one task of the job fits. */
-  #plan(
-    job: Job,
-    machine: Machine,
-    need: Resources,
-    guaranteed: boolean,
-  ): { slots: number; victims: Placement[]; cost: number } | null {
-    const room = machine.freeCapacity();
-    if (fits(need, room)) return { slots: times(need, room), victims: [], cost: 0 };
-    const victims: Placement[] = [];
-    let cost = 0;
-    const list = [...machine.placements]
-      .filter((p) => p.job !== job && this.#mayStop(p, job, guaranteed))
-      .map((p) => ({ p, cost: this.#lossOf(p) }))
-      .sort((a, b) => a.p.job.effectivePriority - b.p.job.effectivePriority || a.cost - b.cost);
-    let { cpu, gpu, ram } = room;
-    for (const { p, cost: loss } of list) {
-      // Stopping a task that frees nothing that is short helps nobody.
-      const helps =
-        (cpu < need.cpu && p.job.spec.need.cpu > 0) ||
-        (gpu < need.gpu && p.job.spec.need.gpu > 0) ||
-        (ram < need.ram && p.job.spec.need.ram > 0);
-      if (!helps) continue;
-      victims.push(p);
-      cost += p.stop ? 0 : loss;
-      cpu += p.job.spec.need.cpu;
-      gpu += p.job.spec.need.gpu;
-      ram += p.job.spec.need.ram;
-      if (fits(need, { cpu, gpu, ram })) return { slots: times(need, { cpu, gpu, ram }), victims, cost };
+  /** A plan for each machine that can be made to fit the job, the least lost work per task first. */
+  #planMachines({ job, isWithinGuarantee, isSuitable }: PreemptionRequest): PreemptionPlan[] {
+    const priority = preemptionPriority(this.#ctx, job);
+    const plans: PreemptionPlan[] = [];
+    for (const machine of this.#feasibleMachines.findFor(job, isWithinGuarantee ? priority + 1 : priority)) {
+      if (!isSuitable(machine)) continue;
+      const plan = this.#planner.planFor(job, machine, isWithinGuarantee);
+      if (plan) plans.push(plan);
     }
-    return null;
-  }
-
-  /** The work, in CPU seconds, that stopping this task throws away. */
-  #lossOf(placement: Placement): number {
-    const { spec } = placement.job;
-    const ran = placement.runningSince === null ? 0 : (this.#ctx.now - placement.runningSince) / 1000;
-    // What has only just begun would have to begin once more to count.
-    const startS = this.#startCounts(placement.job) ? Math.max(0, START_COUNTS_S - ran) : 0;
-    const lost = spec.checkpointS > 0 ? spec.saveS + startS : ran;
-    const tasks = spec.shape === "gang" ? spec.tasks : 1;
-    return ((lost + 1) * tasks * (spec.need.cpu + spec.need.gpu * 10)) / 1000;
+    return plans.sort((a, b) => a.cost / a.slots - b.cost / b.slots);
   }
 
-  /** Have the operators an aim for when tasks of this job start? */
-  #startCounts(job: Job): boolean {
-    if (startObjectiveS(this.#ctx, job) !== null) return true;
-    return this.guaranteed.has(job) && guaranteedStartObjectiveS(this.#ctx) !== null;
+  /** Reserves the machines, stops the victims, and lets the job wait until they have ended. */
+  #carryOut({ job, maxSaveS }: PreemptionRequest, plans: readonly PreemptionPlan[]): void {
+    const { now, deployment } = this.#ctx;
+    const reason = `room for ${job.uid}`;
+    let graceS = 0;
+    for (const { machine, victims } of plans) {
+      machine.reservation = { job, isFirm: false, until: now + RESERVATION_MS };
+      job.reservationUntil = now + RESERVATION_MS;
+      for (const victim of victims) {
+        const { saveS, checkpointS, shape } = victim.job.spec;
+        const isSaveTooLong = maxSaveS !== null && saveS + HANDOVER_S > maxSaveS;
+        if (isSaveTooLong && checkpointS > 0 && shape !== "gang") {
+          this.#agents.stopTask(victim, 0, reason);
+          continue;
+        }
+        graceS = Math.max(graceS, saveS);
+        this.stopGracefully(victim, reason);
+      }
+    }
+    job.preemptionUntil = now + graceS * 1000 + deployment.heartbeatIntervalS * 2000;
   }
 
-  /** Stops a task, with time to save if it can; a gang is stopped as a whole. */
-  stopGracefully(placement: Placement, why: string): void {
+  /** Stops a task, with time for a checkpoint if it has any; a gang is stopped as a whole. */
+  stopGracefully(placement: Placement, reason: string): void {
+    const { job } = placement;
     this.#ctx.log("debug", "task stopped", {
-      job: placement.job.uid,
+      job: job.uid,
       task: placement.task,
       machine: placement.machine.name,
-      why,
+      reason,
     });
-    const { job } = placement;
     const graceS = job.spec.checkpointS > 0 ? Math.ceil(job.spec.saveS) + 1 : 0;
-    const group = job.spec.shape === "gang" ? [...job.placements.values()] : [placement];
-    for (const member of group) this.#fleet.stopTask(member, graceS, why);
+    const stopped = job.spec.shape === "gang" ? [...job.placements.values()] : [placement];
+    for (const member of stopped) this.#agents.stopTask(member, graceS, reason);
+  }
+}
+
+/** Takes plans, the cheapest first, until `count` tasks fit: in one zone or, with null, in all. */
+function choosePlans(
+  { job, count }: PreemptionRequest,
+  candidates: readonly PreemptionPlan[],
+  zone: string | null,
+): ChosenPlans {
+  const { spread } = job.spec;
+  const zoneLimit = maxTasksPerZone(job.spec);
+  const slotsByZone = new Map<string, number>();
+  const plans: PreemptionPlan[] = [];
+  let slots = 0;
+  for (const plan of candidates) {
+    if (slots >= count) break;
+    const planZone = plan.machine.zone;
+    if (zone !== null && planZone !== zone) continue;
+    const chosenInZone = slotsByZone.get(planZone) ?? 0;
+    let usable = Math.min(plan.slots, count - slots);
+    if (spread) usable = Math.min(usable, zoneLimit - (chosenInZone + job.countInZone(planZone)));
+    if (usable <= 0) continue;
+    slotsByZone.set(planZone, chosenInZone + usable);
+    slots += usable;
+    plans.push(plan);
   }
+  return { plans, slots };
 }
--- a/src/core/scheduling/queue-order.ts
+++ b/src/core/scheduling/queue-order.ts
@@ -1,184 +1,125 @@
 import type { Context } from "../context.js";
 import type { Job } from "../model/job.js";
-import type { Priority } from "../model/job-spec.js";
+import { guaranteedStartObjectiveS, jobAgeS, objectiveStanding } from "./objectives.js";
 
-/** The part of an aim's time after which a job that has missed an earlier one is hurried again. */
-const HURRY_PART = 0.6;
-/** For this long guaranteed work goes before more important work, if the operators have an aim for its start. */
-const GUARANTEE_S = 60;
+export { hasCompletionObjective } from "./objectives.js";
 
-/** After this long with nothing on a machine a job goes before its betters, whatever aims it has missed. */
-const AGED_S = 160;
-/** A job is to begin within four minutes. From here on, its image to be fetched, it hardly can. */
-const TOO_LATE_S = 200;
-/** What has missed that waits behind what can still make it, but not for ever. */
-const RESCUED_S = 420;
-/** From this priority on lesser work makes room. */
-const IMPORTANT = 2;
-/** Above all but guaranteed production work. */
-const AGED_RANK = 8;
+/** A job none of whose tasks has had a machine for longer than this is starving. */
+const STARVING_AFTER_S = 160;
+/**
+ * A job is to start within 240 s of its acceptance. One that has waited for this long hardly can, as its image is still to
+ * be fetched.
+ */
+const START_HOPELESS_AFTER_S = 200;
+/** From here on a job that has missed its start goes before later ones again: it must not wait for ever. */
+const START_RESCUED_AFTER_S = 420;
+
+/** The rank of a starving job: above all but guaranteed work of the highest priority. */
+const STARVING_RANK = 8;
+/** What one step of priority adds to a job's rank. */
+const RANKS_PER_PRIORITY = 2;
+/** What being within the guaranteed quota adds to the rank of a new job: more than one step of priority. */
+const NEW_GUARANTEED_BOOST = 3;
+/** The same later: less than one step of priority. */
+const GUARANTEED_BOOST = 1;
+/** A guaranteed job is new for this long or, if that is longer, until its start objective. */
+const NEW_GUARANTEED_S = 60;
+
+/** A job and its sort keys, the lower the earlier but for the rank. */
+interface QueueEntry {
+  readonly job: Job;
+  /** From priority, guaranteed quota and ageing; higher goes first. */
+  readonly rank: number;
+  /** An `ObjectiveStanding`. Of a starving job: 1 if it can't start in time any more, else 0. */
+  readonly standing: number;
+  /** Remaining work in seconds of task time. Of a starving job: its place among those of its class and team. */
+  readonly length: number;
+}
 
 /**
- * Shortest first and hopeless last let the largest jobs wait for ever under constant overload; with this each begins
- * within minutes. The wait counts from what is on record, so that it survives a change of leader.
+ * Has the job waited for too long? Ageing bounds the wait under constant overload, where an order of the shortest first and
+ * of missed objectives last would never start the largest jobs. The wait counts from times on record, so that it survives
+ * a failover.
  */
 export function isStarving(ctx: Context, job: Job): boolean {
-  return job.hasRoundRobinTurn || waitedS(ctx, job) > AGED_S;
+  return job.hasRoundRobinTurn || waitedS(ctx, job) > STARVING_AFTER_S;
 }
 
-/** How long nothing of a job has been on a machine. */
+/** For how many seconds no task of a job has had a machine. */
 function waitedS(ctx: Context, job: Job): number {
   if (job.placements.size > 0) return 0;
   return Math.min(ctx.wallMs - job.queuedSince, ctx.now - job.lastRanAt) / 1000;
 }
 
 /**
- * True for an aged job that can't begin in time any more. With more aged work than room, first come first served would
- * let every one of them begin too late.
+ * Has a starving job missed its start? It goes behind those that can still start in time: with more starving jobs than
+ * capacity, first come first served would start every one of them too late.
  */
 export function hasMissedStartDeadline(ctx: Context, job: Job): boolean {
-  const s = waitedS(ctx, job);
-  return s > TOO_LATE_S && s <= RESCUED_S;
+  const seconds = waitedS(ctx, job);
+  return seconds > START_HOPELESS_AFTER_S && seconds <= START_RESCUED_AFTER_S;
 }
 
-/** How much a job's aims press: 0 the next one can be met, 1 it has time after a missed one, 2 all are missed. */
-function pressure(ctx: Context, job: Job, ageS: number): 0 | 1 | 2 {
-  const { spec } = job;
-  // The tasks of an array begin one by one: those that still wait have an aim of their own, and may have missed it.
-  const started = spec.shape === "array" ? job.pending === 0 : job.countRunning() > 0;
-  let next: number | null = null;
-  let missed = false;
-  const consider = (dueS: number) => {
-    if (dueS <= ageS) missed = true;
-    else if (next === null || dueS < next) next = dueS;
-  };
-  // Alone on as many machines as it likes, a job takes at least one task's time.
-  const taskS = ctx.estimates.estimateS(spec);
-  if (job.effectiveDeadlineAt !== null) consider((job.effectiveDeadlineAt - job.queuedSince) / 1000 - taskS);
-  for (const { kind, jobClass, withinS } of ctx.deployment.objectives) {
-    if (jobClass !== spec.jobClass || withinS === null) continue;
-    if (kind === "finished") consider(withinS - taskS);
-    else if (kind === "wait" && !started) consider(withinS);
-  }
-  if (!missed) return 0;
-  if (next === null) return 2;
-  return ageS > next * HURRY_PART ? 0 : 1;
-}
-
-/** True for a job that can still meet its next aim, but has used up a good part of its time. */
-export function isDeadlineAtRisk(ctx: Context, job: Job): boolean {
-  const ageS = (ctx.wallMs - job.queuedSince) / 1000;
-  const withinS = startObjectiveS(ctx, job);
-  if (withinS !== null && ageS < withinS) return ageS > withinS * HURRY_PART;
-  return pressure(ctx, job, ageS) === 0;
-}
-
-/** A job before an important one that has this much time left beyond its own waits for places that come free. */
-const SLACK_S = 25;
-
 /**
- * The priority with which a job may have others stopped. What is important only because of a job that waits for it goes
- * first in any case; it stops others only when the time to that job's deadline gets short, as what is stopped often can't
- * save.
+ * What being within the guaranteed quota adds to a job's rank: a new job goes before work of the next higher priority,
+ * an older one only before its equals.
  */
-export function preemptionPriority(
-  ctx: Context,
-  { spec, effectivePriority: priority, effectiveDeadlineAt: dueAt }: Job,
-): Priority {
-  if (priority === spec.priority || dueAt === null) return priority;
-  const slackS = (dueAt - ctx.wallMs) / 1000 - ctx.estimates.estimateS(spec);
-  return slackS < SLACK_S ? priority : spec.priority;
-}
-
-/** Is the job so important that lesser work makes room? */
-export function mayPreempt(ctx: Context, job: Job): boolean {
-  return preemptionPriority(ctx, job) >= IMPORTANT;
-}
-
-/** The shortest time within which the operators want tasks of this job's class to start. */
-export function startObjectiveS(ctx: Context, job: Job): number | null {
-  let least: number | null = null;
-  for (const { kind, jobClass, withinS } of ctx.deployment.objectives) {
-    if (kind !== "wait" || jobClass !== job.spec.jobClass || withinS === null) continue;
-    if (least === null || withinS < least) least = withinS;
-  }
-  return least;
-}
-
-export function hasCompletionObjective(ctx: Context, job: Job): boolean {
-  if (job.effectiveDeadlineAt !== null) return true;
-  return ctx.deployment.objectives.some((o) => o.kind === "finished" && o.jobClass === job.spec.jobClass);
-}
-
-/** The time within which the operators want guaranteed work to start; null where they have no such aim. */
-export function guaranteedStartObjectiveS(ctx: Context): number | null {
-  const aim = ctx.deployment.objectives.find((o) => o.kind === "guarantee");
-  return aim ? (aim.withinS ?? 0) : null;
+function guaranteedBoost(ctx: Context, ageS: number): number {
+  const objectiveS = guaranteedStartObjectiveS(ctx) ?? 0;
+  return ageS <= Math.max(NEW_GUARANTEED_S, objectiveS) ? NEW_GUARANTEED_BOOST : GUARANTEED_BOOST;
 }
 
-/**
- * What is within its team's guarantee goes before more important work for some time after its acceptance;
- * later it only goes before its equals.
- */
-function guaranteeBoost(ctx: Context, ageS: number): number {
-  const aimS = guaranteedStartObjectiveS(ctx) ?? 0;
-  return ageS <= Math.max(GUARANTEE_S, aimS) ? 3 : 1;
+/** Seconds of task time that remain, by the corrected estimate. */
+function remainingWorkS(ctx: Context, job: Job): number {
+  return (job.spec.tasks - job.doneCount) * Math.max(1, ctx.estimates.estimateS(job.spec));
 }
 
-/**
- * A guaranteed array waits this part of the aim for places that come free by themselves before lesser work is stopped
- * for it: where hundreds of tasks end in a second nearly all of it begins in time, and nothing is thrown away.
- */
-const PATIENCE_PART = 0.4;
-
-export function isPreemptionDeferred(ctx: Context, job: Job): boolean {
-  if (job.spec.shape !== "array") return false;
-  const aimS = guaranteedStartObjectiveS(ctx) ?? 0;
-  return (ctx.wallMs - job.queuedSince) / 1000 < aimS * PATIENCE_PART;
+function queueEntry(
+  ctx: Context,
+  job: Job,
+  isGuaranteed: boolean,
+  turnPositions: ReadonlyMap<Job, number>,
+): QueueEntry {
+  const ageS = jobAgeS(ctx, job);
+  const rank = job.effectivePriority * RANKS_PER_PRIORITY + (isGuaranteed ? guaranteedBoost(ctx, ageS) : 0);
+  if (isStarving(ctx, job))
+    return {
+      job,
+      rank: Math.max(rank, STARVING_RANK),
+      standing: hasMissedStartDeadline(ctx, job) ? 1 : 0,
+      length: turnPositions.get(job) ?? 0,
+    };
+  return {
+    job,
+    rank,
+    standing: objectiveStanding(ctx, job, ageS),
+    length: job.spec.shape === "service" ? 0 : remainingWorkS(ctx, job),
+  };
 }
 
-/** Seconds of task time that are left, by the corrected estimate. */
-function leftS(ctx: Context, job: Job): number {
-  return (job.spec.tasks - job.doneCount) * Math.max(1, ctx.estimates.estimateS(job.spec));
+function compareEntries(a: QueueEntry, b: QueueEntry): number {
+  return (
+    b.rank - a.rank ||
+    a.standing - b.standing ||
+    a.length - b.length ||
+    a.job.queuedSince - b.job.queuedSince ||
+    a.job.index - b.job.index
+  );
 }
 
 /**
- * The order in which waiting jobs are served: by priority and whether its team's guarantee covers it,
- * then what can still be in time, then the shortest first, which gets the most jobs done in time. What has waited
- * for too long goes first.
+ * The order in which pending jobs are served: by priority, guaranteed quota and ageing; then what can still meet an
+ * objective; then the shortest first, which gets the most jobs done in time; then the oldest.
+ *
+ * `turnPositions` holds each job's place among those of its class and team; it is empty where fair admission is off.
  */
 export function sortQueue(
   ctx: Context,
   jobs: readonly Job[],
   guaranteed: ReadonlySet<Job>,
-  /** The place of each job among those of its class and team; all alike where turns don't count. */
-  places: ReadonlyMap<Job, number>,
+  turnPositions: ReadonlyMap<Job, number>,
 ): Job[] {
-  const wallNow = ctx.wallMs;
-  const keyed = jobs.map((job) => {
-    const ageS = (wallNow - job.queuedSince) / 1000;
-    const rank = job.effectivePriority * 2 + (guaranteed.has(job) ? guaranteeBoost(ctx, ageS) : 0);
-    if (isStarving(ctx, job))
-      return {
-        job,
-        rank: Math.max(rank, AGED_RANK),
-        late: hasMissedStartDeadline(ctx, job) ? 1 : 0,
-        left: places.get(job) ?? 0,
-      };
-    return {
-      job,
-      rank,
-      late: pressure(ctx, job, ageS),
-      left: job.spec.shape === "service" ? 0 : leftS(ctx, job),
-    };
-  });
-  keyed.sort(
-    (a, b) =>
-      b.rank - a.rank ||
-      a.late - b.late ||
-      a.left - b.left ||
-      a.job.queuedSince - b.job.queuedSince ||
-      a.job.index - b.job.index,
-  );
-  return keyed.map(({ job }) => job);
+  const entries = jobs.map((job) => queueEntry(ctx, job, guaranteed.has(job), turnPositions));
+  entries.sort(compareEntries);
+  return entries.map(({ job }) => job);
 }
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -2,85 +2,103 @@
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
 import type { Reservation } from "../model/placement.js";
-import type { Resources } from "../model/resources.js";
-import { add, NO_RESOURCES } from "../model/resources.js";
+import { add, NO_RESOURCES, type Resources } from "../model/resources.js";
 import { hasMissedStartDeadline } from "./queue-order.js";
 
-/** Renewed in each round for as long as the gang waits. */
-const HOLD_MS = 2000;
+/** Reservations are renewed in each round for as long as the gang is pending, and expire this long after the last. */
+const RESERVATION_MS = 2000;
 
-/** What is kept for gangs that wait: places in a zone, and what is left of a team's limit. */
+/** The remaining quota of a team, reserved for one gang. */
+interface QuotaReservation {
+  readonly job: Job;
+  readonly until: number;
+}
+
+/** What is reserved for pending gangs: machines, zone by zone, and the remaining quota of their teams. */
 export class Reservations {
   readonly #ctx: Context;
+  readonly #byZone = new Map<string, Reservation>();
+  readonly #quotaByTeam = new Map<string, QuotaReservation>();
 
   constructor(ctx: Context) {
     this.#ctx = ctx;
   }
 
   /**
-   * A gang that needs several places in one zone would never get them while smaller jobs take each one
-   * that comes free: the zone that is nearest to having them is held for it, free place by free place.
+   * Reserves feasible machines for a gang in the zones it can use: for one bound to a single zone, in that with the most of
+   * them. Otherwise smaller jobs would take each machine as it gets free, and the gang would never have enough at once.
+   *
+   * A firm reservation keeps out work of any priority; starving gangs get one. Of the other gangs only one at a time has
+   * reservations: two that each held part of the cluster would leave both parts idle.
    */
-  reserveZone(job: Job, firm: boolean, candidates: readonly Machine[]): void {
-    const { now } = this.#ctx;
-    // One gang a zone, and only one in all that is not aged: two that each held part of a zone kept a third of the
-    // machines idle. Aged ones hold a zone each: one after the other, the last waited for minutes more.
-    const other = (zone: string) => {
-      const holder = this.#zoneHolders.get(zone);
-      return holder && this.#keeps(holder, job) ? holder : null;
-    };
-    if (!firm && [...this.#zoneHolders.keys()].some(other)) return;
-    const free = new Map<string, Machine[]>();
-    for (const machine of candidates) {
-      if (other(machine.zone)?.isFirm) continue;
-      const list = free.get(machine.zone);
-      if (list) list.push(machine);
-      else free.set(machine.zone, [machine]);
-    }
-    // A zone once chosen is kept: what was gathered there would be lost with a change.
-    const kept = [...free.keys()].find((zone) => this.#zoneHolders.get(zone)?.job === job);
-    let zones = [...free.keys()];
-    if (job.spec.oneZone) {
-      const size = (zone: string) => free.get(zone)?.length ?? 0;
-      zones = kept ? [kept] : zones.sort((x, y) => size(y) - size(x)).slice(0, 1);
-    }
-    for (const zone of zones) {
-      this.#zoneHolders.set(zone, { job, isFirm: firm, until: now + HOLD_MS });
-      for (const machine of free.get(zone) ?? []) this.#hold(machine, job, firm);
+  reserveZone(job: Job, isFirm: boolean, feasible: readonly Machine[]): void {
+    if (!isFirm && this.#hasReservationOfOther(job)) return;
+    const machinesByZone = this.#groupByZone(job, feasible);
+    const until = this.#ctx.now + RESERVATION_MS;
+    for (const zone of this.#chooseZones(job, machinesByZone)) {
+      this.#byZone.set(zone, { job, isFirm, until });
+      for (const machine of machinesByZone.get(zone) ?? []) this.#reserveMachine(machine, job, isFirm);
     }
   }
 
-  readonly #zoneHolders = new Map<string, Reservation>();
+  /** Reserves what is left of its team's quota for a starving gang, unless another gang of the team has it. */
+  reserveQuota(job: Job): void {
+    const reservation = this.#quotaByTeam.get(job.spec.team);
+    if (reservation && this.#isHeldAgainst(reservation, job)) return;
+    this.#quotaByTeam.set(job.spec.team, { job, until: this.#ctx.now + RESERVATION_MS });
+  }
 
-  #hold(machine: Machine, job: Job, firm: boolean): void {
-    const held = machine.reservation;
-    if (held && this.#keeps(held, job) && (held.isFirm || !firm)) return;
-    const until = this.#ctx.now + HOLD_MS;
-    machine.reservation = { job, isFirm: firm, until };
-    job.reservationUntil = until;
+  /** The quota of its team that the job must leave to a starving gang. Services aren't bound by it. */
+  reservedQuota(job: Job): Resources {
+    const reservation = this.#quotaByTeam.get(job.spec.team);
+    if (!reservation || reservation.job === job || job.spec.shape === "service") return NO_RESOURCES;
+    if (reservation.until <= this.#ctx.now || reservation.job.pending === 0) return NO_RESOURCES;
+    return add(NO_RESOURCES, reservation.job.spec.need, reservation.job.pending);
   }
 
-  /** Does what is held for another stay so? Not what is held for a job that is too late, if this one is not. */
-  #keeps(held: { readonly job: Job; readonly until: number }, job: Job): boolean {
-    const ctx = this.#ctx;
-    if (held.job === job || held.until <= ctx.now || held.job.pending === 0) return false;
-    return !hasMissedStartDeadline(ctx, held.job) || hasMissedStartDeadline(ctx, job);
+  #hasReservationOfOther(job: Job): boolean {
+    for (const reservation of this.#byZone.values()) if (this.#isHeldAgainst(reservation, job)) return true;
+    return false;
   }
 
-  /** What is left of a team's limit is kept for an aged gang that needs more of it. */
-  readonly #limitHolders = new Map<string, { job: Job; until: number }>();
+  /** The feasible machines by zone, without the zones that are firmly reserved for another gang. */
+  #groupByZone(job: Job, feasible: readonly Machine[]): Map<string, Machine[]> {
+    const machinesByZone = new Map<string, Machine[]>();
+    for (const machine of feasible) {
+      const reservation = this.#byZone.get(machine.zone);
+      if (reservation?.isFirm && this.#isHeldAgainst(reservation, job)) continue;
+      const machines = machinesByZone.get(machine.zone);
+      if (machines) machines.push(machine);
+      else machinesByZone.set(machine.zone, [machine]);
+    }
+    return machinesByZone;
+  }
 
-  reserveQuota(job: Job): void {
-    const { now } = this.#ctx;
-    const holder = this.#limitHolders.get(job.spec.team);
-    if (holder && this.#keeps(holder, job)) return;
-    this.#limitHolders.set(job.spec.team, { job, until: now + HOLD_MS });
+  #chooseZones(job: Job, machinesByZone: ReadonlyMap<string, readonly Machine[]>): string[] {
+    const zones = [...machinesByZone.keys()];
+    if (!job.spec.oneZone) return zones;
+    // A zone once reserved is kept: with a change the machines gathered there would be lost.
+    const reserved = zones.find((zone) => this.#byZone.get(zone)?.job === job);
+    if (reserved) return [reserved];
+    const sizeOf = (zone: string) => machinesByZone.get(zone)?.length ?? 0;
+    return zones.sort((a, b) => sizeOf(b) - sizeOf(a)).slice(0, 1);
   }
 
-  reservedQuota(job: Job): Resources {
-    const holder = this.#limitHolders.get(job.spec.team);
-    if (!holder || holder.job === job || job.spec.shape === "service") return NO_RESOURCES;
-    if (holder.until <= this.#ctx.now || holder.job.pending === 0) return NO_RESOURCES;
-    return add(NO_RESOURCES, holder.job.spec.need, holder.job.pending);
+  #reserveMachine(machine: Machine, job: Job, isFirm: boolean): void {
+    const { reservation } = machine;
+    if (reservation && this.#isHeldAgainst(reservation, job) && (reservation.isFirm || !isFirm)) return;
+    const until = this.#ctx.now + RESERVATION_MS;
+    machine.reservation = { job, isFirm, until };
+    job.reservationUntil = until;
+  }
+
+  /**
+   * Is the reservation held against this job? Not if it has expired, or is for a job that can't start in time any more while
+   * this one can.
+   */
+  #isHeldAgainst(reservation: { readonly job: Job; readonly until: number }, job: Job): boolean {
+    const { job: holder, until } = reservation;
+    if (holder === job || until <= this.#ctx.now || holder.pending === 0) return false;
+    return !hasMissedStartDeadline(this.#ctx, holder) || hasMissedStartDeadline(this.#ctx, job);
   }
 }
--- a/src/core/scheduling/runtime-estimates.ts
+++ b/src/core/scheduling/runtime-estimates.ts
@@ -1,27 +1,37 @@
 import type { JobSpec } from "../model/job-spec.js";
 
-/** What a new observation weighs, at least; the first few weigh more. */
-const WEIGHT = 0.05;
-/** One odd task, or a class that was never what it said, must not turn decisions upside down. */
-const MOST = 4;
+/** The least weight of a new observation in the mean, a pure number; the first few of a class weigh more. */
+const MIN_OBSERVATION_WEIGHT = 0.05;
+/** The most by which an observation may exceed its estimate, or fall below it, so that one odd task can't skew a class. */
+const MAX_RATIO = 4;
+
+interface ClassCorrection {
+  /** The moving mean of the natural logarithm of actual over estimated run time. */
+  meanLogRatio: number;
+  observations: number;
+}
 
 /**
- * Owners' estimates are often wrong by half, and on some days mostly in one direction: they are corrected by class,
- * by the mean of the logarithm of what tasks took against what was said.
+ * Corrects the run time estimates of job owners, class by class. They are often wrong by half, and on some days mostly in
+ * one direction; the mean of the logarithms treats a factor too much and the same factor too little alike.
  */
 export class RuntimeEstimates {
-  readonly #byClass = new Map<string, { log: number; seen: number }>();
+  readonly #correctionByClass = new Map<string, ClassCorrection>();
 
-  observe({ jobClass, estimateS }: JobSpec, tookS: number): void {
-    if (estimateS <= 0 || tookS <= 0) return;
-    const ratio = Math.min(MOST, Math.max(1 / MOST, tookS / estimateS));
-    const entry = this.#byClass.get(jobClass) ?? { log: 0, seen: 0 };
-    entry.seen++;
-    entry.log += Math.max(WEIGHT, 1 / (entry.seen + 1)) * (Math.log(ratio) - entry.log);
-    this.#byClass.set(jobClass, entry);
+  /** Takes in the run time of a task that is done, in seconds. */
+  observe({ jobClass, estimateS }: JobSpec, actualS: number): void {
+    if (estimateS <= 0 || actualS <= 0) return;
+    const ratio = Math.min(MAX_RATIO, Math.max(1 / MAX_RATIO, actualS / estimateS));
+    const correction = this.#correctionByClass.get(jobClass) ?? { meanLogRatio: 0, observations: 0 };
+    correction.observations++;
+    correction.meanLogRatio +=
+      Math.max(MIN_OBSERVATION_WEIGHT, 1 / (correction.observations + 1)) *
+      (Math.log(ratio) - correction.meanLogRatio);
+    this.#correctionByClass.set(jobClass, correction);
   }
 
+  /** The corrected estimate for the run time of one task of the job, in seconds. */
   estimateS({ jobClass, estimateS }: JobSpec): number {
-    return estimateS * Math.exp(this.#byClass.get(jobClass)?.log ?? 0);
+    return estimateS * Math.exp(this.#correctionByClass.get(jobClass)?.meanLogRatio ?? 0);
   }
 }
