--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -3,196 +3,202 @@
 import type { Job } from "../model/job.js";
 import { type FinalRecord, KEYS, readFinal } from "../store/records.js";
 
-const CALL_MS = 2000;
-/** Final records that are read at a time, and how soon one that could not be read, or isn't there yet, is asked for again. */
-const READS = 4;
+const STORE_TIMEOUT_MS = 2000;
+const MAX_CONCURRENT_READS = 4;
+/** A final record that could not be read, or does not exist yet, is read again after this. */
 const RETRY_MS = 1000;
-/** Ends of jobs that are remembered, for those that will name them. */
-const ENDS_KEPT = 5000;
+/** Ended jobs that are kept for jobs submitted later that depend on them. */
+const MAX_ENDED_JOBS = 5000;
 
 /** How a job ended, by its final record. */
 export type JobEnd = Pick<FinalRecord, "state" | "at">;
 
+/** What the graph tells the leader's term. */
 export interface DependencyEvents {
-  /** Every job that this one needs is on record as done. */
+  /** All dependencies of the job are on record as done. */
   onDependenciesSatisfied(job: Job): void;
-  /** A job that this one needs is on record as cancelled. */
+  /** A dependency of the job is on record as cancelled, and so the job is to be cancelled. */
   onDependencyCancelled(job: Job): void;
 }
 
 /**
- * The jobs that wait for others. A job is released once all that it needs are on record as done, and is cancelled with
- * any of them; priority and deadline of the last jobs reach those before them. The graph has no cycles: a job names
- * only jobs accepted before it, and its dependencies never change.
+ * The job DAG. A job may start once all its dependencies are on record as done, and is cancelled with any of them.
+ * Priority and deadline are inherited in the other direction: a dependency is as urgent as its most urgent dependent.
+ *
+ * There are no cycles: a job names only jobs that were accepted before it, and its dependencies never change.
  */
 export class DependencyGraph {
   readonly #ctx: Context;
-  readonly #tables: ClusterState;
+  readonly #cluster: ClusterState;
   readonly #events: DependencyEvents;
-  /** The unfinished jobs that name a job, by its id, which may be unfinished, over, or not learned of yet. */
+  /** Unfinished dependents, by the uid of the dependency, which may be unfinished, ended, or not known yet. */
   readonly #dependents = new Map<string, Set<Job>>();
-  /** What each waiting job still needs. */
-  readonly #open = new Map<Job, Set<string>>();
-  readonly #ends = new Map<string, JobEnd>();
-  /** Jobs that are neither known as unfinished nor as over, and when their final record is to be read. */
-  readonly #unknown = new Map<string, number>();
-  #reading = 0;
-
-  constructor(ctx: Context, tables: ClusterState, events: DependencyEvents) {
+  /** The unmet dependencies of each job that waits. */
+  readonly #unmet = new Map<Job, Set<string>>();
+  /** By uid, the earliest learned first. */
+  readonly #endedJobs = new Map<string, JobEnd>();
+  /** Dependencies known neither as unfinished nor as ended, with the time when their final record is to be read. */
+  readonly #unknownReadAt = new Map<string, number>();
+  #readsInFlight = 0;
+
+  constructor(ctx: Context, cluster: ClusterState, events: DependencyEvents) {
     this.#ctx = ctx;
-    this.#tables = tables;
+    this.#cluster = cluster;
     this.#events = events;
   }
 
-  /** Takes in an unfinished job, whether or not it waits for others: others may wait for it. */
+  /** Adds an unfinished job, with or without dependencies of its own: later jobs may depend on it. */
   add(job: Job): void {
-    this.#unknown.delete(job.uid);
+    this.#unknownReadAt.delete(job.uid);
     job.dependentCount = this.#dependents.get(job.uid)?.size ?? 0;
-    const needs = job.spec.awaits ?? [];
-    if (needs.length > 0) this.#open.set(job, new Set(needs));
-    for (const uid of needs) this.#wait(job, uid);
-    this.#inherit(job);
-    // Each of these may end the waiting: what is known of them is looked at once the job waits for all.
-    for (const uid of needs) this.#lookAt(uid);
-  }
-
-  #wait(job: Job, uid: string): void {
-    let waiting = this.#dependents.get(uid);
-    if (!waiting) {
-      waiting = new Set();
-      this.#dependents.set(uid, waiting);
-    }
-    waiting.add(job);
-    const needed = this.#tables.jobByUid(uid);
-    if (needed) {
-      needed.dependentCount = waiting.size;
-      this.#inherit(needed);
+    const dependencies = job.spec.awaits ?? [];
+    if (dependencies.length > 0) this.#unmet.set(job, new Set(dependencies));
+    for (const uid of dependencies) this.#addDependent(uid, job);
+    this.#inheritUrgency(job);
+    // Only once all edges are there: each of these may satisfy the last dependency, or cancel the job.
+    for (const uid of dependencies) this.#resolve(uid);
+  }
+
+  #addDependent(uid: string, job: Job): void {
+    let dependents = this.#dependents.get(uid);
+    if (!dependents) {
+      dependents = new Set();
+      this.#dependents.set(uid, dependents);
     }
+    dependents.add(job);
+    this.#onDependentsChanged(uid, dependents);
+  }
+
+  #onDependentsChanged(uid: string, dependents: ReadonlySet<Job>): void {
+    const dependency = this.#cluster.jobByUid(uid);
+    if (!dependency) return;
+    dependency.dependentCount = dependents.size;
+    this.#inheritUrgency(dependency);
   }
 
-  #lookAt(uid: string): void {
-    const needed = this.#tables.jobByUid(uid);
-    const end = this.#ends.get(uid);
+  /** Applies what is known of a dependency, or has its final record read. */
+  #resolve(uid: string): void {
+    const dependency = this.#cluster.jobByUid(uid);
+    const end = this.#endedJobs.get(uid);
     if (end) this.#settle(uid, end);
-    else if (needed?.state === "cancelled") this.onJobCancelled(needed);
-    else if (!needed) this.#unknown.set(uid, this.#ctx.now);
+    else if (dependency?.state === "cancelled") this.onJobCancelled(dependency);
+    else if (!dependency) this.#unknownReadAt.set(uid, this.#ctx.now);
   }
 
-  /** A job whose tasks have begun had been released: an earlier leader knew. */
+  /** A task of the job has started, so an earlier leader knew that its dependencies were satisfied. */
   onJobBegun(job: Job): void {
     job.dependenciesSatisfied = true;
   }
 
-  /** The job is on record as over. */
+  /** The job's final record is written. */
   onJobEnded(job: Job, end: JobEnd): void {
-    this.#ends.delete(job.uid);
-    this.#ends.set(job.uid, end);
-    if (this.#ends.size > ENDS_KEPT) {
-      const oldest = this.#ends.keys().next();
-      if (!oldest.done) this.#ends.delete(oldest.value);
+    this.#endedJobs.delete(job.uid);
+    this.#endedJobs.set(job.uid, end);
+    if (this.#endedJobs.size > MAX_ENDED_JOBS) {
+      const oldest = this.#endedJobs.keys().next();
+      if (!oldest.done) this.#endedJobs.delete(oldest.value);
     }
-    this.#leave(job);
+    this.#removeDependent(job);
     this.#settle(job.uid, end);
   }
 
-  /** True if the job has lately been learned to be over. */
+  /** True if the job was lately learned to have ended. */
   isKnownEnded(uid: string): boolean {
-    return this.#ends.has(uid);
+    return this.#endedJobs.has(uid);
   }
 
-  /** The job is on record as cancelled, or needs one that is: so are all that need it. */
+  /** The job is on record as cancelled, or depends on one that is: its dependents are cancelled with it. */
   onJobCancelled(job: Job): void {
     for (const dependent of [...(this.#dependents.get(job.uid) ?? [])])
       this.#events.onDependencyCancelled(dependent);
-    // What it passed on to those before it goes with it.
-    this.#leave(job);
+    // Its own dependencies no longer inherit from it.
+    this.#removeDependent(job);
   }
 
+  /** A dependency has ended: applies that to all its dependents. */
   #settle(uid: string, { state, at }: JobEnd): void {
-    this.#unknown.delete(uid);
+    this.#unknownReadAt.delete(uid);
     for (const job of [...(this.#dependents.get(uid) ?? [])]) {
       if (state === "cancelled") this.#events.onDependencyCancelled(job);
-      else this.#done(job, uid, at ?? 0);
+      else this.#onDependencyDone(job, uid, at ?? 0);
     }
     this.#dependents.delete(uid);
   }
 
-  #done(job: Job, uid: string, at: number): void {
-    job.queuedSince = Math.max(job.queuedSince, at);
-    const open = this.#open.get(job);
-    open?.delete(uid);
-    if (!open || open.size > 0) return;
-    this.#open.delete(job);
+  #onDependencyDone(job: Job, uid: string, doneAt: number): void {
+    job.queuedSince = Math.max(job.queuedSince, doneAt);
+    const unmet = this.#unmet.get(job);
+    unmet?.delete(uid);
+    if (!unmet || unmet.size > 0) return;
+    this.#unmet.delete(job);
     if (job.state !== "active") return;
-    const waited = !job.dependenciesSatisfied;
+    const wasWaiting = !job.dependenciesSatisfied;
     job.dependenciesSatisfied = true;
-    if (waited) this.#events.onDependenciesSatisfied(job);
+    if (wasWaiting) this.#events.onDependenciesSatisfied(job);
   }
 
-  /** The job waits no longer, for whatever reason. */
-  #leave(job: Job): void {
-    this.#open.delete(job);
+  /** Removes a job that waits no longer from the dependents of all its dependencies. */
+  #removeDependent(job: Job): void {
+    this.#unmet.delete(job);
     for (const uid of job.spec.awaits ?? []) {
-      const waiting = this.#dependents.get(uid);
-      if (!waiting?.delete(job)) continue;
-      if (waiting.size === 0) {
+      const dependents = this.#dependents.get(uid);
+      if (!dependents?.delete(job)) continue;
+      if (dependents.size === 0) {
         this.#dependents.delete(uid);
-        this.#unknown.delete(uid);
+        this.#unknownReadAt.delete(uid);
       }
-      const needed = this.#tables.jobByUid(uid);
-      if (!needed) continue;
-      needed.dependentCount = waiting.size;
-      this.#inherit(needed);
+      this.#onDependentsChanged(uid, dependents);
     }
   }
 
-  /** Works out what those that wait for a job make of it and, if that changes it, of those before it. */
-  #inherit(job: Job): void {
+  /** Computes a job's effective priority and deadline from its dependents and, if they change, those of its dependencies. */
+  #inheritUrgency(job: Job): void {
     const { spec, acceptedAt } = job;
     let { priority } = spec;
-    let dueAt = spec.deadlineS === null ? null : acceptedAt + spec.deadlineS * 1000;
+    let deadlineAt = spec.deadlineS === null ? null : acceptedAt + spec.deadlineS * 1000;
     for (const dependent of this.#dependents.get(job.uid) ?? []) {
       if (dependent.state !== "active") continue;
       if (dependent.effectivePriority > priority) priority = dependent.effectivePriority;
       if (dependent.effectiveDeadlineAt === null) continue;
-      const latest = dependent.effectiveDeadlineAt - this.#ctx.estimates.estimateS(dependent.spec) * 1000;
-      dueAt = dueAt === null ? latest : Math.min(dueAt, latest);
+      const latestEndAt =
+        dependent.effectiveDeadlineAt - this.#ctx.estimates.estimateS(dependent.spec) * 1000;
+      deadlineAt = deadlineAt === null ? latestEndAt : Math.min(deadlineAt, latestEndAt);
     }
-    if (priority === job.effectivePriority && dueAt === job.effectiveDeadlineAt) return;
+    if (priority === job.effectivePriority && deadlineAt === job.effectiveDeadlineAt) return;
     job.effectivePriority = priority;
-    job.effectiveDeadlineAt = dueAt;
+    job.effectiveDeadlineAt = deadlineAt;
     for (const uid of spec.awaits ?? []) {
-      const needed = this.#tables.jobByUid(uid);
-      if (needed) this.#inherit(needed);
+      const dependency = this.#cluster.jobByUid(uid);
+      if (dependency) this.#inheritUrgency(dependency);
     }
   }
 
-  /** What a waiting job still needs, for the operators. */
+  /** The uids of the dependencies that are not known to be done; empty for a job that may start. */
   unmetDependencies(job: Job): readonly string[] {
-    return [...(this.#open.get(job) ?? [])];
+    return [...(this.#unmet.get(job) ?? [])];
   }
 
-  /** Reads the final records that waiting jobs need, a few at a time. */
+  /** Reads the final records of unknown dependencies, a few at a time. */
   tick(): void {
     const { now } = this.#ctx;
-    for (const [uid, at] of this.#unknown) {
-      if (this.#reading >= READS) return;
-      if (now < at) continue;
-      if (this.#tables.jobByUid(uid) || !this.#dependents.has(uid)) this.#unknown.delete(uid);
-      else this.#read(uid);
+    for (const [uid, readAt] of this.#unknownReadAt) {
+      if (this.#readsInFlight >= MAX_CONCURRENT_READS) return;
+      if (now < readAt) continue;
+      if (this.#cluster.jobByUid(uid) || !this.#dependents.has(uid)) this.#unknownReadAt.delete(uid);
+      else this.#readFinalRecord(uid);
     }
   }
 
-  #read(uid: string): void {
-    this.#reading++;
-    this.#unknown.set(uid, Number.POSITIVE_INFINITY);
-    this.#ctx.callStore({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (answer) => {
-      this.#reading--;
-      if (!this.#unknown.has(uid)) return;
-      const end = answer.kind === "found" ? readFinal(answer.entry.value) : null;
-      // Not over: its own record is on its way here.
+  #readFinalRecord(uid: string): void {
+    this.#readsInFlight++;
+    this.#unknownReadAt.set(uid, Number.POSITIVE_INFINITY);
+    this.#ctx.callStore({ kind: "get", key: KEYS.final(uid) }, STORE_TIMEOUT_MS, (response) => {
+      this.#readsInFlight--;
+      if (!this.#unknownReadAt.has(uid)) return;
+      const end = response.kind === "found" ? readFinal(response.entry.value) : null;
+      // Without a final record the job is unfinished, and the job watch is about to bring its record.
       if (end) this.#settle(uid, end);
-      else this.#unknown.set(uid, this.#ctx.now + RETRY_MS);
+      else this.#unknownReadAt.set(uid, this.#ctx.now + RETRY_MS);
     });
   }
 }
--- a/src/core/jobs/job-lookup.ts
+++ b/src/core/jobs/job-lookup.ts
@@ -3,197 +3,221 @@
 import type { JobStatus } from "../messages/users.js";
 import { type JobRecord, KEYS, readFinal, readJob } from "../store/records.js";
 
-const CALL_MS = 1500;
-const FINALS_KEPT = 20_000;
-const VERSIONS_KEPT = 20_000;
-
-/** What the state service says of a job; null when it could not be asked. */
-export type Found =
-  | {
-      readonly kind: "active";
-      readonly item: StoreEntry;
-      readonly record: JobRecord;
-    }
-  | { readonly kind: "over"; readonly end: KnownEnd }
-  | { readonly kind: "notFound" }
-  | null;
+const STORE_TIMEOUT_MS = 1500;
+const MAX_ENDED_JOBS = 20_000;
+const MAX_JOB_VERSIONS = 20_000;
 
-/** A job's final state, which never changes. */
-export interface KnownEnd {
+/** How a job ended, by its final record. It never changes, so it may be cached without limit of time. */
+export interface EndedJob {
   readonly cancelled: boolean;
   readonly tasks: number;
   readonly service: boolean;
 }
 
-/** An unfinished job as this node last read it. */
-interface Seen {
+/** A job that the store has a record or a final record of, and so was accepted. */
+export type FoundJob =
+  | { readonly kind: "active"; readonly entry: StoreEntry; readonly record: JobRecord }
+  | { readonly kind: "ended"; readonly end: EndedJob };
+
+/** The result of reading a job from the store. `notFound` proves that the job was never accepted. */
+export type JobLookupResult = FoundJob | { readonly kind: "notFound" } | { readonly kind: "unavailable" };
+
+/** The result of reading one of several jobs. */
+export interface JobLookupEntry {
+  readonly uid: string;
+  readonly result: JobLookupResult;
+}
+
+/** An unfinished job as of the version that this node last read or wrote. */
+interface CachedJob {
   readonly version: number;
   readonly cancelled: boolean;
   readonly service: boolean;
   readonly awaits: readonly string[];
 }
 
-/** What the answer about a job rests on. */
-export type Basis =
-  /** Its final state: this never changes. */
-  | { readonly kind: "over"; readonly end: KnownEnd }
-  /** Cancelled, by its own record or that of a job it needs: this never changes. */
+/** What this node's cache can say of a job, and what has to be verified in the store before it may be answered. */
+export type CachedAnswer =
+  /** The job has ended. Final: needs no verification. */
+  | { readonly kind: "ended"; readonly end: EndedJob }
+  /** Cancelled, by its own record or that of a dependency. Final: needs no verification. */
   | { readonly kind: "cancelled" }
-  /** Neither, as long as these versions are still the present ones. */
-  | { readonly kind: "versions"; readonly conditions: readonly VersionCondition[] }
-  /** Something of it has not been read by this node. */
-  | { readonly kind: "unread" };
+  /** Neither, provided that these keys still have these versions. */
+  | { readonly kind: "unverified"; readonly conditions: readonly VersionCondition[] }
+  /** The job, or one of its dependencies, has not been read by this node. */
+  | { readonly kind: "unknown" };
+
+const UNAVAILABLE: JobLookupResult = { kind: "unavailable" };
 
 /**
- * Reads jobs from the state service, and remembers what may be: final states, and the versions of unfinished jobs. A job
- * counts as cancelled with any job that it needs, directly or through others: that is derived from the records on every
- * node, and so depends on no leader.
+ * Reads jobs from the store and caches what is safe to cache: final states, and versions of unfinished jobs that a later
+ * comparison can verify. A job counts as cancelled if any job in its dependency graph is. Every node derives this from
+ * the records alone, so the answer does not depend on which node leads (I8).
  */
 export class JobLookup {
   readonly #ctx: Context;
-  /** Oldest first. */
-  readonly #finals = new Map<string, KnownEnd>();
-  readonly #seen = new Map<string, Seen>();
+  /** By uid, least recently read first. */
+  readonly #endedJobs = new Map<string, EndedJob>();
+  /** By uid, least recently read first. */
+  readonly #cachedJobs = new Map<string, CachedJob>();
 
   constructor(ctx: Context) {
     this.#ctx = ctx;
   }
 
-  /** Whether a job that was accepted is a service; undefined if this node has not read it. */
+  /** Whether an accepted job is a service; undefined if this node has not read it. */
   isService(uid: string): boolean | undefined {
-    return this.#finals.get(uid)?.service ?? this.#seen.get(uid)?.service;
+    return this.#endedJobs.get(uid)?.service ?? this.#cachedJobs.get(uid)?.service;
   }
 
-  /** Of the jobs that an unfinished one names, those that this node doesn't know as over. */
-  unfinishedNeeds(uid: string): readonly string[] {
-    return (this.#seen.get(uid)?.awaits ?? []).filter((need) => !this.#finals.has(need));
+  /** The dependencies of an unfinished job that this node does not know to have ended. */
+  unfinishedDependencies(uid: string): readonly string[] {
+    return (this.#cachedJobs.get(uid)?.awaits ?? []).filter((dependency) => !this.#endedJobs.has(dependency));
   }
 
-  /** Takes note of a record that this node has read or written. */
-  note(uid: string, version: number, { state, spec }: JobRecord): void {
-    this.#seen.delete(uid);
-    this.#seen.set(uid, {
+  /** Caches the record of an unfinished job that this node has read or written at `version`. */
+  cacheRecord(uid: string, version: number, { state, spec }: JobRecord): void {
+    this.#cachedJobs.delete(uid);
+    this.#cachedJobs.set(uid, {
       version,
       cancelled: state === "cancelled",
       service: spec.shape === "service",
       awaits: spec.awaits ?? [],
     });
-    trim(this.#seen, VERSIONS_KEPT);
+    evictOldest(this.#cachedJobs, MAX_JOB_VERSIONS);
   }
 
   /**
-   * Reads a job's key, then its final one: a job moves from the first to the second in one transaction,
-   * so whoever finds neither, in this order, has proof that it was never accepted.
+   * Reads a job's record, then its final record. One transaction replaces the first by the second, so a reader that
+   * finds neither, in this order, has proof that the job was never accepted.
    */
-  find(uid: string, then: (found: Found) => void): void {
-    this.#ctx.callStore({ kind: "get", key: KEYS.job(uid) }, CALL_MS, (answer) => {
-      if (answer.kind === "found") {
-        const record = readJob(answer.entry.value);
-        if (record) this.note(uid, answer.entry.version, record);
-        then(record ? { kind: "active", item: answer.entry, record } : null);
-      } else if (answer.kind === "notFound") {
-        this.#findFinal(uid, then);
-      } else {
-        then(null);
-      }
+  find(uid: string, onResult: (result: JobLookupResult) => void): void {
+    this.#ctx.callStore({ kind: "get", key: KEYS.job(uid) }, STORE_TIMEOUT_MS, (response) => {
+      if (response.kind === "found") onResult(this.#cacheActive(uid, response.entry));
+      else if (response.kind === "notFound") this.#findFinal(uid, onResult);
+      else onResult(UNAVAILABLE);
     });
   }
 
-  #findFinal(uid: string, then: (found: Found) => void): void {
-    this.#ctx.callStore({ kind: "get", key: KEYS.final(uid) }, CALL_MS, (final) => {
-      if (final.kind === "notFound") then({ kind: "notFound" });
-      else if (final.kind !== "found") then(null);
-      else then(this.#remember(uid, final.entry));
+  #findFinal(uid: string, onResult: (result: JobLookupResult) => void): void {
+    this.#ctx.callStore({ kind: "get", key: KEYS.final(uid) }, STORE_TIMEOUT_MS, (response) => {
+      if (response.kind === "notFound") onResult({ kind: "notFound" });
+      else if (response.kind === "found") onResult(this.#cacheEnded(uid, response.entry));
+      else onResult(UNAVAILABLE);
     });
   }
 
-  #remember(uid: string, item: StoreEntry): Found {
-    this.#seen.delete(uid);
-    const record = readFinal(item.value);
-    if (!record) return null;
+  #cacheActive(uid: string, entry: StoreEntry): JobLookupResult {
+    const record = readJob(entry.value);
+    if (!record) return UNAVAILABLE;
+    this.cacheRecord(uid, entry.version, record);
+    return { kind: "active", entry, record };
+  }
+
+  #cacheEnded(uid: string, entry: StoreEntry): JobLookupResult {
+    this.#cachedJobs.delete(uid);
+    const record = readFinal(entry.value);
+    if (!record) return UNAVAILABLE;
     const { state, tasks, service = false } = record;
     const end = { cancelled: state === "cancelled", tasks, service };
-    this.#finals.set(uid, end);
-    trim(this.#finals, FINALS_KEPT);
-    return { kind: "over", end };
+    this.#endedJobs.set(uid, end);
+    evictOldest(this.#endedJobs, MAX_ENDED_JOBS);
+    return { kind: "ended", end };
+  }
+
+  /** Reads several jobs at once. The results come together, in the order in which the store answered. */
+  findAll(uids: readonly string[], onResults: (results: readonly JobLookupEntry[]) => void): void {
+    const results: JobLookupEntry[] = [];
+    if (uids.length === 0) onResults(results);
+    for (const uid of uids) {
+      this.find(uid, (result) => {
+        results.push({ uid, result });
+        if (results.length === uids.length) onResults(results);
+      });
+    }
   }
 
   /**
-   * Is this unfinished job cancelled, with what it needs taken into account? Everything that isn't final is read anew;
-   * null if that could not be done.
+   * Whether an unfinished job is cancelled, by itself or through its dependencies. All that is not final is read again;
+   * null if something could not be read.
    */
-  isCancelled({ state, spec }: JobRecord, then: (cancelled: boolean | null) => void): void {
-    if (state === "cancelled") then(true);
-    else this.#anyCancelled(spec.awaits ?? [], new Set([spec.uid]), then);
+  isCancelled({ state, spec }: JobRecord, onResult: (cancelled: boolean | null) => void): void {
+    if (state === "cancelled") onResult(true);
+    else this.#isAnyCancelled(spec.awaits ?? [], new Set([spec.uid]), onResult);
   }
 
-  #anyCancelled(
+  /** Goes through the dependency graph level by level; `visited` are the jobs of the levels before. */
+  #isAnyCancelled(
     uids: readonly string[],
     visited: Set<string>,
-    then: (cancelled: boolean | null) => void,
+    onResult: (cancelled: boolean | null) => void,
   ): void {
-    const unfinished: string[] = [];
-    for (const uid of uids) {
-      if (visited.has(uid)) continue;
+    const level = uids.filter((uid) => {
+      const isNew = !visited.has(uid);
       visited.add(uid);
-      const end = this.#finals.get(uid);
-      if (end?.cancelled) {
-        then(true);
-        return;
-      }
-      if (!end) unfinished.push(uid);
+      return isNew;
+    });
+    if (level.some((uid) => this.#endedJobs.get(uid)?.cancelled)) {
+      onResult(true);
+      return;
     }
+    const unfinished = level.filter((uid) => !this.#endedJobs.has(uid));
     if (unfinished.length === 0) {
-      then(false);
+      onResult(false);
       return;
     }
-    const needed: string[] = [];
-    let waiting = unfinished.length;
-    let [cancelled, unread] = [false, false];
-    for (const uid of unfinished) {
-      this.find(uid, (found) => {
-        if (found?.kind === "active") {
-          cancelled ||= found.record.state === "cancelled";
-          needed.push(...(found.record.spec.awaits ?? []));
-        } else if (found?.kind === "over") cancelled ||= found.end.cancelled;
-        else unread = true;
-        if (--waiting > 0) return;
-        if (cancelled) then(true);
-        else if (unread) then(null);
-        else this.#anyCancelled(needed, visited, then);
-      });
-    }
+    this.findAll(unfinished, (entries) => {
+      const results = entries.map(({ result }) => result);
+      if (results.some(hasCancelledRecord)) onResult(true);
+      // What an accepted job depends on was accepted before it: a dependency that is not there was not read properly.
+      else if (!results.every(isFoundJob)) onResult(null);
+      else this.#isAnyCancelled(results.flatMap(dependenciesOf), visited, onResult);
+    });
   }
 
-  /** What an answer about a job that this node has read rests on, without asking the state service. */
-  basis(uid: string): Basis {
-    const known = this.#finals.get(uid);
-    if (known) return { kind: "over", end: known };
+  /** What the cache can say of a job, without a request to the store. */
+  cachedAnswer(uid: string): CachedAnswer {
+    const ended = this.#endedJobs.get(uid);
+    if (ended) return { kind: "ended", end: ended };
     const conditions: VersionCondition[] = [];
     const visited = new Set<string>();
-    const open = [uid];
-    for (let next = open.pop(); next !== undefined; next = open.pop()) {
+    const pending = [uid];
+    for (let next = pending.pop(); next !== undefined; next = pending.pop()) {
       if (visited.has(next)) continue;
       visited.add(next);
-      const end = this.#finals.get(next);
-      const seen = this.#seen.get(next);
-      if (end?.cancelled || seen?.cancelled) return { kind: "cancelled" };
+      const end = this.#endedJobs.get(next);
+      const cached = this.#cachedJobs.get(next);
+      if (end?.cancelled || cached?.cancelled) return { kind: "cancelled" };
       if (end) continue;
-      if (!seen) return { kind: "unread" };
-      conditions.push({ key: KEYS.job(next), version: seen.version });
-      open.push(...seen.awaits);
+      if (!cached) return { kind: "unknown" };
+      conditions.push({ key: KEYS.job(next), version: cached.version });
+      pending.push(...cached.awaits);
     }
-    return { kind: "versions", conditions };
+    return { kind: "unverified", conditions };
   }
 }
 
-export function viewOfEnd(uid: string, { cancelled, tasks }: KnownEnd): JobStatus {
+/** The status that users are shown of a job that has ended. */
+export function statusOfEnded(uid: string, { cancelled, tasks }: EndedJob): JobStatus {
   return { uid, phase: cancelled ? "cancelled" : "done", done: cancelled ? 0 : tasks, running: 0 };
 }
 
-/** Drops the oldest entry of a map that has grown too large. */
-function trim(map: Map<string, unknown>, most: number): void {
-  if (map.size <= most) return;
+function isFoundJob(result: JobLookupResult): result is FoundJob {
+  return result.kind === "active" || result.kind === "ended";
+}
+
+function hasCancelledRecord(result: JobLookupResult): boolean {
+  if (result.kind === "active") return result.record.state === "cancelled";
+  return result.kind === "ended" && result.end.cancelled;
+}
+
+function dependenciesOf(job: FoundJob): readonly string[] {
+  return job.kind === "active" ? (job.record.spec.awaits ?? []) : [];
+}
+
+/** Drops the oldest entry of a map that has grown beyond its bound by one. */
+function evictOldest(map: Map<string, unknown>, maxEntries: number): void {
+  if (map.size <= maxEntries) return;
   const oldest = map.keys().next();
   if (!oldest.done) map.delete(oldest.value);
 }
--- /dev/null
+++ b/src/core/jobs/job-status-reader.ts
@@ -0,0 +1,37 @@
+import type { JobStatus } from "../messages/users.js";
+import { type FoundJob, type JobLookup, statusOfEnded } from "./job-lookup.js";
+import type { Counts } from "./progress-counts.js";
+
+/** The display counts of a job; null if this node has none. */
+export type ProgressOf = (uid: string) => Counts | null;
+
+/** Composes the status of jobs as users see it, from their records and the progress counts for display. */
+export class JobStatusReader {
+  readonly #lookup: JobLookup;
+  readonly #progressOf: ProgressOf;
+
+  constructor(lookup: JobLookup, progressOf: ProgressOf) {
+    this.#lookup = lookup;
+    this.#progressOf = progressOf;
+  }
+
+  /** The status of a job that was just read. Null if one of its dependencies could not be read. */
+  read(uid: string, job: FoundJob, onStatus: (status: JobStatus | null) => void): void {
+    if (job.kind === "ended") {
+      onStatus(statusOfEnded(uid, job.end));
+      return;
+    }
+    this.#lookup.isCancelled(job.record, (cancelled) => {
+      onStatus(cancelled === null ? null : this.unfinishedStatus(uid, cancelled));
+    });
+  }
+
+  /** The status of a job without a final record. `cancelled` includes cancellation through a dependency. */
+  unfinishedStatus(uid: string, cancelled: boolean): JobStatus {
+    const { done, running } = this.#progressOf(uid) ?? { done: 0, running: 0 };
+    if (cancelled) return { uid, phase: "cancelled", done, running };
+    const status = { uid, phase: running > 0 ? "running" : "queued", done, running } as const;
+    const awaits = this.#lookup.unfinishedDependencies(uid);
+    return awaits.length > 0 ? { ...status, awaits } : status;
+  }
+}
--- a/src/core/jobs/progress-publisher.ts
+++ b/src/core/jobs/progress-publisher.ts
@@ -1,45 +1,48 @@
 import type { Context } from "../context.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
+import type { Counts } from "./progress-counts.js";
 
-const INTERVAL_MS = 1000;
+const PUBLISH_INTERVAL_MS = 1000;
 
-type Row = readonly [uid: string, done: number, running: number];
+type ProgressRow = readonly [uid: string, done: number, running: number];
 
-/** Tells the other nodes how far jobs are, for display: what has changed, once a second. */
+/** Publishes the progress of jobs from the leader to its peers, for display: what has changed, once a second. */
 export class ProgressPublisher {
   readonly #ctx: Context;
-  readonly #tables: ClusterState;
-  /** What was last told of each job. */
-  readonly #told = new Map<string, { readonly done: number; readonly running: number }>();
-  #sentAt = 0;
+  readonly #cluster: ClusterState;
+  /** The counts last published, by uid. */
+  readonly #published = new Map<string, Counts>();
+  #publishedAt = 0;
 
-  constructor(ctx: Context, tables: ClusterState) {
+  constructor(ctx: Context, cluster: ClusterState) {
     this.#ctx = ctx;
-    this.#tables = tables;
+    this.#cluster = cluster;
   }
 
+  /** Drops the counts of a job that has ended. */
   forget({ uid }: Job): void {
-    this.#told.delete(uid);
+    this.#published.delete(uid);
   }
 
+  /** Publishes what has changed, if the interval has passed. */
   tick(): void {
     const { now, deployment } = this.#ctx;
-    if (now - this.#sentAt < INTERVAL_MS) return;
-    this.#sentAt = now;
-    const rows = this.#changed();
+    if (now - this.#publishedAt < PUBLISH_INTERVAL_MS) return;
+    this.#publishedAt = now;
+    const rows = this.#changedRows();
     if (rows.length === 0) return;
     for (const to of deployment.peers)
       this.#ctx.emit({ kind: "sendToPeer", to, message: { kind: "progress", rows } });
   }
 
-  #changed(): Row[] {
-    const rows: Row[] = [];
-    for (const job of this.#tables.jobs.values()) {
+  #changedRows(): ProgressRow[] {
+    const rows: ProgressRow[] = [];
+    for (const job of this.#cluster.jobs.values()) {
       const [done, running] = [job.doneCount, job.countRunning()];
-      const told = this.#told.get(job.uid);
-      if (told?.done === done && told.running === running) continue;
-      this.#told.set(job.uid, { done, running });
+      const published = this.#published.get(job.uid);
+      if (published?.done === done && published.running === running) continue;
+      this.#published.set(job.uid, { done, running });
       rows.push([job.uid, done, running]);
     }
     return rows;
--- a/src/core/jobs/rejection-batch.ts
+++ b/src/core/jobs/rejection-batch.ts
@@ -1,64 +1,68 @@
 import type { Context } from "../context.js";
 import type { UserResponse } from "../messages/users.js";
 import { KEYS } from "../store/records.js";
+import type { RejectionResponse } from "./responses.js";
 
-const CALL_MS = 1500;
-/** That a job is unknown takes two conditions. */
-const CONDITIONS_EACH = 2;
+const STORE_TIMEOUT_MS = 1500;
+/** Neither key of an unknown job exists: the one of its record, and the one of its final record. */
+const CONDITIONS_PER_JOB = 2;
 
 /** A submission that is turned away, unless its job is known already. */
 export interface Rejection {
   readonly uid: string;
-  readonly response: UserResponse;
-  readonly respond: (answer: UserResponse) => void;
+  readonly response: RejectionResponse;
+  readonly respond: (response: UserResponse) => void;
 }
 
+/** What becomes of rejections that can't be sent as they are. */
 export interface RejectionEvents {
-  /** The job may be known: what is on record decides. */
-  onPossiblyKnown(refused: Rejection): void;
-  /** The state service could not be asked. */
-  onStoreUnavailable(refused: Rejection): void;
+  /** The job may have been accepted before: its records decide. */
+  onPossiblyKnown(rejection: Rejection): void;
+  /** The store could not be asked. */
+  onStoreUnavailable(rejection: Rejection): void;
 }
 
 /**
- * Turns submissions away, many with one comparison: under overload a read or two for each would cost the state service
- * more than accepting them.
+ * Rejects submissions in batches, with one comparison for many: under overload, reading one or two keys for each would
+ * cost the store more than accepting them.
  */
 export class RejectionBatch {
   readonly #ctx: Context;
   readonly #events: RejectionEvents;
-  #gathered: Rejection[] = [];
+  #pending: Rejection[] = [];
 
   constructor(ctx: Context, events: RejectionEvents) {
     this.#ctx = ctx;
     this.#events = events;
   }
 
-  add(refused: Rejection): void {
-    this.#gathered.push(refused);
-    if (this.#gathered.length >= this.#most) this.flush();
+  /** Adds a rejection; a full batch is sent at once. */
+  add(rejection: Rejection): void {
+    this.#pending.push(rejection);
+    if (this.#pending.length >= this.#maxSize) this.flush();
   }
 
-  get #most(): number {
-    return Math.floor(this.#ctx.limits.txnConditions / CONDITIONS_EACH);
+  get #maxSize(): number {
+    return Math.floor(this.#ctx.limits.txnConditions / CONDITIONS_PER_JOB);
   }
 
-  /** Those whose jobs have neither key were never accepted. */
+  /** Sends the batch: a job with neither key was never accepted, and its submission is rejected. */
   flush(): void {
-    const refused = this.#gathered;
-    this.#gathered = [];
-    if (refused.length === 0) return;
-    const conditions = refused.flatMap(({ uid }) => [
+    const rejections = this.#pending;
+    this.#pending = [];
+    if (rejections.length === 0) return;
+    const conditions = rejections.flatMap(({ uid }) => [
       { key: KEYS.job(uid), version: 0 },
       { key: KEYS.final(uid), version: 0 },
     ]);
-    this.#ctx.callStore({ kind: "transaction", conditions, changes: [] }, CALL_MS, (result) => {
-      const found = new Set(result.kind === "conflict" ? result.failed : []);
-      for (const one of refused) {
-        if (result.kind !== "ok" && result.kind !== "conflict") this.#events.onStoreUnavailable(one);
-        else if (found.has(KEYS.job(one.uid)) || found.has(KEYS.final(one.uid)))
-          this.#events.onPossiblyKnown(one);
-        else one.respond(one.response);
+    this.#ctx.callStore({ kind: "transaction", conditions, changes: [] }, STORE_TIMEOUT_MS, (result) => {
+      const existingKeys = new Set(result.kind === "conflict" ? result.failed : []);
+      for (const rejection of rejections) {
+        const { uid, response, respond } = rejection;
+        if (result.kind !== "ok" && result.kind !== "conflict") this.#events.onStoreUnavailable(rejection);
+        else if (existingKeys.has(KEYS.job(uid)) || existingKeys.has(KEYS.final(uid)))
+          this.#events.onPossiblyKnown(rejection);
+        else respond(response);
       }
     });
   }
