--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,72 +1,78 @@
 import type { Context } from "../core/context.js";
-import type { AdmissionNote, AdmissionReport, AdmissionSlice } from "./messages.js";
-import { SliceIssuer, targetOf } from "./permit-issuer.js";
-import { Permits } from "./permits.js";
+import type { AdmissionNote, AdmissionReport, PermitLease } from "./messages.js";
+import { PermitIssuer, targetPermits } from "./permit-issuer.js";
+import { PermitPool } from "./permit-pool.js";
 import { type AdmissionPolicy, policyOf, type TeamPolicy } from "./policy.js";
-import { Promises } from "./retry-reservations.js";
+import { RetryReservations } from "./retry-reservations.js";
 
-/** Where there is room only when other jobs end, nothing can be promised: it is worth asking again after this. */
-const ROOM_WAIT_S = 10;
-/** The times of so many reports are kept, for slices that answer them. */
+/** The Retry-After where capacity comes only when other jobs end: nothing can be reserved. */
+const RETRY_AFTER_FULL_S = 10;
+/** The sending times of this many reports are kept, for the leases that answer them. */
 const REPORTS_KEPT = 8;
-/** A leader that has been heard within this time without a word of admission is of a version, or a setting, without it. */
+/** A leader heard within this time, but without an admission message, has it switched off or is of an older version. */
 const LEADER_FRESH_MS = 3500;
+/** Peak demand decays by this factor with each heartbeat, as submissions come in bursts. */
+const DEMAND_DECAY = 0.8;
 
+/** Whether a submission is admitted. */
 export type Decision =
-  | { readonly kind: "take"; readonly spent: boolean }
-  /** Not now: come back after so many seconds. */
+  /** Admitted. `permitSpent` is false where no permit of this node was needed. */
+  | { readonly kind: "take"; readonly permitSpent: boolean }
+  /** Rejected for now: to be repeated after so many seconds. */
   | { readonly kind: "wait"; readonly afterS: number };
 
-/** By what a node decides at the moment. */
+/** What a node's decisions rest on at the moment. */
 export type AdmissionMode =
   /** The permits that the leader issued. */
   | "slice"
-  /** Each team's floor: no slice has come for a while. */
+  /** Each team's guaranteed minimum, as no permit lease is valid. */
   | "floor"
-  /** Everything is taken, as the leader issues no slices. */
+  /** Every submission is admitted, as the leader issues no permits. */
   | "open";
 
-/** What was asked lately fades by this much with each heartbeat: submissions come in bursts. */
-const FADE = 0.8;
-
 interface TeamCounts {
-  /** Since the last heartbeat. */
-  asked: number;
-  /** The most that was asked in a heartbeat lately. */
-  level: number;
+  /** Submissions since the last heartbeat. */
+  submitted: number;
+  /** Peak of submissions in a heartbeat lately. */
+  peakDemand: number;
   admitted: number;
   refused: number;
-  lastWaitS: number;
+  lastRetryAfterS: number;
 }
 
-/** What a leader is asked for when it issues slices. */
-export interface Load {
-  /** Unfinished jobs of each team. */
+/** What a leader is asked for when it issues permits. */
+export interface LoadSource {
+  /** Unfinished jobs by team. */
   openJobs(): ReadonlyMap<string, number>;
 }
 
 /**
- * Which submissions this node accepts now. Every node spends only permits that it holds; the leader issues them, by one
- * policy for all. Repeats of accepted jobs, cancellations, questions, reports and renewals are no part of this.
+ * Fair admission: which submissions this node accepts now. Every node spends only permits that it holds, and the leader
+ * issues them by one policy for all. Repeated submissions of accepted jobs, cancellations, polls, agents' heartbeats and
+ * lease renewals are not subject to it. No safety rule depends on it: a wrong count admits too many jobs or too few.
  */
 export class Admission {
   readonly #ctx: Context;
-  readonly #process: string;
-  readonly #permits = new Permits();
-  readonly #promises = new Promises();
+  /** This node's incarnation. */
+  readonly #incarnation: string;
+  readonly #permits = new PermitPool();
+  readonly #reservations = new RetryReservations();
   readonly #counts = new Map<string, TeamCounts>();
-  readonly #sentAt = new Map<number, number>();
+  /** When the last reports were sent, by sequence number. */
+  readonly #reportSentAt = new Map<number, number>();
   #sequence = 0;
-  #issuer: SliceIssuer | null = null;
-  #slices: ReadonlyMap<string, AdmissionSlice> = new Map();
-  /** When each peer was last heard, and whether it spoke of admission. */
-  readonly #peers = new Map<string, { readonly at: number; readonly takesPart: boolean }>();
+  /** Null while this node may not issue permits. */
+  #issuer: PermitIssuer | null = null;
+  /** The leases to send with the next heartbeats, by node. */
+  #leases: ReadonlyMap<string, PermitLease> = new Map();
+  /** When each peer was last heard, and whether its heartbeat had an admission message. */
+  readonly #peers = new Map<string, { readonly heardAt: number; readonly hasAdmission: boolean }>();
   #leader: string | null = null;
   #report: AdmissionReport;
 
-  constructor(ctx: Context, process: string) {
+  constructor(ctx: Context, incarnation: string) {
     this.#ctx = ctx;
-    this.#process = process;
+    this.#incarnation = incarnation;
     this.#permits.tick(this.#policy, ctx.now);
     this.#report = this.#makeReport();
   }
@@ -75,125 +81,139 @@
     return policyOf(this.#ctx.settings, this.#ctx.deployment);
   }
 
+  /** What decisions rest on at the moment. */
   get mode(): AdmissionMode {
     const { now, deployment } = this.#ctx;
     if (this.#permits.isValid(now)) return "slice";
     if (this.#leader === null || this.#leader === deployment.node) return "floor";
-    const peer = this.#peers.get(this.#leader);
-    const isOpen = peer !== undefined && now - peer.at < LEADER_FRESH_MS && !peer.takesPart;
+    const leader = this.#peers.get(this.#leader);
+    const isOpen = leader !== undefined && now - leader.heardAt < LEADER_FRESH_MS && !leader.hasAdmission;
     return isOpen ? "open" : "floor";
   }
 
-  /** Decides about a submission that this node does not know as accepted, and spends a permit if it is taken. */
+  /** Decides on a submission that this node does not know as accepted, and spends a permit if it is admitted. */
   decide(uid: string, team: string): Decision {
     const { now } = this.#ctx;
     const counts = this.#countsOf(team);
-    counts.asked++;
-    const promised = this.#promises.keep(uid, now);
-    const free = this.#permits.available(team, now) - this.#promises.bound(team, now);
-    if (promised !== null || free >= 1 || this.mode === "open") {
-      // A promise of another node's is paid for there; where everything is taken nothing is.
-      const spent = promised === "own" || (promised === null && free >= 1);
-      if (spent) this.#permits.spend(team, now);
+    counts.submitted++;
+    const reservation = this.#reservations.redeem(uid, now);
+    const unbound = this.#permits.available(team, now) - this.#reservations.boundPermits(team, now);
+    if (reservation !== null || unbound >= 1 || this.mode === "open") {
+      // The permit for another node's reservation is spent there; in open mode there may be none to spend.
+      const permitSpent = reservation === "own" || (reservation === null && unbound >= 1);
+      if (permitSpent) this.#permits.spend(team, now);
       counts.admitted++;
-      return { kind: "take", spent };
+      return { kind: "take", permitSpent };
     }
     counts.refused++;
-    const ratePerS = this.#rateOf(team);
-    counts.lastWaitS = ratePerS > 0 ? this.#promises.waitS(uid, team, ratePerS, now) : ROOM_WAIT_S;
-    return { kind: "wait", afterS: counts.lastWaitS };
+    counts.lastRetryAfterS = this.#reserve(uid, team);
+    return { kind: "wait", afterS: counts.lastRetryAfterS };
   }
 
-  /** What was taken was known already, or could not be written: the permit, if one was spent, is given back. */
-  notAccepted(team: string, spent: boolean): void {
-    if (spent) this.#permits.unspend(team, this.#ctx.now);
-    this.#countsOf(team).admitted--;
+  #reserve(uid: string, team: string): number {
+    const ratePerS = this.#ratePerS(team);
+    return ratePerS > 0 ? this.#reservations.reserve(uid, team, ratePerS, this.#ctx.now) : RETRY_AFTER_FULL_S;
   }
 
-  /** The rate at which this node can promise places; 0 where that depends on when other jobs end. */
-  #rateOf(team: string): number {
+  /** The rate at which this node can make reservations; 0 where that depends on when other jobs end. */
+  #ratePerS(team: string): number {
     if (this.#permits.isValid(this.#ctx.now)) return this.#permits.ratePerS(team);
-    return this.#policy.teams.find(({ name }) => name === team)?.floorRate ?? 0;
+    return this.#policy.teams.find(({ name }) => name === team)?.minimumRatePerS ?? 0;
   }
 
-  /** Once before each heartbeat: what came in since is reported, and a leader issues slices. */
-  tick(leader: string | null, token: number | null, load: Load): void {
-    const { now, deployment } = this.#ctx;
+  /** Reverts a decision: the job was accepted before, or could not be written. */
+  rollBack(team: string, permitSpent: boolean): void {
+    if (permitSpent) this.#permits.refund(team, this.#ctx.now);
+    this.#countsOf(team).admitted--;
+  }
+
+  /**
+   * To be called before each heartbeat: makes this node's report and, while it leads, issues permits. `token` is the
+   * fencing token of its term, or null if it may not issue permits.
+   */
+  tick(leader: string | null, token: number | null, load: LoadSource): void {
+    const { now } = this.#ctx;
     this.#leader = leader;
     const policy = this.#policy;
     this.#permits.tick(policy, now);
-    this.#promises.sweep(now);
+    this.#reservations.removeExpired(now);
     for (const counts of this.#counts.values()) {
-      counts.level = Math.max(counts.asked, Math.floor(counts.level * FADE));
-      counts.asked = 0;
+      counts.peakDemand = Math.max(counts.submitted, Math.floor(counts.peakDemand * DEMAND_DECAY));
+      counts.submitted = 0;
     }
-    for (const { name } of policy.teams) this.#permits.giveBack(name, this.#mostHeld(name));
+    for (const { name } of policy.teams) this.#permits.releaseBeyond(name, this.#maxHeld(name));
     this.#report = this.#makeReport();
     if (token === null) {
       this.#issuer = null;
-      this.#slices = new Map();
-      return;
-    }
-    if (this.#issuer?.token !== token) this.#issuer = new SliceIssuer(token, policy, now);
-    this.#issuer.heard(deployment.node, this.#report, now);
-    this.#slices = this.#issuer.issue(policy, load.openJobs(), deployment.peers.length + 1, now);
-    const own = this.#slices.get(deployment.node);
-    if (own) this.#take(own);
+      this.#leases = new Map();
+    } else this.#issue(token, policy, load);
+  }
+
+  #issue(fencingToken: number, policy: AdmissionPolicy, load: LoadSource): void {
+    const { now, deployment } = this.#ctx;
+    if (this.#issuer?.fencingToken !== fencingToken)
+      this.#issuer = new PermitIssuer(fencingToken, policy, now);
+    this.#issuer.onReport(deployment.node, this.#report, now);
+    const nodeCount = deployment.peers.length + 1;
+    this.#leases = this.#issuer.issue({ policy, openJobs: load.openJobs(), nodeCount, now });
+    const own = this.#leases.get(deployment.node);
+    if (own) this.#applyLease(own);
   }
 
-  #mostHeld(team: string): number {
-    return targetOf(this.#countsOf(team).level) + this.#promises.bound(team, this.#ctx.now);
+  #maxHeld(team: string): number {
+    const target = targetPermits(this.#countsOf(team).peakDemand);
+    return target + this.#reservations.boundPermits(team, this.#ctx.now);
   }
 
   #makeReport(): AdmissionReport {
     const { now } = this.#ctx;
     this.#sequence++;
-    this.#sentAt.set(this.#sequence, now);
-    this.#sentAt.delete(this.#sequence - REPORTS_KEPT);
+    this.#reportSentAt.set(this.#sequence, now);
+    this.#reportSentAt.delete(this.#sequence - REPORTS_KEPT);
     const teams = this.#policy.teams.map(({ name: team }) => ({
       team,
-      asked: this.#countsOf(team).level,
+      asked: this.#countsOf(team).peakDemand,
       held: this.#permits.held(team),
-      promised: this.#promises.waiting(team),
+      promised: this.#reservations.countOwn(team),
       spent: this.#permits.spent(team),
     }));
-    const { slice, token: sliceToken } = this.#permits;
     return {
-      process: this.#process,
+      process: this.#incarnation,
       sequence: this.#sequence,
-      slice,
-      sliceToken,
+      slice: this.#permits.leaseId,
+      sliceToken: this.#permits.fencingToken,
       teams,
-      promises: this.#promises.takeUntold(now),
-      kept: this.#promises.takeKept(),
+      promises: this.#reservations.takeUnannounced(now),
+      kept: this.#reservations.takeRedeemedOfPeers(),
     };
   }
 
-  /** What a heartbeat to this peer carries. */
+  /** The admission message of the next heartbeat to a peer. */
   noteFor(peer: string): AdmissionNote {
-    return { report: this.#report, slice: this.#slices.get(peer) };
+    return { report: this.#report, slice: this.#leases.get(peer) };
   }
 
-  /** A heartbeat has come, with or without a word of admission. */
+  /** A heartbeat of a peer has come; `note` is its admission message, undefined if it has none. */
   heard(from: string, note: AdmissionNote | undefined): void {
     const { now } = this.#ctx;
-    this.#peers.set(from, { at: now, takesPart: note !== undefined });
+    this.#peers.set(from, { heardAt: now, hasAdmission: note !== undefined });
     if (!note) return;
-    this.#issuer?.heard(from, note.report, now);
-    this.#promises.heard(note.report.promises, now);
+    this.#issuer?.onReport(from, note.report, now);
+    this.#reservations.addOfPeer(note.report.promises, now);
     for (const uid of note.report.kept) {
-      const team = this.#promises.keptElsewhere(uid);
+      const team = this.#reservations.onRedeemedByPeer(uid);
       if (team !== null) this.#permits.spend(team, now);
     }
-    if (note.slice) this.#take(note.slice);
+    if (note.slice) this.#applyLease(note.slice);
   }
 
-  #take(slice: AdmissionSlice): void {
-    const askedAt = this.#sentAt.get(slice.answers);
-    if (askedAt !== undefined) this.#permits.take(slice, askedAt);
+  /** Applies a lease, unless the report that it answers is so old that its sending time was dropped. */
+  #applyLease(lease: PermitLease): void {
+    const reportedAt = this.#reportSentAt.get(lease.answers);
+    if (reportedAt !== undefined) this.#permits.apply(lease, reportedAt);
   }
 
-  /** For the status. */
+  /** The admission part of the node's status. */
   status(): Record<string, unknown> {
     const { mode, rate, openJobs, teams } = this.report();
     const rounded = Math.round(rate * 100) / 100;
@@ -205,50 +225,57 @@
     };
   }
 
-  /** For the metrics. */
+  /** The state of admission, for metrics and status. */
   report(): AdmissionStatus {
     const { now } = this.#ctx;
     const policy = this.#policy;
     return {
       mode: this.mode,
       rate: policy.rate,
-      openJobs: policy.openJobs,
+      openJobs: policy.maxOpenJobs,
       teams: policy.teams.map((team) => this.#teamStatus(team, now)),
     };
   }
 
   #teamStatus({ name, weight }: TeamPolicy, now: number): TeamStatus {
-    const { admitted, refused, lastWaitS } = this.#countsOf(name);
+    const { admitted, refused, lastRetryAfterS } = this.#countsOf(name);
     const available = this.#permits.available(name, now);
-    return { name, weight, available, admitted, refused, waiting: this.#promises.waiting(name), lastWaitS };
+    const waiting = this.#reservations.countOwn(name);
+    return { name, weight, available, admitted, refused, waiting, lastWaitS: lastRetryAfterS };
   }
 
   #countsOf(team: string): TeamCounts {
     let counts = this.#counts.get(team);
     if (!counts) {
-      counts = { asked: 0, level: 0, admitted: 0, refused: 0, lastWaitS: 0 };
+      counts = { submitted: 0, peakDemand: 0, admitted: 0, refused: 0, lastRetryAfterS: 0 };
       this.#counts.set(team, counts);
     }
     return counts;
   }
 }
 
+/** The state of admission at this node. */
 export interface AdmissionStatus {
   readonly mode: AdmissionMode;
+  /** Jobs accepted a second by all nodes together, at most. */
   readonly rate: number;
+  /** Unfinished jobs of all teams up to which new ones are accepted. */
   readonly openJobs: number;
   readonly teams: readonly TeamStatus[];
 }
 
+/** One team's part in an {@link AdmissionStatus}. */
 export interface TeamStatus {
   readonly name: string;
   readonly weight: number;
   /** What could be accepted at this moment. */
   readonly available: number;
+  /** Submissions accepted since the node started. */
   readonly admitted: number;
+  /** Submissions rejected since the node started. */
   readonly refused: number;
-  /** Submissions that were told to come back. */
+  /** Retry reservations that stand. */
   readonly waiting: number;
-  /** What the last one that was refused was told, in seconds. */
+  /** The last Retry-After that was told, in seconds; 0 before the first. */
   readonly lastWaitS: number;
 }
--- a/src/admission/messages.ts
+++ b/src/admission/messages.ts
@@ -1,60 +1,68 @@
 /**
- * What the nodes say to each other about admission, as an optional part of their heartbeats: the version before ignores
- * it. Times are durations, so that clocks need not agree.
+ * What nodes tell each other about admission, as an optional part of their heartbeats that older versions ignore.
+ * Times are durations, so that no two clocks need to agree. The field names are words of the wire: these messages are
+ * sent as they are.
  */
 
-/** A node to its peers. Only the leader makes use of counts and permits; promises concern every node. */
+/** From a node to its peers. Demand and permits concern the leader alone, reservations concern every node. */
 export interface AdmissionReport {
-  /** Another one after each start of the node: its counts begin anew. */
+  /** The node's incarnation: another one after each start, whose counts begin at zero. */
   readonly process: string;
-  /** Counts this process's reports; a slice names the one that it answers. */
+  /** Numbers the reports of this incarnation; a permit lease names the report that it answers. */
   readonly sequence: number;
-  /** The last slice that the node has taken over, and the token it was issued under; 0 before the first. */
+  /** The last permit lease that the node applied, with its fencing token; 0 before the first. */
   readonly slice: number;
   readonly sliceToken: number;
   readonly teams: readonly TeamReport[];
-  /** New promises: a submission that was refused may come back after so many milliseconds, to any node. */
-  readonly promises: readonly PromiseReport[];
-  /** Promises of other nodes that this one has kept: the permit is spent by the node that gave it. */
+  /** New retry reservations: a rejected submission may be repeated in so many milliseconds, at any node. */
+  readonly promises: readonly ReservationNotice[];
+  /** Submissions accepted here on a reservation of another node, which spends the permit. */
   readonly kept: readonly string[];
 }
 
+/** One team's demand and permits at a node. */
 export interface TeamReport {
   readonly team: string;
-  /** The most submissions that lately asked to be accepted between two reports. */
+  /** Peak demand: the most submissions that lately asked for admission between two reports. */
   readonly asked: number;
-  /** Permits that the node holds; below 0 where it has kept promises beyond them. */
+  /** Unspent permits; below 0 where the node has honoured reservations beyond its permits. */
   readonly held: number;
-  /** Submissions that it has told to come back, and for which it keeps permits or will. */
+  /** Reservations of this node that stand; it keeps permits for them, or will. */
   readonly promised: number;
-  /** Permits spent since the process started. */
+  /** Permits spent since the incarnation started. */
   readonly spent: number;
 }
 
-export interface PromiseReport {
+/** A retry reservation, as peers learn of it. */
+export interface ReservationNotice {
   readonly uid: string;
+  /** Milliseconds until the submission may be repeated. */
   readonly inMs: number;
 }
 
-/** The leader to one node: permits added to those that it holds, and how long all of them are valid. */
-export interface AdmissionSlice {
+/** From the leader to one node: permits that are added to those it holds, and the time to live of all of them. */
+export interface PermitLease {
+  /** The leader's fencing token. */
   readonly token: number;
   readonly id: number;
-  /** The sequence of the report that it answers: the node counts `lifeMs` from when it sent that one. */
+  /** The sequence number of the report that it answers: `lifeMs` counts from when the node sent that report. */
   readonly answers: number;
   readonly lifeMs: number;
-  readonly permits: readonly TeamSlice[];
+  readonly permits: readonly TeamPermits[];
 }
 
-export interface TeamSlice {
+/** The part of a permit lease that concerns one team. */
+export interface TeamPermits {
   readonly team: string;
+  /** Permits added. */
   readonly count: number;
-  /** How many jobs of the team the node can expect to be let in a second; 0 where that depends on when others end. */
+  /** Admissions a second that the node can expect from now on; 0 where they depend on when other jobs end. */
   readonly ratePerS: number;
 }
 
+/** The admission part of a heartbeat. */
 export interface AdmissionNote {
   readonly report: AdmissionReport;
-  /** Absent in what a node sends that does not lead. */
-  readonly slice?: AdmissionSlice | undefined;
+  /** Present in heartbeats of the leader only. */
+  readonly slice?: PermitLease | undefined;
 }
--- a/src/admission/retry-reservations.ts
+++ b/src/admission/retry-reservations.ts
@@ -1,125 +1,132 @@
-import type { PromiseReport } from "./messages.js";
+import type { ReservationNotice } from "./messages.js";
 
-/** Users come back after 30 s at the latest, and as soon as a second later. */
-export const LONGEST_WAIT_S = 30;
-/** A place in a line is promised for so long ahead: who is told to wait longer is told that there is none yet. */
-export const LONGEST_PROMISE_S = LONGEST_WAIT_S - 1;
-export const SHORTEST_WAIT_S = 1;
-/** `Retry-After` is in whole seconds: who keeps to it comes at most this much before the time, or this much after. */
-const EARLY_MS = 200;
-const LATE_MS = 5000;
-/** A promise binds permits from so long before it is due. */
-const BOUND_MS = 1000;
-const COUNT_MS = 100;
-const MOST_PROMISES = 4096;
-/** Promises told to the peers in one report; the rest goes with the next ones. */
-const MOST_TOLD = 200;
+/** The longest Retry-After: where it is told, nothing is reserved. */
+export const MAX_RETRY_AFTER_S = 30;
+/** How far ahead reservations are made; beyond it the queue is full. */
+export const MAX_RESERVATION_S = MAX_RETRY_AFTER_S - 1;
+const MIN_RETRY_AFTER_S = 1;
+/** Retry-After is in whole seconds: who keeps to it comes at most this much before the time, or this much after. */
+const EARLY_TOLERANCE_MS = 200;
+const LATE_TOLERANCE_MS = 5000;
+/** Permits are kept for a reservation from this long before it is due. */
+const BINDING_LEAD_MS = 1000;
+/** Bound permits are counted again only after this long. */
+const COUNT_MAX_AGE_MS = 100;
+const MAX_RESERVATIONS = 4096;
+/** New and redeemed reservations in one report each; the rest follows with the next ones. */
+const MAX_NOTICES = 200;
 
-interface Promised {
+interface Reservation {
   readonly team: string;
   readonly dueAt: number;
-  /** False for one that another node gave: its permits are bound there. */
+  /** False for a reservation of another node, which keeps the permit for it. */
   readonly isOwn: boolean;
 }
 
 /**
- * When those that were refused may come back. Each refused submission has a place in its team's line; from the time that
- * it was told on, a permit is kept for it by the node that promised, and any node takes it.
+ * When rejected submissions may be repeated. Each has a place in its team's queue at the node that rejected it. From the
+ * time of that place on the node keeps a permit for the submission, and every node accepts it.
  */
-export class Promises {
-  readonly #byUid = new Map<string, Promised>();
-  /** When the next place in a team's line comes up. */
-  readonly #nextAt = new Map<string, number>();
-  readonly #untold: string[] = [];
-  readonly #kept: string[] = [];
-  /** Counted at most so often: there may be thousands. */
-  readonly #boundCounts = new Map<string, { readonly at: number; count: number }>();
+export class RetryReservations {
+  readonly #byUid = new Map<string, Reservation>();
+  /** The time of the next free place in each team's queue. */
+  readonly #nextDueAt = new Map<string, number>();
+  readonly #unannounced: string[] = [];
+  readonly #redeemedOfPeers: string[] = [];
+  /** Counts of bound permits by team. Kept for a moment, as there may be thousands of reservations. */
+  readonly #boundCounts = new Map<string, { readonly countedAt: number; count: number }>();
 
-  /** Keeps the promise given to this submission, if its time has come; tells whose promise it was. */
-  keep(uid: string, now: number): "own" | "other" | null {
-    const promised = this.#byUid.get(uid);
-    if (!promised || now < promised.dueAt - EARLY_MS || now > promised.dueAt + LATE_MS) return null;
-    this.#settle(uid, promised);
-    if (promised.isOwn) return "own";
-    this.#kept.push(uid);
+  /** Redeems the reservation of a submission, if it has one that is due. Returns whose reservation it was. */
+  redeem(uid: string, now: number): "own" | "other" | null {
+    const reservation = this.#byUid.get(uid);
+    if (!reservation) return null;
+    const { dueAt, isOwn } = reservation;
+    if (now < dueAt - EARLY_TOLERANCE_MS || now > dueAt + LATE_TOLERANCE_MS) return null;
+    this.#remove(uid, reservation);
+    if (isOwn) return "own";
+    this.#redeemedOfPeers.push(uid);
     return "other";
   }
 
-  /** A peer has kept a promise; returns the team whose permit is to be spent here, if it was given here. */
-  keptElsewhere(uid: string): string | null {
-    const promised = this.#byUid.get(uid);
-    if (!promised) return null;
-    this.#settle(uid, promised);
-    return promised.isOwn ? promised.team : null;
+  /** A peer has redeemed a reservation. Returns the team whose permit is to be spent here, if it was made here. */
+  onRedeemedByPeer(uid: string): string | null {
+    const reservation = this.#byUid.get(uid);
+    if (!reservation) return null;
+    this.#remove(uid, reservation);
+    return reservation.isOwn ? reservation.team : null;
   }
 
-  #settle(uid: string, { team, isOwn }: Promised): void {
+  #remove(uid: string, { team, isOwn }: Reservation): void {
     this.#byUid.delete(uid);
-    const counted = this.#boundCounts.get(team);
-    if (isOwn && counted && counted.count > 0) counted.count--;
+    const bound = this.#boundCounts.get(team);
+    if (isOwn && bound && bound.count > 0) bound.count--;
   }
 
-  /** The promises of others that were kept here since this was last asked. */
-  takeKept(): string[] {
-    return this.#kept.splice(0, MOST_TOLD);
+  /** Takes the peers' reservations that were redeemed here and not reported yet. */
+  takeRedeemedOfPeers(): string[] {
+    return this.#redeemedOfPeers.splice(0, MAX_NOTICES);
   }
 
-  /** Permits of a team that are kept for promises which are due, or about to be. */
-  bound(team: string, now: number): number {
+  /** Permits of a team that are kept for reservations which are due, or about to be. */
+  boundPermits(team: string, now: number): number {
     const known = this.#boundCounts.get(team);
-    if (known && now - known.at < COUNT_MS) return known.count;
+    if (known && now - known.countedAt < COUNT_MAX_AGE_MS) return known.count;
     let count = 0;
-    for (const { team: of, dueAt, isOwn } of this.#byUid.values())
-      if (isOwn && of === team && dueAt - now <= BOUND_MS) count++;
-    this.#boundCounts.set(team, { at: now, count });
+    for (const reservation of this.#byUid.values())
+      if (reservation.isOwn && reservation.team === team && reservation.dueAt - now <= BINDING_LEAD_MS)
+        count++;
+    this.#boundCounts.set(team, { countedAt: now, count });
     return count;
   }
 
   /**
-   * How many seconds a submission is to wait, where its team is accepted at this rate. The same submission, back too
-   * early, is told the same time. Where the line is longer than anybody waits nothing is promised.
+   * The Retry-After of a rejected submission in seconds, with a reservation at that time. Its team must have an admission
+   * rate above 0. A submission repeated early keeps its reservation. Where the queue is full nothing is reserved.
    */
-  waitS(uid: string, team: string, ratePerS: number, now: number): number {
+  reserve(uid: string, team: string, ratePerS: number, now: number): number {
     const known = this.#byUid.get(uid);
-    if (known && known.dueAt >= now) return wholeSeconds(known.dueAt - now);
-    const earliest = now + SHORTEST_WAIT_S * 1000;
-    const dueAt = Math.max(earliest, this.#nextAt.get(team) ?? 0);
-    if (dueAt - now > LONGEST_PROMISE_S * 1000 || this.#byUid.size >= MOST_PROMISES) return LONGEST_WAIT_S;
-    this.#nextAt.set(team, dueAt + 1000 / ratePerS);
+    if (known && known.dueAt >= now) return toRetryAfterS(known.dueAt - now);
+    const earliestAt = now + MIN_RETRY_AFTER_S * 1000;
+    const dueAt = Math.max(earliestAt, this.#nextDueAt.get(team) ?? 0);
+    const isFull = dueAt - now > MAX_RESERVATION_S * 1000 || this.#byUid.size >= MAX_RESERVATIONS;
+    if (isFull) return MAX_RETRY_AFTER_S;
+    this.#nextDueAt.set(team, dueAt + 1000 / ratePerS);
     this.#byUid.set(uid, { team, dueAt, isOwn: true });
-    this.#untold.push(uid);
-    return wholeSeconds(dueAt - now);
+    this.#unannounced.push(uid);
+    return toRetryAfterS(dueAt - now);
   }
 
-  /** What the peers have not been told yet. */
-  takeUntold(now: number): PromiseReport[] {
-    return this.#untold.splice(0, MOST_TOLD).flatMap((uid) => {
-      const promised = this.#byUid.get(uid);
-      return promised ? [{ uid, inMs: Math.max(0, Math.round(promised.dueAt - now)) }] : [];
+  /** Takes the reservations made here that the peers have not been told of yet. */
+  takeUnannounced(now: number): ReservationNotice[] {
+    return this.#unannounced.splice(0, MAX_NOTICES).flatMap((uid) => {
+      const reservation = this.#byUid.get(uid);
+      return reservation ? [{ uid, inMs: Math.max(0, Math.round(reservation.dueAt - now)) }] : [];
     });
   }
 
-  /** What a peer has promised. The team is not told: what counts is that the job is taken. */
-  heard(promises: readonly PromiseReport[], now: number): void {
-    for (const { uid, inMs } of promises) {
-      if (this.#byUid.size >= MOST_PROMISES || this.#byUid.has(uid)) continue;
-      this.#byUid.set(uid, { team: "", dueAt: now + Math.min(inMs, LONGEST_WAIT_S * 1000), isOwn: false });
+  /** Adds reservations of a peer. Their team is not told, as their permits are kept at the peer. */
+  addOfPeer(notices: readonly ReservationNotice[], now: number): void {
+    for (const { uid, inMs } of notices) {
+      if (this.#byUid.size >= MAX_RESERVATIONS || this.#byUid.has(uid)) continue;
+      const dueAt = now + Math.min(inMs, MAX_RETRY_AFTER_S * 1000);
+      this.#byUid.set(uid, { team: "", dueAt, isOwn: false });
     }
   }
 
-  /** Forgets those who did not come back. */
-  sweep(now: number): void {
-    for (const [uid, { dueAt }] of this.#byUid) if (now > dueAt + LATE_MS) this.#byUid.delete(uid);
+  /** Drops reservations whose time is over. */
+  removeExpired(now: number): void {
+    for (const [uid, { dueAt }] of this.#byUid) if (now > dueAt + LATE_TOLERANCE_MS) this.#byUid.delete(uid);
   }
 
-  /** How many submissions of a team this node has told to come back. */
-  waiting(team: string): number {
+  /** The number of reservations of a team that were made here and not redeemed yet. */
+  countOwn(team: string): number {
     let count = 0;
-    for (const { team: of, isOwn } of this.#byUid.values()) if (isOwn && of === team) count++;
+    for (const reservation of this.#byUid.values())
+      if (reservation.isOwn && reservation.team === team) count++;
     return count;
   }
 }
 
-function wholeSeconds(ms: number): number {
-  return Math.max(SHORTEST_WAIT_S, Math.min(LONGEST_WAIT_S, Math.ceil(ms / 1000)));
+function toRetryAfterS(ms: number): number {
+  return Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, Math.ceil(ms / 1000)));
 }
--- a/src/core/jobs/submission.ts
+++ b/src/core/jobs/submission.ts
@@ -127,7 +127,7 @@
     const { uid } = spec;
     // After a timeout the job may have been accepted: its permit stays spent.
     if (admitted && result.kind !== "ok" && result.kind !== "timeout")
-      this.#admission?.notAccepted(spec.team, admitted.spent);
+      this.#admission?.rollBack(spec.team, admitted.permitSpent);
     if (result.kind === "ok") {
       this.#lookup.cacheRecord(uid, result.revision, record);
       this.#onJobAccepted({ key: KEYS.job(uid), value: record, version: result.revision });
