--- a/src/standby/cache-feed.ts
+++ b/src/standby/cache-feed.ts
@@ -3,33 +3,33 @@
 import { RecordReader } from "../core/store/record-reader.js";
 import { CACHED_PREFIXES, type CachedPrefix, type RecordCache } from "./record-cache.js";
 
-/** The longest that a follow waits for a change, and what it is given beyond that to answer. */
-const FOLLOW_MS = 5000;
-const FOLLOW_GRACE_MS = 1500;
-/** Changes are taken over so often at most: many come with one answer. */
-const PAUSE_MS = 400;
+/** How long the store holds a watch open without a change, and how much longer an answer is waited for. */
+const WATCH_WAIT_MS = 5000;
+const WATCH_GRACE_MS = 1500;
+/** The pause between watches, so that many changes come with one response. */
+const WATCH_PAUSE_MS = 400;
 const RETRY_MS = 1000;
 
-/** How far the copy of one prefix is. */
+/** How far the copy of one prefix is. `reason` says why it is not up to date, for the status. */
 type Progress =
-  /** The list is yet to be read, or is being read. */
-  | { readonly kind: "reading"; readonly why: string }
-  /** The list is there; no follow since has been answered, or the last one was not. */
-  | { readonly kind: "behind"; readonly why: string }
+  /** The records are to be read from the beginning, or are being read. */
+  | { readonly kind: "reading"; readonly reason: string }
+  /** The records are there; no watch since then was answered, or the last one was not. */
+  | { readonly kind: "behind"; readonly reason: string }
   | { readonly kind: "following" };
 
-/** Keeps one prefix of the cache up to date: one list, then one follow after another. */
+/** Keeps one prefix of the cache up to date: by one range read, then one watch after another. */
 class PrefixFeed {
-  progress: Progress = { kind: "reading", why: "the records are being read" };
-  /** When the last answer came that proved the copy complete; null before the first. */
+  progress: Progress = { kind: "reading", reason: "the records are being read" };
+  /** When the copy was last proved complete; null before the first time. */
   confirmedAt: number | null = null;
   readonly #ctx: Context;
   readonly #cache: RecordCache;
   readonly #prefix: CachedPrefix;
   readonly #reader: RecordReader;
-  #busy = false;
-  #nextAt = 0;
-  #stopped = false;
+  #isCallInFlight = false;
+  #nextCallAt = 0;
+  #isStopped = false;
 
   constructor(ctx: Context, cache: RecordCache, prefix: CachedPrefix) {
     this.#ctx = ctx;
@@ -39,65 +39,66 @@
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     this.#reader.stop();
   }
 
   tick(): void {
     this.#reader.tick();
-    if (this.#busy || this.#stopped || this.#ctx.now < this.#nextAt) return;
-    this.#busy = true;
+    if (this.#isCallInFlight || this.#isStopped || this.#ctx.now < this.#nextCallAt) return;
+    this.#isCallInFlight = true;
     if (this.progress.kind === "reading") this.#read();
-    else this.#follow();
+    else this.#watch();
   }
 
-  /** Takes over the pages as they come: a store too large for the cache is noticed before all of it is in memory. */
+  /** Adds pages as they come, so that too many records are noticed before all of them are in memory. */
   #read(): void {
     this.#cache.begin(this.#prefix);
-    const takePage = (items: readonly StoreEntry[]) => {
-      this.#cache.add(this.#prefix, items);
+    const addPage = (entries: readonly StoreEntry[]) => {
+      this.#cache.add(this.#prefix, entries);
       return !this.#cache.isTooLarge;
     };
-    this.#reader.readPages(this.#prefix, takePage, (firstRevision) => {
-      // Following goes on from the first page's revision: what changed while the others were read comes again.
+    this.#reader.readPages(this.#prefix, addPage, (firstRevision) => {
+      // Watching goes on from the revision of the first page: what changed while the others were read comes again.
       this.#cache.complete(this.#prefix, firstRevision);
-      this.progress = { kind: "behind", why: "the changes since the first read are yet to come" };
-      this.#pause(0);
+      this.progress = { kind: "behind", reason: "the changes since the first read are yet to come" };
+      this.#scheduleNextCall(0);
     });
   }
 
-  #follow(): void {
+  #watch(): void {
     const after = this.#cache.through(this.#prefix);
-    const waitMs = this.progress.kind === "behind" ? 0 : FOLLOW_MS;
-    const call = { kind: "watch", prefix: this.#prefix, after, waitMs } as const;
-    this.#ctx.callStore(call, waitMs + FOLLOW_GRACE_MS, (answer) => {
-      if (this.#stopped) return;
-      this.#pause(this.#takeChanges(answer, after) ? PAUSE_MS : RETRY_MS);
+    const waitMs = this.progress.kind === "behind" ? 0 : WATCH_WAIT_MS;
+    const request = { kind: "watch", prefix: this.#prefix, after, waitMs } as const;
+    this.#ctx.callStore(request, waitMs + WATCH_GRACE_MS, (response) => {
+      if (this.#isStopped) return;
+      this.#scheduleNextCall(this.#applyResponse(response, after) ? WATCH_PAUSE_MS : RETRY_MS);
     });
   }
 
-  /** False if the copy could not be brought up to date. */
-  #takeChanges(answer: StoreResponse, after: number): boolean {
-    if (answer.kind === "events" && answer.revision >= after) {
-      this.#cache.apply(this.#prefix, answer.events, answer.revision);
+  /** Applies the changes after a revision; false if the copy could not be brought up to date. */
+  #applyResponse(response: StoreResponse, after: number): boolean {
+    if (response.kind === "events" && response.revision >= after) {
+      this.#cache.apply(this.#prefix, response.events, response.revision);
       this.progress = { kind: "following" };
       this.confirmedAt = this.#ctx.now;
       return true;
     }
-    if (answer.kind === "events") this.progress = { kind: "reading", why: "the state service went back" };
-    else if (answer.kind === "compacted")
-      this.progress = { kind: "reading", why: "the changes are no longer kept" };
-    else this.progress = { kind: "behind", why: "the state service does not answer" };
+    if (response.kind === "events")
+      this.progress = { kind: "reading", reason: "the state service went back" };
+    else if (response.kind === "compacted")
+      this.progress = { kind: "reading", reason: "the changes are no longer kept" };
+    else this.progress = { kind: "behind", reason: "the state service does not answer" };
     return false;
   }
 
-  #pause(ms: number): void {
-    this.#busy = false;
-    this.#nextAt = this.#ctx.now + ms;
+  #scheduleNextCall(delayMs: number): void {
+    this.#isCallInFlight = false;
+    this.#nextCallAt = this.#ctx.now + delayMs;
   }
 }
 
-/** Brings the cache every change of the records, for as long as this node stands by. */
+/** Keeps the cache up to date with the store, for as long as this node is the standby. */
 export class CacheFeed {
   readonly #ctx: Context;
   readonly #feeds: readonly PrefixFeed[];
@@ -107,32 +108,34 @@
     this.#feeds = CACHED_PREFIXES.map((prefix) => new PrefixFeed(ctx, cache, prefix));
   }
 
+  /** Ends all reading; the cache is not changed any more. */
   stop(): void {
     for (const feed of this.#feeds) feed.stop();
   }
 
+  /** Makes the calls to the store that are due. */
   tick(): void {
     for (const feed of this.#feeds) feed.tick();
   }
 
-  /** Why the cache is not to be relied on; null while it is followed. */
+  /** Why the cache is not up to date; null while it is. */
   get problem(): string | null {
-    for (const { progress } of this.#feeds) if (progress.kind !== "following") return progress.why;
+    for (const { progress } of this.#feeds) if (progress.kind !== "following") return progress.reason;
     return null;
   }
 
-  /** True once every list was read: what the cache then lacks one read can bring. */
+  /** True once all prefixes were read: one more watch of each then brings the cache up to date. */
   get isComplete(): boolean {
     return this.#feeds.every(({ progress }) => progress.kind !== "reading");
   }
 
-  /** How long ago the oldest part was last proved complete, in milliseconds; null before it was. */
+  /** The milliseconds since all of the cache was last proved complete; null if it was not yet. */
   get lagMs(): number | null {
-    let oldest = Number.POSITIVE_INFINITY;
+    let oldestAt = Number.POSITIVE_INFINITY;
     for (const { confirmedAt } of this.#feeds) {
       if (confirmedAt === null) return null;
-      oldest = Math.min(oldest, confirmedAt);
+      oldestAt = Math.min(oldestAt, confirmedAt);
     }
-    return this.#ctx.now - oldest;
+    return this.#ctx.now - oldestAt;
   }
 }
--- a/src/standby/failover-timeline.ts
+++ b/src/standby/failover-timeline.ts
@@ -1,46 +1,49 @@
-/** The steps of a takeover, in their order. */
+/** The phases of a failover, in their order. Status and metrics show them under these names. */
 export const PHASES = ["leaderGone", "elected", "confirmed", "ready", "firstAnswer", "firstStart"] as const;
+
+/** One of the {@link PHASES}. */
 export type Phase = (typeof PHASES)[number];
 
-/** When each step of this node's last takeover came. */
+/** When this node reached each phase of its last failover. */
 export class FailoverTimeline {
-  readonly #at = new Map<Phase, number>();
-  /** Where the records came from. */
+  readonly #reachedAt = new Map<Phase, number>();
+  /** Where the term's records came from. */
   source: "cold" | "warm" | null = null;
-  /** Why a cache was not used, where there was one. */
+  /** Why the cache was not used; null if it was. */
   why: string | null = null;
 
-  /** Begins anew: the key of the leader before is gone. */
+  /** Starts anew: the previous leader's key was removed. */
   begin(now: number): void {
-    this.#at.clear();
+    this.#reachedAt.clear();
     this.source = null;
     this.why = null;
-    this.#at.set("leaderGone", now);
+    this.#reachedAt.set("leaderGone", now);
   }
 
-  /** Notes a step, once. */
+  /** Records that a phase is reached; only the first time counts. */
   note(phase: Phase, now: number): void {
-    if (!this.#at.has(phase)) this.#at.set(phase, now);
+    if (!this.#reachedAt.has(phase)) this.#reachedAt.set(phase, now);
   }
 
+  /** True once the last phases are reached. */
   get isOver(): boolean {
-    return this.#at.has("firstStart") && this.#at.has("firstAnswer");
+    return this.#reachedAt.has("firstStart") && this.#reachedAt.has("firstAnswer");
   }
 
-  /** Milliseconds from the end of the former leader's key to each step that has come. */
+  /** The phases reached, each with the milliseconds since the previous leader's key was removed. */
   phases(): [Phase, number][] {
-    const begin = this.#at.get("leaderGone") ?? this.#at.get("elected");
-    if (begin === undefined) return [];
+    const beginAt = this.#reachedAt.get("leaderGone") ?? this.#reachedAt.get("elected");
+    if (beginAt === undefined) return [];
     return PHASES.flatMap((phase): [Phase, number][] => {
-      const at = this.#at.get(phase);
-      return at === undefined ? [] : [[phase, Math.round(at - begin)]];
+      const at = this.#reachedAt.get(phase);
+      return at === undefined ? [] : [[phase, Math.round(at - beginAt)]];
     });
   }
 
-  /** For the status. */
+  /** The failover part of the node's status. */
   report(): Record<string, unknown> {
-    const steps = this.phases().map(([phase, ms]) => [`${phase}_ms`, ms] as const);
-    if (steps.length === 0) return {};
-    return { source: this.source, why: this.why, ...Object.fromEntries(steps) };
+    const durations = this.phases().map(([phase, durationMs]) => [`${phase}_ms`, durationMs] as const);
+    if (durations.length === 0) return {};
+    return { source: this.source, why: this.why, ...Object.fromEntries(durations) };
   }
 }
--- a/src/standby/record-cache.ts
+++ b/src/standby/record-cache.ts
@@ -2,124 +2,133 @@
 import type { StoredRecords } from "../core/store/record-reader.js";
 import { KEYS } from "../core/store/records.js";
 
-/** The records that a leader begins with, by the prefixes of their keys. */
+/** The key prefixes of the records that a leader's term starts from. */
 export const CACHED_PREFIXES = [KEYS.machines, KEYS.chunks, KEYS.jobs] as const;
+
+/** One of the {@link CACHED_PREFIXES}. */
 export type CachedPrefix = (typeof CACHED_PREFIXES)[number];
 
-/** What a record takes beside its value: key, version and the entry itself. */
+/** The memory that an entry takes beside its value: key, version and the entry itself. */
 const ENTRY_BYTES = 150;
 const NUMBER_BYTES = 8;
 const CONTAINER_BYTES = 32;
 
 interface CachedRecord {
-  readonly item: StoreEntry;
+  readonly entry: StoreEntry;
   readonly bytes: number;
 }
 
-/** The records under one prefix, and the revision through which every change to them is in here. */
+/** The records under one prefix. */
 class Section {
   readonly records = new Map<string, CachedRecord>();
-  through = 0;
+  /** The revision through which the section has every change; 0 while it is not complete. */
+  completeThrough = 0;
 }
 
 /**
- * A copy of the records in the state service: keys, values and versions, nothing derived from them. It is data, never
- * a sign of life: what is proved by token, report or lease is proved by these alone.
+ * A copy of records of the store: keys, values and versions, nothing derived from them. It proves nothing about liveness:
+ * only fencing tokens, heartbeats and leases do.
  */
 export class RecordCache {
   readonly #sections = new Map<CachedPrefix, Section>(
     CACHED_PREFIXES.map((prefix) => [prefix, new Section()]),
   );
-  readonly #mostBytes: number;
-  /** An estimate of the memory that it takes. */
+  readonly #maxBytes: number;
+  /** The memory that the cache takes, estimated. */
   bytes = 0;
 
-  constructor(mostBytes = Number.POSITIVE_INFINITY) {
-    this.#mostBytes = mostBytes;
+  /** `maxBytes` bounds nothing by itself: the user of the cache has to look at `isTooLarge`. */
+  constructor(maxBytes = Number.POSITIVE_INFINITY) {
+    this.#maxBytes = maxBytes;
   }
 
+  /** True if the cache has outgrown its bound. */
   get isTooLarge(): boolean {
-    return this.bytes > this.#mostBytes;
+    return this.bytes > this.#maxBytes;
   }
 
+  /** The number of records. */
   get size(): number {
     let sum = 0;
     for (const { records } of this.#sections.values()) sum += records.size;
     return sum;
   }
 
+  /** The revision through which one prefix has every change; 0 while it is not complete. */
   through(prefix: CachedPrefix): number {
-    return this.#section(prefix).through;
+    return this.#section(prefix).completeThrough;
   }
 
-  /** The revision through which all of it is complete. */
+  /** The revision through which all prefixes have every change; 0 while one is not complete. */
   get completeThrough(): number {
     return Math.min(...CACHED_PREFIXES.map((prefix) => this.through(prefix)));
   }
 
+  /** Drops all records. */
   clear(): void {
     for (const section of this.#sections.values()) {
       section.records.clear();
-      section.through = 0;
+      section.completeThrough = 0;
     }
     this.bytes = 0;
   }
 
-  /** Forgets what is under a prefix: its records are about to be read. */
+  /** Drops the records of a prefix before they are read from the beginning. */
   begin(prefix: CachedPrefix): void {
     const section = this.#section(prefix);
     for (const key of [...section.records.keys()]) this.#remove(section, key);
-    section.through = 0;
+    section.completeThrough = 0;
   }
 
-  /** Takes over one page of the records under a prefix. */
-  add(prefix: CachedPrefix, items: readonly StoreEntry[]): void {
+  /** Adds one page of the records under a prefix. */
+  add(prefix: CachedPrefix, entries: readonly StoreEntry[]): void {
     const section = this.#section(prefix);
-    for (const item of items) this.#put(section, item);
+    for (const entry of entries) this.#put(section, entry);
   }
 
-  /** All pages are in here; the first was read at this revision. */
+  /** All pages were added. `revision` is that of the first page: later changes may be missing from it. */
   complete(prefix: CachedPrefix, revision: number): void {
-    this.#section(prefix).through = revision;
+    this.#section(prefix).completeThrough = revision;
   }
 
   /**
-   * Takes over all changes under a prefix from where it was complete to a later revision. A change that is in here
-   * already, or an answer that is older than what is known, changes nothing.
+   * Applies all changes under a prefix from where it was complete `through` a later revision. Idempotent and independent
+   * of order: a change that was applied before, or a result older than the cache, changes nothing.
    */
   apply(prefix: CachedPrefix, events: readonly WatchEvent[], through: number): void {
     const section = this.#section(prefix);
-    if (through < section.through) return;
-    const inOrder = [...events].sort((a, b) => versionOf(a) - versionOf(b));
-    for (const event of inOrder) {
+    if (through < section.completeThrough) return;
+    const byVersion = [...events].sort((a, b) => versionOf(a) - versionOf(b));
+    for (const event of byVersion) {
       const key = event.kind === "put" ? event.entry.key : event.key;
       const known = section.records.get(key);
-      if (versionOf(event) <= (known?.item.version ?? 0)) continue;
+      if (versionOf(event) <= (known?.entry.version ?? 0)) continue;
       if (event.kind === "removed") this.#remove(section, key);
-      else if (versionOf(event) > section.through || known) this.#put(section, event.entry);
+      // A key that is absent in a complete section was removed: a put from before that must not restore it.
+      else if (versionOf(event) > section.completeThrough || known) this.#put(section, event.entry);
     }
-    section.through = through;
+    section.completeThrough = through;
   }
 
-  /** All records, in the order in which a list has them. */
+  /** All records, in the order of keys, as a range read returns them. */
   records(): StoredRecords {
     const sorted = (prefix: CachedPrefix) =>
       [...this.#section(prefix).records.values()]
-        .map(({ item }) => item)
+        .map(({ entry }) => entry)
         .sort((a, b) => (a.key < b.key ? -1 : 1));
     return { machines: sorted(KEYS.machines), chunks: sorted(KEYS.chunks), jobs: sorted(KEYS.jobs) };
   }
 
   #section(prefix: CachedPrefix): Section {
     const section = this.#sections.get(prefix);
-    if (!section) throw new RangeError(`no records are kept under ${prefix}`);
+    if (!section) throw new RangeError(`no records are cached under ${prefix}`);
     return section;
   }
 
-  #put(section: Section, item: StoreEntry): void {
-    this.#remove(section, item.key);
-    const bytes = ENTRY_BYTES + estimateBytes(item.value);
-    section.records.set(item.key, { item, bytes });
+  #put(section: Section, entry: StoreEntry): void {
+    this.#remove(section, entry.key);
+    const bytes = ENTRY_BYTES + estimateBytes(entry.value);
+    section.records.set(entry.key, { entry, bytes });
     this.bytes += bytes;
   }
 
@@ -135,7 +144,7 @@
   return event.kind === "put" ? event.entry.version : event.version;
 }
 
-/** What a value takes in memory, about: cheaper than writing it out. */
+/** Estimates the memory that a value takes; cheaper than serialising it. */
 function estimateBytes(value: unknown): number {
   if (typeof value === "string") return CONTAINER_BYTES + value.length;
   if (typeof value !== "object" || value === null) return NUMBER_BYTES;
--- a/src/standby/role.ts
+++ b/src/standby/role.ts
@@ -1,17 +1,17 @@
-/** What a node says of its cache: nothing where the standby is not switched on. */
+/** Whether a node could lead from its cache. Nodes without the standby say neither. */
 export type Warmth = "cold" | "warm";
 
-/** A peer as this node hears it. */
+/** What this node knows of a peer's part in the standby. */
 export interface PeerStandby {
   readonly node: string;
   readonly isHeard: boolean;
-  /** Undefined for a peer that can't stand by: switched off, or of an older version. */
+  /** Undefined for a peer that can't be a standby: it is switched off there, or the peer is of an older version. */
   readonly warmth: Warmth | undefined;
 }
 
 /**
- * Is this the node that stands by? Of those that can and don't lead, the first by name: all nodes that hear each other agree.
- * Where they don't, two may stand by, which costs requests and nothing else.
+ * Whether this node is the standby: the first by name of those that can be and do not lead, so that all nodes that hear
+ * each other agree. Nodes that don't may both be the standby, which costs requests and nothing else.
  */
 export function standsBy(self: string, leader: string | null, peers: readonly PeerStandby[]): boolean {
   if (leader === self) return false;
--- a/src/standby/standby.ts
+++ b/src/standby/standby.ts
@@ -5,27 +5,32 @@
 import type { Warmth } from "./role.js";
 import { WarmStart } from "./warm-start.js";
 
-/** A node reads the records only once it has been the standby for so long: roles change while nodes start. */
+/** A node reads the records only after it has been the standby for this long, as roles change while nodes start. */
 const SETTLE_MS = 3000;
-/** A node whose ticks come this late has no time to follow, and then leaves it for a while. */
-const LATE_TICK_MS = 600;
-const LATE_PAUSE_MS = 3000;
-/** A cache that has outgrown its bound is tried again after this. */
-const TOO_LARGE_MS = 300_000;
+/** A node whose ticks are this far apart is overloaded, and does not feed its cache for a while. */
+const MAX_TICK_GAP_MS = 600;
+const OVERLOAD_PAUSE_MS = 3000;
+/** A cache that has outgrown its bound is filled again after this. */
+const TOO_LARGE_RETRY_MS = 300_000;
 
+/** What is told of a failover. */
 export interface TakeoverEvents {
-  /** Where the records of the term come from, and why not from the cache. */
-  chosen(source: "warm" | "cold", why: string | null): void;
+  /** Where the records of the term come from, and why not from the cache; null if they do. */
+  chosen(source: "warm" | "cold", reason: string | null): void;
 }
 
-/** For the status and the metrics. */
+/** The state of the standby, for status and metrics. */
 export interface StandbyReport {
+  /** True if this node could lead from its cache. */
   readonly warm: boolean;
   /** Why the cache is cold; null while it is warm. */
   readonly why: string | null;
   readonly records: number;
+  /** The memory that the cache takes, estimated. */
   readonly bytes: number;
+  /** Revisions by which the cache is behind; null while it is empty. */
   readonly lagRevisions: number | null;
+  /** Seconds since the cache was last proved complete; null if it was not yet. */
   readonly lagS: number | null;
 }
 
@@ -35,25 +40,25 @@
   | { readonly kind: "following"; readonly feed: CacheFeed }
   | { readonly kind: "tooLarge"; readonly until: number; readonly bytes: number };
 
-/** Follows the records while another node leads, so that this one can lead without reading them from the beginning. */
+/** Caches the records while another node leads, so that this one can lead without reading all of them. */
 export class Standby {
   readonly #ctx: Context;
-  readonly #mostBytes: number;
+  readonly #maxBytes: number;
   #cache: RecordCache;
   #state: State = { kind: "idle" };
   #tickedAt = Number.NEGATIVE_INFINITY;
-  #pausedUntil = Number.NEGATIVE_INFINITY;
+  #overloadedUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(ctx: Context, mostBytes: number) {
+  constructor(ctx: Context, maxBytes: number) {
     this.#ctx = ctx;
-    this.#mostBytes = mostBytes;
-    this.#cache = new RecordCache(mostBytes);
+    this.#maxBytes = maxBytes;
+    this.#cache = new RecordCache(maxBytes);
   }
 
-  /** `isStandby` tells whether this node is the one to stand by. */
+  /** Advances the state; `isStandby` is whether this node has the role. */
   tick(isStandby: boolean): void {
     const { now } = this.#ctx;
-    if (now - this.#tickedAt > LATE_TICK_MS) this.#pausedUntil = now + LATE_PAUSE_MS;
+    if (now - this.#tickedAt > MAX_TICK_GAP_MS) this.#overloadedUntil = now + OVERLOAD_PAUSE_MS;
     this.#tickedAt = now;
     if (!isStandby) {
       this.drop();
@@ -69,7 +74,8 @@
         break;
       case "following":
         if (this.#cache.isTooLarge) this.#giveUp(this.#state.feed);
-        else if (now >= this.#pausedUntil && this.#ctx.storeFailingSince === null) this.#state.feed.tick();
+        else if (now >= this.#overloadedUntil && this.#ctx.storeFailingSince === null)
+          this.#state.feed.tick();
         break;
       case "tooLarge":
         if (now >= this.#state.until) this.#state = { kind: "idle" };
@@ -77,7 +83,7 @@
     }
   }
 
-  /** Ends the following and gives the memory back. */
+  /** Stops the feed and frees the cache. */
   drop(): void {
     if (this.#state.kind === "idle") return;
     if (this.#state.kind === "following") this.#state.feed.stop();
@@ -89,16 +95,20 @@
     const { bytes } = this.#cache;
     feed.stop();
     this.#cache.clear();
-    this.#state = { kind: "tooLarge", until: this.#ctx.now + TOO_LARGE_MS, bytes };
-    this.#ctx.log("info", "the records are too many for a warm standby", { bytes, most: this.#mostBytes });
+    this.#state = { kind: "tooLarge", until: this.#ctx.now + TOO_LARGE_RETRY_MS, bytes };
+    this.#ctx.log("info", "the records are too many for a warm standby", {
+      cache_bytes: bytes,
+      max_bytes: this.#maxBytes,
+    });
   }
 
+  /** Whether this node could lead from its cache. */
   get warmth(): Warmth {
-    return this.#problem() === null ? "warm" : "cold";
+    return this.#coldReason() === null ? "warm" : "cold";
   }
 
   /** Why the cache is cold; null while it is warm. */
-  #problem(): string | null {
+  #coldReason(): string | null {
     const state = this.#state;
     switch (state.kind) {
       case "idle":
@@ -106,42 +116,44 @@
       case "settling":
         return "it has just become the standby";
       case "tooLarge":
-        return `the records take ${state.bytes} bytes, more than ${this.#mostBytes}`;
+        return `the records take ${state.bytes} bytes, more than ${this.#maxBytes}`;
       case "following":
-        if (this.#ctx.now < this.#pausedUntil) return "this node is behind with its work";
+        if (this.#ctx.now < this.#overloadedUntil) return "this node is behind with its work";
         return state.feed.problem;
     }
   }
 
   /**
-   * The source of the records for a term that began at this revision: the cache, if it is there as a whole, else `cold`.
+   * The source of the records for a term whose election had this revision: the cache if it has been filled, else `cold`.
+   * The cache is handed over; this node would fill a new one.
    */
   source(revision: number, cold: RecordSource, events: TakeoverEvents): RecordSource {
     const state = this.#state;
     if (state.kind !== "following" || !state.feed.isComplete) {
-      events.chosen("cold", this.#problem());
+      events.chosen("cold", this.#coldReason());
       return cold;
     }
     state.feed.stop();
     this.#state = { kind: "idle" };
     const cache = this.#cache;
-    this.#cache = new RecordCache(this.#mostBytes);
+    this.#cache = new RecordCache(this.#maxBytes);
     return new WarmStart(this.#ctx, cache, revision, cold, {
       confirmed: () => events.chosen("warm", null),
-      refused: (why) => events.chosen("cold", why),
+      refused: (reason) => events.chosen("cold", reason),
     });
   }
 
-  /** `newest` is the latest revision that this node knows of. */
-  report(newest: number): StandbyReport {
+  /** The state of the standby. `latestRevision` is the latest revision of the store that this node knows of. */
+  report(latestRevision: number): StandbyReport {
     const lagMs = this.#state.kind === "following" ? this.#state.feed.lagMs : null;
-    const why = this.#problem();
+    const reason = this.#coldReason();
+    const { size, bytes, completeThrough } = this.#cache;
     return {
-      warm: why === null,
-      why,
-      records: this.#cache.size,
-      bytes: this.#cache.bytes,
-      lagRevisions: this.#cache.size === 0 ? null : Math.max(0, newest - this.#cache.completeThrough),
+      warm: reason === null,
+      why: reason,
+      records: size,
+      bytes,
+      lagRevisions: size === 0 ? null : Math.max(0, latestRevision - completeThrough),
       lagS: lagMs === null ? null : Math.round(lagMs / 100) / 10,
     };
   }
--- a/src/standby/warm-start.ts
+++ b/src/standby/warm-start.ts
@@ -4,86 +4,89 @@
 import { KEYS } from "../core/store/records.js";
 import { CACHED_PREFIXES, type CachedPrefix, type RecordCache } from "./record-cache.js";
 
-/** How long the confirmation is waited for, at each try; then the records are read as without a cache. */
-const CONFIRM_MS = [300, 700, 1500];
+/** The timeout of each attempt to bring the cache up to date; after the last the records are read without it. */
+const ATTEMPT_TIMEOUTS_MS = [300, 700, 1500];
 
-/** Why a cache could not be used for a takeover. */
+/** Why a cache could not be used for a failover. */
 export type Refusal = "changes no longer kept" | "no answer" | "the state service went back";
 
+/** The outcome of a {@link WarmStart}. */
 export interface WarmStartEvents {
-  /** The cache is proved to be the latest. */
+  /** The cache is proved to be up to date. */
   confirmed(): void;
-  /** It can't be proved: the records are read as without a cache. */
-  refused(why: Refusal): void;
+  /** It could not be proved up to date: the records are read from the store. */
+  refused(reason: Refusal): void;
 }
 
 /**
- * The records of a term from the standby's cache, once that is proved to be the whole truth. Every write of an earlier
- * leader depends on its own leader key, so none is carried out after the revision of this election. What changed from the
- * cached revision on is asked for in one read of each prefix; an answer at the election's revision or a later one has all of it.
+ * Loads the records of a term from the standby's cache, once it is proved to be complete (docs/design/warm-standby.md).
+ * Every write of an earlier leader is conditioned on its leader key, which the election replaced, so none is carried out
+ * after the revision of the election. One watch of each prefix without waiting brings what changed since the cached
+ * revision; a response at the revision of the election or later has all of it.
  */
 export class WarmStart implements RecordSource {
   readonly #ctx: Context;
   readonly #cache: RecordCache;
-  /** The revision of the election. */
-  readonly #revision: number;
+  readonly #electionRevision: number;
   readonly #cold: RecordSource;
   readonly #events: WarmStartEvents;
 
+  /** `cold` reads the records from the store, if the cache can't be used. */
   constructor(
     ctx: Context,
     cache: RecordCache,
-    revision: number,
+    electionRevision: number,
     cold: RecordSource,
     events: WarmStartEvents,
   ) {
     this.#ctx = ctx;
     this.#cache = cache;
-    this.#revision = revision;
+    this.#electionRevision = electionRevision;
     this.#cold = cold;
     this.#events = events;
   }
 
-  load(then: (loaded: LoadedRecords) => void): void {
+  /** Yields the records; the cache is empty afterwards. */
+  load(onLoaded: (loaded: LoadedRecords) => void): void {
     const askedAt = this.#ctx.now;
-    let waiting: number = CACHED_PREFIXES.length;
+    let prefixesLeft: number = CACHED_PREFIXES.length;
     let refusal: Refusal | null = null;
-    const answered = (problem: Refusal | null) => {
+    const onPrefixDone = (problem: Refusal | null) => {
       refusal ??= problem;
-      if (--waiting > 0) return;
+      if (--prefixesLeft > 0) return;
       if (refusal === null) {
         this.#events.confirmed();
-        then({ records: this.#cache.records(), revision: this.#cache.through(KEYS.jobs), askedAt });
+        onLoaded({ records: this.#cache.records(), revision: this.#cache.through(KEYS.jobs), askedAt });
       } else {
-        this.#ctx.log("info", "the standby's records are not used", { why: refusal });
+        this.#ctx.log("info", "the standby's records are not used", { reason: refusal });
         this.#events.refused(refusal);
-        this.#cold.load(then);
+        this.#cold.load(onLoaded);
       }
       this.#cache.clear();
     };
-    for (const prefix of CACHED_PREFIXES) this.#confirm(prefix, 0, answered);
+    for (const prefix of CACHED_PREFIXES) this.#bringUpToDate(prefix, 0, onPrefixDone);
   }
 
-  #confirm(prefix: CachedPrefix, tries: number, then: (refusal: Refusal | null) => void): void {
-    const timeoutMs = CONFIRM_MS[tries];
+  #bringUpToDate(prefix: CachedPrefix, attempt: number, onDone: (refusal: Refusal | null) => void): void {
+    const timeoutMs = ATTEMPT_TIMEOUTS_MS[attempt];
     if (timeoutMs === undefined) {
-      then("no answer");
+      onDone("no answer");
       return;
     }
     const after = this.#cache.through(prefix);
-    this.#ctx.callStore({ kind: "watch", prefix, after, waitMs: 0 }, timeoutMs, (answer) => {
-      const refusal = this.#takeProof(answer, prefix, after);
-      if (refusal === "no answer") this.#confirm(prefix, tries + 1, then);
-      else then(refusal);
+    this.#ctx.callStore({ kind: "watch", prefix, after, waitMs: 0 }, timeoutMs, (response) => {
+      const refusal = this.#applyResponse(response, prefix, after);
+      if (refusal === "no answer") this.#bringUpToDate(prefix, attempt + 1, onDone);
+      else onDone(refusal);
     });
   }
 
-  #takeProof(answer: StoreResponse, prefix: CachedPrefix, after: number): Refusal | null {
-    if (answer.kind === "compacted") return "changes no longer kept";
-    if (answer.kind !== "events") return "no answer";
-    // An answer from before the election proves nothing.
-    if (answer.revision < Math.max(this.#revision, after)) return "the state service went back";
-    this.#cache.apply(prefix, answer.events, answer.revision);
+  #applyResponse(response: StoreResponse, prefix: CachedPrefix, after: number): Refusal | null {
+    if (response.kind === "compacted") return "changes no longer kept";
+    if (response.kind !== "events") return "no answer";
+    // A response from before the election proves nothing.
+    if (response.revision < Math.max(this.#electionRevision, after)) return "the state service went back";
+    this.#cache.apply(prefix, response.events, response.revision);
     return null;
   }
 }
