--- a/src/standby/failover.ts
+++ b/src/standby/failover.ts
@@ -67,14 +67,14 @@
 
   /** The source of the records for a term whose election had this revision; `cold` reads them from the store. */
   source(revision: number, cold: RecordSource): RecordSource {
-    const chosen = (source: "warm" | "cold", reason: string | null) => {
+    const onSourceChosen = (source: "warm" | "cold", reason: string | null) => {
       this.timeline.source = source;
       this.timeline.why = reason;
       this.timeline.note("confirmed", this.#ctx.now);
     };
     this.#isStandby = false;
-    if (this.#standby) return this.#standby.source(revision, cold, { chosen });
-    chosen("cold", "the standby is not switched on");
+    if (this.#standby) return this.#standby.source(revision, cold, { onSourceChosen });
+    onSourceChosen("cold", "the standby is not switched on");
     return cold;
   }
 
--- a/src/standby/standby.ts
+++ b/src/standby/standby.ts
@@ -14,9 +14,9 @@
 const TOO_LARGE_RETRY_MS = 300_000;
 
 /** What is told of a failover. */
-export interface TakeoverEvents {
+export interface FailoverEvents {
   /** Where the records of the term come from, and why not from the cache; null if they do. */
-  chosen(source: "warm" | "cold", reason: string | null): void;
+  onSourceChosen(source: "warm" | "cold", reason: string | null): void;
 }
 
 /** The state of the standby, for status and metrics. */
@@ -127,10 +127,10 @@
    * The source of the records for a term whose election had this revision: the cache if it has been filled, else `cold`.
    * The cache is handed over; this node would fill a new one.
    */
-  source(revision: number, cold: RecordSource, events: TakeoverEvents): RecordSource {
+  source(revision: number, cold: RecordSource, events: FailoverEvents): RecordSource {
     const state = this.#state;
     if (state.kind !== "following" || !state.feed.isComplete) {
-      events.chosen("cold", this.#coldReason());
+      events.onSourceChosen("cold", this.#coldReason());
       return cold;
     }
     state.feed.stop();
@@ -138,8 +138,8 @@
     const cache = this.#cache;
     this.#cache = new RecordCache(this.#maxBytes);
     return new WarmStart(this.#ctx, cache, revision, cold, {
-      confirmed: () => events.chosen("warm", null),
-      refused: (reason) => events.chosen("cold", reason),
+      confirmed: () => events.onSourceChosen("warm", null),
+      refused: (reason) => events.onSourceChosen("cold", reason),
     });
   }
 
