--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../core/context.js";
-import type { AdmissionNote, AdmissionReport, PermitLease } from "./messages.js";
+import type { AdmissionNote, AdmissionReport, PermitLease, TeamReport } from "./messages.js";
 import { PermitIssuer, targetPermits } from "./permit-issuer.js";
 import { PermitPool } from "./permit-pool.js";
 import { type AdmissionPolicy, policyOf, type TeamPolicy } from "./policy.js";
@@ -170,13 +170,7 @@
     this.#sequence++;
     this.#reportSentAt.set(this.#sequence, now);
     this.#reportSentAt.delete(this.#sequence - REPORTS_KEPT);
-    const teams = this.#policy.teams.map(({ name: team }) => ({
-      team,
-      asked: this.#countsOf(team).peakDemand,
-      held: this.#permits.held(team),
-      promised: this.#reservations.countOwn(team),
-      spent: this.#permits.spent(team),
-    }));
+    const teams = this.#policy.teams.map(({ name }) => this.#teamReport(name));
     return {
       process: this.#incarnation,
       sequence: this.#sequence,
@@ -188,6 +182,16 @@
     };
   }
 
+  #teamReport(team: string): TeamReport {
+    return {
+      team,
+      asked: this.#countsOf(team).peakDemand,
+      held: this.#permits.held(team),
+      promised: this.#reservations.countOwn(team),
+      spent: this.#permits.spent(team),
+    };
+  }
+
   /** The admission message of the next heartbeat to a peer. */
   noteFor(peer: string): AdmissionNote {
     return { report: this.#report, slice: this.#leases.get(peer) };
--- a/src/admission/retry-reservations.ts
+++ b/src/admission/retry-reservations.ts
@@ -98,7 +98,7 @@
 
   /** Takes the reservations made here that the peers have not been told of yet. */
   takeUnannounced(now: number): ReservationNotice[] {
-    return this.#unannounced.splice(0, MAX_NOTICES).flatMap((uid) => {
+    return this.#unannounced.splice(0, MAX_NOTICES).flatMap((uid): ReservationNotice[] => {
       const reservation = this.#byUid.get(uid);
       return reservation ? [{ uid, inMs: Math.max(0, Math.round(reservation.dueAt - now)) }] : [];
     });
--- /dev/null
+++ b/src/protocol/admission.ts
@@ -0,0 +1,143 @@
+import * as v from "valibot";
+import type {
+  AdmissionNote,
+  AdmissionReport,
+  PermitLease,
+  ReservationNotice,
+  TeamPermits,
+  TeamReport,
+} from "../admission/messages.js";
+
+/**
+ * The admission part of a peer heartbeat: internal message in, wire form out, and back. The words of the wire are older
+ * than the internal ones and stay, since two versions speak to each other during an upgrade. Unknown fields are ignored:
+ * they are a later version's.
+ */
+
+const count = v.pipe(v.number(), v.minValue(0));
+const teamSchema = v.object({
+  team: v.string(),
+  asked: count,
+  held: v.number(),
+  promised: count,
+  spent: v.number(),
+});
+const promiseSchema = v.object({ uid: v.string(), inMs: count });
+const permitsSchema = v.object({ team: v.string(), count, ratePerS: count });
+const reportSchema = v.object({
+  process: v.string(),
+  sequence: count,
+  slice: count,
+  sliceToken: count,
+  teams: v.array(teamSchema),
+  promises: v.array(promiseSchema),
+  kept: v.array(v.string()),
+});
+const sliceSchema = v.object({
+  token: count,
+  id: count,
+  answers: count,
+  lifeMs: count,
+  permits: v.array(permitsSchema),
+});
+
+/** The schema of the wire form. */
+export const admissionSchema = v.object({ report: reportSchema, slice: v.optional(sliceSchema) });
+
+/** The wire form of an admission message. */
+export type WireAdmission = v.InferOutput<typeof admissionSchema>;
+type WireTeam = v.InferOutput<typeof teamSchema>;
+type WirePromise = v.InferOutput<typeof promiseSchema>;
+type WirePermits = v.InferOutput<typeof permitsSchema>;
+type WireReport = v.InferOutput<typeof reportSchema>;
+type WireSlice = v.InferOutput<typeof sliceSchema>;
+
+/** The wire form of an admission message. */
+export function encodeAdmission(message: AdmissionNote): WireAdmission {
+  return { report: encodeReport(message.report), slice: message.slice && encodeLease(message.slice) };
+}
+
+/** The admission message of a wire form that {@link admissionSchema} has accepted. */
+export function decodeAdmission(wire: WireAdmission): AdmissionNote {
+  return { report: decodeReport(wire.report), slice: wire.slice && decodeLease(wire.slice) };
+}
+
+function encodeReport(report: AdmissionReport): WireReport {
+  return {
+    process: report.process,
+    sequence: report.sequence,
+    slice: report.slice,
+    sliceToken: report.sliceToken,
+    teams: report.teams.map(encodeTeam),
+    promises: report.promises.map(encodeNotice),
+    kept: [...report.kept],
+  };
+}
+
+function decodeReport(wire: WireReport): AdmissionReport {
+  return {
+    process: wire.process,
+    sequence: wire.sequence,
+    slice: wire.slice,
+    sliceToken: wire.sliceToken,
+    teams: wire.teams.map(decodeTeam),
+    promises: wire.promises.map(decodeNotice),
+    kept: wire.kept,
+  };
+}
+
+function encodeTeam(team: TeamReport): WireTeam {
+  return {
+    team: team.team,
+    asked: team.asked,
+    held: team.held,
+    promised: team.promised,
+    spent: team.spent,
+  };
+}
+
+function decodeTeam(wire: WireTeam): TeamReport {
+  return {
+    team: wire.team,
+    asked: wire.asked,
+    held: wire.held,
+    promised: wire.promised,
+    spent: wire.spent,
+  };
+}
+
+function encodeNotice(notice: ReservationNotice): WirePromise {
+  return { uid: notice.uid, inMs: notice.inMs };
+}
+
+function decodeNotice(wire: WirePromise): ReservationNotice {
+  return { uid: wire.uid, inMs: wire.inMs };
+}
+
+function encodeLease(lease: PermitLease): WireSlice {
+  return {
+    token: lease.token,
+    id: lease.id,
+    answers: lease.answers,
+    lifeMs: lease.lifeMs,
+    permits: lease.permits.map(encodePermits),
+  };
+}
+
+function decodeLease(wire: WireSlice): PermitLease {
+  return {
+    token: wire.token,
+    id: wire.id,
+    answers: wire.answers,
+    lifeMs: wire.lifeMs,
+    permits: wire.permits.map(decodePermits),
+  };
+}
+
+function encodePermits(permits: TeamPermits): WirePermits {
+  return { team: permits.team, count: permits.count, ratePerS: permits.ratePerS };
+}
+
+function decodePermits(wire: WirePermits): TeamPermits {
+  return { team: wire.team, count: wire.count, ratePerS: wire.ratePerS };
+}
