--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,56 +1,51 @@
 import * as v from "valibot";
-import type { CloudRequest, CloudResponse } from "../core/messages/cloud.js";
+import type { CloudMachine, CloudRequest, CloudResponse } from "../core/messages/cloud.js";
+import type { MachineType } from "../core/model/deployment.js";
 import { roundDownCapacity } from "../core/model/resources.js";
+import type { HttpRequest } from "./http.js";
+
+/** Requests to the cloud, and its answers. The words of the wire end here. */
 
 const measure = v.pipe(v.number(), v.finite(), v.minValue(0));
-const typesSchema = v.object({
-  racks: v.array(
-    v.object({
-      name: v.string(),
-      cpus: measure,
-      gpus: v.nullish(measure, 0),
-      ram_gb: measure,
-      cache_gb: v.nullish(measure, 0),
-      fetch_gb_per_s: v.nullish(measure, 0),
-      hourly: measure,
-      market_price: v.nullish(measure, null),
-      startup_s: measure,
-      yards: v.array(v.string()),
-    }),
-  ),
+const machineTypeSchema = v.object({
+  name: v.string(),
+  cpus: measure,
+  gpus: v.nullish(measure, 0),
+  ram_gb: measure,
+  cache_gb: v.nullish(measure, 0),
+  fetch_gb_per_s: v.nullish(measure, 0),
+  hourly: measure,
+  market_price: v.nullish(measure, null),
+  startup_s: measure,
+  yards: v.array(v.string()),
 });
-const hiredSchema = v.object({ hosts: v.array(v.string()) });
-const listSchema = v.object({
-  hosts: v.array(
-    v.object({
-      uid: v.string(),
-      address: v.nullish(v.string(), ""),
-      rack: v.string(),
-      yard: v.string(),
-      loaners: v.boolean(),
-      phase: v.string(),
-      age_s: v.nullish(v.number(), 0),
-    }),
-  ),
-  more: v.nullish(v.boolean(), false),
+const machineSchema = v.object({
+  uid: v.string(),
+  address: v.nullish(v.string(), ""),
+  rack: v.string(),
+  yard: v.string(),
+  loaners: v.boolean(),
+  phase: v.string(),
+  age_s: v.nullish(v.number(), 0),
 });
+const typesSchema = v.object({ racks: v.array(machineTypeSchema) });
+const createdSchema = v.object({ hosts: v.array(v.string()) });
+const pageSchema = v.object({ hosts: v.array(machineSchema), more: v.nullish(v.boolean(), false) });
 const errorSchema = v.object({ error: v.string() });
 
-const PHASES: Record<string, "booting" | "running" | "failed"> = {
+const MACHINE_PHASES: Record<string, CloudMachine["phase"]> = {
   starting: "booting",
   running: "running",
   failed: "failed",
 };
-const PAGE = 500;
-
-export interface HttpRequest {
-  readonly method: "GET" | "POST" | "DELETE";
-  readonly path: string;
-  readonly body?: unknown;
-}
+const PAGE_SIZE = 500;
+const NO_CAPACITY = "no capacity";
+/** An answer that can't be read counts as none. */
+const UNREADABLE: CloudResponse = { kind: "timeout" };
 
-export function encodeCloudRequest(call: CloudRequest): HttpRequest {
-  switch (call.kind) {
+/** The wire form of a request to the cloud. */
+export function encodeCloudRequest(request: CloudRequest): HttpRequest {
+  switch (request.kind) {
     case "listTypes":
       return { method: "GET", path: "/machine_types" };
     case "create":
@@ -58,70 +53,84 @@
         method: "POST",
         path: "/machines",
         body: {
-          hire: call.requestId,
-          rack: call.type,
-          yard: call.zone,
-          loaners: call.spot,
-          count: call.count,
+          hire: request.requestId,
+          rack: request.type,
+          yard: request.zone,
+          loaners: request.spot,
+          count: request.count,
         },
       };
     case "delete":
-      return { method: "POST", path: "/machines/release", body: { hosts: call.machines } };
+      return { method: "POST", path: "/machines/release", body: { hosts: request.machines } };
     case "list": {
-      const since = call.after === null ? "" : `since=${encodeURIComponent(call.after)}&`;
-      return { method: "GET", path: `/machines?${since}page=${PAGE}` };
+      const since = request.after === null ? "" : `since=${encodeURIComponent(request.after)}&`;
+      return { method: "GET", path: `/machines?${since}page=${PAGE_SIZE}` };
     }
   }
 }
 
-export function decodeCloudResponse(call: CloudRequest, status: number, body: unknown): CloudResponse {
-  if (status === 503 && call.kind === "create") {
-    const error = v.safeParse(errorSchema, body);
-    if (error.success && error.output.error === "no capacity") return { kind: "noCapacity" };
-  }
+/** What the cloud's answer to a request means. */
+export function decodeCloudResponse(request: CloudRequest, status: number, body: unknown): CloudResponse {
+  if (status === 503 && request.kind === "create" && isOutOfCapacity(body)) return { kind: "noCapacity" };
   if (status !== 200) return { kind: "unavailable", reason: `status ${status}` };
-  switch (call.kind) {
-    case "listTypes": {
-      const result = v.safeParse(typesSchema, body);
-      if (!result.success) break;
-      return {
-        kind: "types",
-        machineTypes: result.output.racks.map((rack) => ({
-          name: rack.name,
-          size: roundDownCapacity(rack.cpus, rack.gpus ?? 0, rack.ram_gb),
-          cacheGb: rack.cache_gb ?? 0,
-          fetchGbPerS: rack.fetch_gb_per_s ?? 0,
-          price: rack.hourly,
-          spotPrice: rack.market_price ?? rack.hourly,
-          bootS: rack.startup_s,
-          zones: rack.yards,
-        })),
-      };
-    }
-    case "create": {
-      const result = v.safeParse(hiredSchema, body);
-      if (!result.success) break;
-      return { kind: "created", machines: result.output.hosts };
-    }
+  switch (request.kind) {
+    case "listTypes":
+      return decodeTypes(body);
+    case "create":
+      return decodeCreated(body);
     case "delete":
       return { kind: "deleted" };
-    case "list": {
-      const result = v.safeParse(listSchema, body);
-      if (!result.success) break;
-      return {
-        kind: "page",
-        more: result.output.more ?? false,
-        machines: result.output.hosts.map((host) => ({
-          name: host.uid,
-          address: host.address ?? "",
-          type: host.rack,
-          zone: host.yard,
-          spot: host.loaners,
-          phase: PHASES[host.phase] ?? "booting",
-          ageS: host.age_s ?? 0,
-        })),
-      };
-    }
+    case "list":
+      return decodePage(body);
   }
-  return { kind: "timeout" };
+}
+
+function isOutOfCapacity(body: unknown): boolean {
+  const result = v.safeParse(errorSchema, body);
+  return result.success && result.output.error === NO_CAPACITY;
+}
+
+function decodeTypes(body: unknown): CloudResponse {
+  const result = v.safeParse(typesSchema, body);
+  if (!result.success) return UNREADABLE;
+  return { kind: "types", machineTypes: result.output.racks.map(decodeMachineType) };
+}
+
+function decodeCreated(body: unknown): CloudResponse {
+  const result = v.safeParse(createdSchema, body);
+  if (!result.success) return UNREADABLE;
+  return { kind: "created", machines: result.output.hosts };
+}
+
+function decodePage(body: unknown): CloudResponse {
+  const result = v.safeParse(pageSchema, body);
+  if (!result.success) return UNREADABLE;
+  return { kind: "page", more: result.output.more, machines: result.output.hosts.map(decodeMachine) };
+}
+
+function decodeMachineType(wire: v.InferOutput<typeof machineTypeSchema>): MachineType {
+  return {
+    name: wire.name,
+    size: roundDownCapacity(wire.cpus, wire.gpus, wire.ram_gb),
+    cacheGb: wire.cache_gb,
+    fetchGbPerS: wire.fetch_gb_per_s,
+    price: wire.hourly,
+    // Without a market price spot instances cost what others do.
+    spotPrice: wire.market_price ?? wire.hourly,
+    bootS: wire.startup_s,
+    zones: wire.yards,
+  };
+}
+
+function decodeMachine(wire: v.InferOutput<typeof machineSchema>): CloudMachine {
+  return {
+    name: wire.uid,
+    address: wire.address,
+    type: wire.rack,
+    zone: wire.yard,
+    spot: wire.loaners,
+    // A phase that only a later version of the cloud knows: not usable yet.
+    phase: MACHINE_PHASES[wire.phase] ?? "booting",
+    ageS: wire.age_s,
+  };
 }
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -3,12 +3,12 @@
 import type { JobShape, JobSpec, Priority } from "../core/model/job-spec.js";
 import { roundUpDemand } from "../core/model/resources.js";
 
-/** Jobs as users write them. The words of the wire end here. */
+/** Jobs as users submit and see them. The words of the wire end here. */
 
 const UID = /^j-[0-9]{1,40}$/;
 const MAX_TASKS = 100_000;
 const MAX_NAME = 200;
-/** More jobs than that to wait for are taken for a mistake. */
+/** More dependencies than that are taken for a mistake. */
 const MAX_AWAITS = 100;
 
 const text = v.pipe(v.string(), v.nonEmpty(), v.maxLength(MAX_NAME));
@@ -18,9 +18,9 @@
 const uid = v.pipe(v.string(), v.regex(UID, "must have the form j-000412"));
 
 const SHAPES: Record<string, JobShape> = { sweep: "array", gang: "gang", daemon: "service" };
-const RANKS: Record<string, Priority> = { prod: 3, high: 2, normal: 1, idle: 0 };
+const PRIORITIES: Record<string, Priority> = { prod: 3, high: 2, normal: 1, idle: 0 };
 
-const schema = v.object({
+const jobSchema = v.object({
   uid,
   jobclass: text,
   crew: text,
@@ -44,51 +44,75 @@
   awaits: v.nullish(v.pipe(v.array(uid), v.maxLength(MAX_AWAITS)), null),
 });
 
+/** Whether a text has the form of a job's uid. */
 export function isUid(value: string): boolean {
   return UID.test(value);
 }
 
-/** A submission's id, if it has a well-formed one, and its job or what is wrong with it. */
+/** A submitted job, or what is wrong with it. */
+type SubmittedSpec =
+  | { readonly ok: true; readonly spec: JobSpec }
+  | { readonly ok: false; readonly error: string };
+
+/**
+ * A submission's uid, null if it has no well-formed one, and its job or, as a text that names the field, what is wrong
+ * with it. A malformed job is handed on under its uid: the controller may know that uid already.
+ */
 export function decodeJobSubmission(body: unknown): { uid: string | null; spec: JobSpec | string } {
-  if (typeof body !== "object" || body === null || Array.isArray(body)) {
-    return { uid: null, spec: "the body must be a JSON object" };
-  }
-  const claimed = (body as { uid?: unknown }).uid;
-  const id = typeof claimed === "string" && isUid(claimed) ? claimed : null;
-  const result = v.safeParse(schema, body);
+  const result = decodeSpec(body);
+  return { uid: decodeUid(body), spec: result.ok ? result.spec : result.error };
+}
+
+/** The wire form of a job as its user sees it. */
+export function encodeJobStatus(status: JobStatus): Record<string, unknown> {
+  const { uid, phase, done, running, awaits } = status;
+  return awaits ? { uid, phase, done, running, awaits } : { uid, phase, done, running };
+}
+
+function isJsonObject(body: unknown): body is object {
+  return typeof body === "object" && body !== null && !Array.isArray(body);
+}
+
+function decodeUid(body: unknown): string | null {
+  const claimed = isJsonObject(body) && "uid" in body ? body.uid : undefined;
+  return typeof claimed === "string" && isUid(claimed) ? claimed : null;
+}
+
+function decodeSpec(body: unknown): SubmittedSpec {
+  if (!isJsonObject(body)) return { ok: false, error: "the body must be a JSON object" };
+  const result = v.safeParse(jobSchema, body);
   if (!result.success) {
     const issue = result.issues[0];
-    return { uid: id, spec: `${v.getDotPath(issue) ?? "body"}: ${issue.message}` };
+    return { ok: false, error: `${v.getDotPath(issue) ?? "body"}: ${issue.message}` };
   }
-  const job = result.output;
-  const shape = SHAPES[job.shape];
-  const priority = RANKS[job.rank];
-  if (shape === undefined || priority === undefined) return { uid: id, spec: "shape or rank: unknown" };
+  const wire = result.output;
+  const shape = SHAPES[wire.shape];
+  const priority = PRIORITIES[wire.rank];
+  if (shape === undefined || priority === undefined) return { ok: false, error: "shape or rank: unknown" };
+  return { ok: true, spec: toJobSpec(wire, shape, priority) };
+}
+
+function toJobSpec(wire: v.InferOutput<typeof jobSchema>, shape: JobShape, priority: Priority): JobSpec {
   const spec: JobSpec = {
-    uid: job.uid,
-    jobClass: job.jobclass,
-    team: job.crew,
+    uid: wire.uid,
+    jobClass: wire.jobclass,
+    team: wire.crew,
     shape,
     priority,
-    tasks: job.pieces,
-    need: roundUpDemand(job.cpus, job.gpus, job.ram_gb),
-    image: job.bundle,
-    imageGb: job.size_gb,
-    types: job.racks,
-    zone: job.yard,
-    oneZone: job.same_place,
-    spread: job.apart,
-    spot: job.loaners,
-    estimateS: job.guess_s,
-    checkpointS: job.snapshot_s,
-    saveS: job.stow_s,
-    deadlineS: job.due_s,
+    tasks: wire.pieces,
+    need: roundUpDemand(wire.cpus, wire.gpus, wire.ram_gb),
+    image: wire.bundle,
+    imageGb: wire.size_gb,
+    types: wire.racks,
+    zone: wire.yard,
+    oneZone: wire.same_place,
+    spread: wire.apart,
+    spot: wire.loaners,
+    estimateS: wire.guess_s,
+    checkpointS: wire.snapshot_s,
+    saveS: wire.stow_s,
+    deadlineS: wire.due_s,
   };
-  const awaits = [...new Set(job.awaits)];
-  return { uid: id, spec: awaits.length > 0 ? { ...spec, awaits } : spec };
-}
-
-export function encodeJobStatus(view: JobStatus): Record<string, unknown> {
-  const { uid, phase, done, running, awaits } = view;
-  return awaits ? { uid, phase, done, running, awaits } : { uid, phase, done, running };
+  const awaits = [...new Set(wire.awaits)];
+  return awaits.length > 0 ? { ...spec, awaits } : spec;
 }
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -1,23 +1,34 @@
 import * as v from "valibot";
-import type { StoreChange, StoreRequest, StoreResponse, WatchEvent } from "../core/messages/store.js";
-import type { HttpRequest } from "./cloud.js";
-
-const revision = v.object({ ledger: v.number() });
-const item = v.object({ path: v.string(), value: v.unknown(), stamp: v.number() });
-const page = v.object({ entries: v.array(item), more: v.nullish(v.boolean(), false), ledger: v.number() });
-const failed = v.object({ failed: v.array(v.string()) });
-const granted = v.object({ tenure: v.number() });
-const followed = v.object({
+import type {
+  StoreChange,
+  StoreEntry,
+  StoreRequest,
+  StoreResponse,
+  WatchEvent,
+} from "../core/messages/store.js";
+import type { HttpRequest } from "./http.js";
+
+/** Requests to the key-value store, and its answers. The words of the wire end here. */
+
+const entrySchema = v.object({ path: v.string(), value: v.unknown(), stamp: v.number() });
+const revisionSchema = v.object({ ledger: v.number() });
+const pageSchema = v.object({
+  entries: v.array(entrySchema),
+  more: v.nullish(v.boolean(), false),
   ledger: v.number(),
-  log: v.array(
-    v.union([
-      v.object({ write: v.string(), value: v.unknown(), stamp: v.number() }),
-      v.object({ delete: v.string(), stamp: v.number() }),
-    ]),
-  ),
 });
-const PAGE = 500;
-const MAX_WHY = 200;
+const conflictSchema = v.object({ failed: v.array(v.string()) });
+const leaseSchema = v.object({ tenure: v.number() });
+const eventSchema = v.union([
+  v.object({ write: v.string(), value: v.unknown(), stamp: v.number() }),
+  v.object({ delete: v.string(), stamp: v.number() }),
+]);
+const eventsSchema = v.object({ ledger: v.number(), log: v.array(eventSchema) });
+
+const PAGE_SIZE = 500;
+const MAX_REASON_CHARS = 200;
+/** An answer that can't be read leaves the outcome unknown, as no answer does. */
+const UNREADABLE: StoreResponse = { kind: "timeout" };
 
 function encodeChange(change: StoreChange): Record<string, unknown> {
   if ("remove" in change) return { delete: change.remove };
@@ -25,83 +36,121 @@
   return change.leaseId === undefined ? put : { ...put, tenure: change.leaseId };
 }
 
-export function encodeStoreRequest(call: StoreRequest): HttpRequest {
-  switch (call.kind) {
+/** The wire form of a request to the store. */
+export function encodeStoreRequest(request: StoreRequest): HttpRequest {
+  switch (request.kind) {
     case "transaction":
       return {
         method: "POST",
         path: "/multi",
         body: {
-          if: call.conditions.map(({ key, version }) => ({ path: key, stamp: version })),
-          // biome-ignore lint/suspicious/noThenProperty: the state service's own word
-          then: call.changes.length > 0 ? call.changes.map(encodeChange) : undefined,
+          if: request.conditions.map(({ key, version }) => ({ path: key, stamp: version })),
+          // biome-ignore lint/suspicious/noThenProperty: the store's own word
+          then: request.changes.length > 0 ? request.changes.map(encodeChange) : undefined,
         },
       };
     case "get":
-      return { method: "GET", path: `/keys/${call.key.split("/").map(encodeURIComponent).join("/")}` };
+      return { method: "GET", path: `/keys/${request.key.split("/").map(encodeURIComponent).join("/")}` };
     case "list": {
-      const since = call.after === null ? "" : `&since=${encodeURIComponent(call.after)}`;
-      return { method: "GET", path: `/keys?starts=${encodeURIComponent(call.prefix)}${since}&page=${PAGE}` };
+      const prefix = encodeURIComponent(request.prefix);
+      const since = request.after === null ? "" : `&since=${encodeURIComponent(request.after)}`;
+      return { method: "GET", path: `/keys?starts=${prefix}${since}&page=${PAGE_SIZE}` };
     }
     case "grantLease":
-      return { method: "POST", path: "/grants", body: { life_ms: call.ttlMs } };
+      return { method: "POST", path: "/grants", body: { life_ms: request.ttlMs } };
     case "renewLease":
-      return { method: "POST", path: `/grants/${call.leaseId}/extend`, body: {} };
+      return { method: "POST", path: `/grants/${request.leaseId}/extend`, body: {} };
     case "revokeLease":
-      return { method: "DELETE", path: `/grants/${call.leaseId}` };
-    case "watch":
-      return {
-        method: "GET",
-        path: `/follow?starts=${encodeURIComponent(call.prefix)}&since=${call.after}&hold_ms=${call.waitMs}`,
-      };
+      return { method: "DELETE", path: `/grants/${request.leaseId}` };
+    case "watch": {
+      const prefix = encodeURIComponent(request.prefix);
+      const path = `/follow?starts=${prefix}&since=${request.after}&hold_ms=${request.waitMs}`;
+      return { method: "GET", path };
+    }
   }
 }
 
-export function decodeStoreResponse(call: StoreRequest, status: number, body: unknown): StoreResponse {
-  if (status === 429) return { kind: "throttled" };
-  if (status === 503) return { kind: "unavailable", reason: `status ${status}` };
-  if (status === 404) return { kind: "notFound" };
-  if (status === 410 && call.kind === "watch") return { kind: "compacted" };
-  if (status === 400) return { kind: "invalid", reason: JSON.stringify(body ?? null).slice(0, MAX_WHY) };
-  if (status === 409 && call.kind === "transaction") {
-    const result = v.safeParse(failed, body);
-    return result.success ? { kind: "conflict", failed: result.output.failed } : { kind: "timeout" };
+/** What the store's answer to a request means. */
+export function decodeStoreResponse(request: StoreRequest, status: number, body: unknown): StoreResponse {
+  return status === 200 ? decodeSuccess(request, body) : decodeFailure(request, status, body);
+}
+
+function decodeFailure(request: StoreRequest, status: number, body: unknown): StoreResponse {
+  switch (status) {
+    case 400:
+      return { kind: "invalid", reason: JSON.stringify(body ?? null).slice(0, MAX_REASON_CHARS) };
+    case 404:
+      return { kind: "notFound" };
+    case 409:
+      return request.kind === "transaction" ? decodeConflict(body) : UNREADABLE;
+    case 410:
+      return request.kind === "watch" ? { kind: "compacted" } : UNREADABLE;
+    case 429:
+      return { kind: "throttled" };
+    case 503:
+      return { kind: "unavailable", reason: `status ${status}` };
+    default:
+      return UNREADABLE;
   }
-  if (status !== 200) return { kind: "timeout" };
-  switch (call.kind) {
-    case "transaction": {
-      const result = v.safeParse(revision, body);
-      return result.success ? { kind: "ok", revision: result.output.ledger } : { kind: "timeout" };
-    }
-    case "get": {
-      const result = v.safeParse(item, body);
-      if (!result.success) return { kind: "timeout" };
-      const { path, value, stamp } = result.output;
-      return { kind: "found", entry: { key: path, value, version: stamp } };
-    }
-    case "list": {
-      const result = v.safeParse(page, body);
-      if (!result.success) return { kind: "timeout" };
-      const { entries, more, ledger } = result.output;
-      const items = entries.map(({ path, value, stamp }) => ({ key: path, value, version: stamp }));
-      return { kind: "page", entries: items, more: more ?? false, revision: ledger };
-    }
-    case "grantLease": {
-      const result = v.safeParse(granted, body);
-      return result.success ? { kind: "leaseGranted", leaseId: result.output.tenure } : { kind: "timeout" };
-    }
+}
+
+function decodeSuccess(request: StoreRequest, body: unknown): StoreResponse {
+  switch (request.kind) {
+    case "transaction":
+      return decodeCommit(body);
+    case "get":
+      return decodeFound(body);
+    case "list":
+      return decodePage(body);
+    case "grantLease":
+      return decodeLease(body);
     case "renewLease":
     case "revokeLease":
       return { kind: "ok", revision: 0 };
-    case "watch": {
-      const result = v.safeParse(followed, body);
-      if (!result.success) return { kind: "timeout" };
-      const events: WatchEvent[] = result.output.log.map((entry) =>
-        "write" in entry
-          ? { kind: "put", entry: { key: entry.write, value: entry.value, version: entry.stamp } }
-          : { kind: "removed", key: entry.delete, version: entry.stamp },
-      );
-      return { kind: "events", events, revision: result.output.ledger };
-    }
+    case "watch":
+      return decodeEvents(body);
   }
 }
+
+function decodeConflict(body: unknown): StoreResponse {
+  const result = v.safeParse(conflictSchema, body);
+  return result.success ? { kind: "conflict", failed: result.output.failed } : UNREADABLE;
+}
+
+function decodeCommit(body: unknown): StoreResponse {
+  const result = v.safeParse(revisionSchema, body);
+  return result.success ? { kind: "ok", revision: result.output.ledger } : UNREADABLE;
+}
+
+function decodeFound(body: unknown): StoreResponse {
+  const result = v.safeParse(entrySchema, body);
+  return result.success ? { kind: "found", entry: decodeEntry(result.output) } : UNREADABLE;
+}
+
+function decodePage(body: unknown): StoreResponse {
+  const result = v.safeParse(pageSchema, body);
+  if (!result.success) return UNREADABLE;
+  const { entries, more, ledger } = result.output;
+  return { kind: "page", entries: entries.map(decodeEntry), more, revision: ledger };
+}
+
+function decodeLease(body: unknown): StoreResponse {
+  const result = v.safeParse(leaseSchema, body);
+  return result.success ? { kind: "leaseGranted", leaseId: result.output.tenure } : UNREADABLE;
+}
+
+function decodeEvents(body: unknown): StoreResponse {
+  const result = v.safeParse(eventsSchema, body);
+  if (!result.success) return UNREADABLE;
+  return { kind: "events", events: result.output.log.map(decodeEvent), revision: result.output.ledger };
+}
+
+function decodeEntry({ path, value, stamp }: v.InferOutput<typeof entrySchema>): StoreEntry {
+  return { key: path, value, version: stamp };
+}
+
+function decodeEvent(wire: v.InferOutput<typeof eventSchema>): WatchEvent {
+  return "write" in wire
+    ? { kind: "put", entry: { key: wire.write, value: wire.value, version: wire.stamp } }
+    : { kind: "removed", key: wire.delete, version: wire.stamp };
+}
--- a/src/shell/clients.ts
+++ b/src/shell/clients.ts
@@ -1,77 +1,82 @@
 import { type Endpoint, parseEndpoint } from "../config/settings.js";
 import type { Heartbeat } from "../core/messages/agents.js";
 import type { CloudRequest, CloudResponse } from "../core/messages/cloud.js";
-import type { Effect } from "../core/messages/effects.js";
+import type { SendAgentCommands } from "../core/messages/effects.js";
 import type { StoreRequest, StoreResponse } from "../core/messages/store.js";
 import type { NameRegistry } from "../core/model/interner.js";
-import { decodeHeartbeat, encodeCommandBatch } from "../protocol/agents.js";
+import { decodeCommandReply, encodeCommandRequest } from "../protocol/agents.js";
 import { decodeCloudResponse, encodeCloudRequest } from "../protocol/cloud.js";
 import { decodeStoreResponse, encodeStoreRequest } from "../protocol/store.js";
 import { HttpClient } from "./http-client.js";
 
 const CLOUD_TIMEOUT_MS = 5000;
-const WORKER_TIMEOUT_MS = 1500;
+const AGENT_TIMEOUT_MS = 1500;
 
-/** The common keys, the jobs or, on the standby, three prefixes of records; with room for those that are being closed. */
-const FOLLOWS = 6;
+const STORE_CALL_CONNECTIONS = 24;
+/** The common keys, the jobs or, on the standby, three prefixes of records; and some for those that are being closed. */
+const STORE_WATCH_CONNECTIONS = 6;
+const CLOUD_CONNECTIONS = 8;
 
-/** The state service. Long-held follows have sockets of their own, so that they never delay a call. */
+/** The key-value store. Watches have connections of their own, so that they never delay a call. */
 export class StoreClient {
-  readonly #at: Endpoint;
-  readonly #calls = new HttpClient(24);
-  readonly #follows = new HttpClient(FOLLOWS);
+  readonly #endpoint: Endpoint;
+  readonly #calls = new HttpClient(STORE_CALL_CONNECTIONS);
+  readonly #watches = new HttpClient(STORE_WATCH_CONNECTIONS);
 
-  constructor(at: Endpoint) {
-    this.#at = at;
+  constructor(endpoint: Endpoint) {
+    this.#endpoint = endpoint;
   }
 
-  call(call: StoreRequest, timeoutMs: number, then: (answer: StoreResponse) => void): void {
-    const client = call.kind === "watch" && call.waitMs > 0 ? this.#follows : this.#calls;
-    client.call(this.#at, encodeStoreRequest(call), timeoutMs, (answer) => {
-      then(answer === null ? { kind: "timeout" } : decodeStoreResponse(call, answer.status, answer.body));
+  /** Sends a request; without an answer within `timeoutMs` its outcome is unknown. */
+  call(request: StoreRequest, timeoutMs: number, respond: (response: StoreResponse) => void): void {
+    const client = request.kind === "watch" && request.waitMs > 0 ? this.#watches : this.#calls;
+    client.call(this.#endpoint, encodeStoreRequest(request), timeoutMs, (answer) => {
+      respond(
+        answer === null ? { kind: "timeout" } : decodeStoreResponse(request, answer.status, answer.body),
+      );
     });
   }
 }
 
+/** The cloud that machines are provisioned from. */
 export class CloudClient {
-  readonly #at: Endpoint;
-  readonly #client = new HttpClient(8);
+  readonly #endpoint: Endpoint;
+  readonly #client = new HttpClient(CLOUD_CONNECTIONS);
 
-  constructor(at: Endpoint) {
-    this.#at = at;
+  constructor(endpoint: Endpoint) {
+    this.#endpoint = endpoint;
   }
 
-  call(call: CloudRequest, then: (answer: CloudResponse) => void): void {
-    this.#client.call(this.#at, encodeCloudRequest(call), CLOUD_TIMEOUT_MS, (answer) => {
-      then(answer === null ? { kind: "timeout" } : decodeCloudResponse(call, answer.status, answer.body));
+  /** Sends a request; without an answer in time its outcome is unknown. */
+  call(request: CloudRequest, respond: (response: CloudResponse) => void): void {
+    this.#client.call(this.#endpoint, encodeCloudRequest(request), CLOUD_TIMEOUT_MS, (answer) => {
+      respond(
+        answer === null ? { kind: "timeout" } : decodeCloudResponse(request, answer.status, answer.body),
+      );
     });
   }
 }
 
+/** The machines' agents, for commands that are sent to them directly. One command batch per agent is under way. */
 export class AgentClient {
   readonly #client: HttpClient;
-  readonly #directory: NameRegistry;
+  readonly #names: NameRegistry;
 
-  constructor(directory: NameRegistry, maxSockets: number) {
-    this.#client = new HttpClient(1, maxSockets);
-    this.#directory = directory;
+  /** With `maxConnections` in use a further batch counts as unanswered at once. */
+  constructor(names: NameRegistry, maxConnections: number) {
+    this.#client = new HttpClient(1, maxConnections);
+    this.#names = names;
   }
 
-  /** The report that the worker answered with, and whether the orders were executed. */
-  send(
-    effect: Extract<Effect, { kind: "sendAgentCommands" }>,
-    then: (report: Heartbeat | null, executed: boolean) => void,
-  ): void {
-    const body = encodeCommandBatch(
-      effect.fencingToken,
-      effect.incarnation,
-      effect.commands,
-      this.#directory,
-    );
-    const call = { method: "POST", path: "/do", body } as const;
-    this.#client.call(parseEndpoint(effect.address), call, WORKER_TIMEOUT_MS, (answer) => {
-      if (answer === null || (answer.status !== 200 && answer.status !== 409)) then(null, false);
-      else then(decodeHeartbeat(answer.body, this.#directory), answer.status === 200);
+  /** Sends a command batch; the agent's heartbeat that came in reply, null if none did, and whether it was executed. */
+  send(batch: SendAgentCommands, respond: (heartbeat: Heartbeat | null, executed: boolean) => void): void {
+    const request = encodeCommandRequest(batch, this.#names);
+    this.#client.call(parseEndpoint(batch.address), request, AGENT_TIMEOUT_MS, (answer) => {
+      if (answer === null) respond(null, false);
+      else {
+        const { heartbeat, executed } = decodeCommandReply(answer.status, answer.body, this.#names);
+        respond(heartbeat, executed);
+      }
     });
   }
 }
--- a/src/shell/compile-ahead.ts
+++ b/src/shell/compile-ahead.ts
@@ -1,13 +1,12 @@
 import { parseSettings } from "../config/settings.js";
 import { Controller } from "../core/controller.js";
-import type { Command } from "../core/messages/commands.js";
 import { createServer } from "./api.js";
+import { ControllerLoop } from "./controller-loop.js";
 import { openLog } from "./log.js";
-import { ControllerLoop } from "./loop.js";
 import { shareSockets } from "./sockets.js";
 
-/** The least that the settings check accepts; nothing is opened or sent. */
-const SAMPLE = `
+/** The smallest settings that are valid; nothing is opened or sent. */
+const SAMPLE_SETTINGS = `
 node = "sample"
 site = "zone"
 client_listen = "127.0.0.1:1"
@@ -25,20 +24,24 @@
 const TICKS = 20;
 const TICK_MS = 100;
 
-/** Runs what every start runs, without input or output, so that the code cache holds it compiled. */
+/** Runs what every start runs, without input or output, so that the code cache contains it compiled. */
 export function compileAhead(): void {
-  const settings = parseSettings(SAMPLE);
+  const settings = parseSettings(SAMPLE_SETTINGS);
   const identity = { incarnation: "sample", seed: 1, epochMs: 0 };
   const loop = new ControllerLoop(settings, identity, openLog("error", settings.deployment.node));
   createServer(loop, shareSockets(settings.maxConnections));
-  const controller = new Controller(settings.deployment, identity);
+  runTicks(new Controller(settings.deployment, identity));
+}
+
+/** Ticks a controller against a store that is empty. */
+function runTicks(controller: Controller): void {
   const budget = { isSpent: () => false };
   for (let i = 0; i < TICKS; i++) {
-    const answers: Command[] = [{ kind: "tick" }];
-    for (const effect of controller.handle(answers, i * TICK_MS, budget)) {
+    const now = i * TICK_MS;
+    for (const effect of controller.handle([{ kind: "tick" }], now, budget)) {
       if (effect.kind !== "callStore") continue;
-      const answer = { kind: "page", entries: [], more: false, revision: 1 } as const;
-      controller.handle([{ kind: "storeResponded", id: effect.id, response: answer }], i * TICK_MS, budget);
+      const response = { kind: "page", entries: [], more: false, revision: 1 } as const;
+      controller.handle([{ kind: "storeResponded", id: effect.id, response }], now, budget);
     }
   }
 }
--- /dev/null
+++ b/src/shell/heartbeat-endpoint.ts
@@ -0,0 +1,52 @@
+import type http from "node:http";
+import { notAHeartbeat, tryNextNode } from "../protocol/responses.js";
+import type { AgentConnections } from "./agent-connections.js";
+import { parseJson } from "./parse-json.js";
+import type { RequestHandler } from "./request-handler.js";
+import { writeJson, writeResponse } from "./write-response.js";
+
+const HEARTBEAT_PATH = "/agent/beat";
+
+/** Whether a request is an agent's heartbeat. */
+export function isHeartbeatRequest(req: http.IncomingMessage): boolean {
+  return req.method === "POST" && req.url === HEARTBEAT_PATH;
+}
+
+/**
+ * Takes agents' heartbeats. They are nine requests in ten, and express with its body parser took a sixth of a leader's
+ * processor time for them (docs/RESULTS.md): so they bypass it.
+ */
+export class HeartbeatEndpoint {
+  readonly #handler: RequestHandler;
+  readonly #connections: AgentConnections;
+  readonly #bodyLimit: number;
+
+  constructor(handler: RequestHandler, connections: AgentConnections, bodyLimit: number) {
+    this.#handler = handler;
+    this.#connections = connections;
+    this.#bodyLimit = bodyLimit;
+  }
+
+  /** Answers one heartbeat, if its connection is admitted. */
+  serve(req: http.IncomingMessage, res: http.ServerResponse): void {
+    const admission = this.#connections.admit(req.socket);
+    if (admission !== "keep") res.setHeader("connection", "close");
+    if (admission === "refuse") writeResponse(res, tryNextNode);
+    else this.#readHeartbeat(req, res);
+  }
+
+  /** An oversized body is read to its end, as its sender would not read an answer before that, but not kept. */
+  #readHeartbeat(req: http.IncomingMessage, res: http.ServerResponse): void {
+    const chunks: Buffer[] = [];
+    let size = 0;
+    req.on("data", (chunk: Buffer) => {
+      size += chunk.length;
+      if (size <= this.#bodyLimit) chunks.push(chunk);
+    });
+    req.on("end", () => {
+      const body = size <= this.#bodyLimit ? parseJson(Buffer.concat(chunks).toString("utf8")) : undefined;
+      const isHeartbeat = this.#handler.report(body, (status, reply) => writeJson(res, status, reply));
+      if (!isHeartbeat) writeResponse(res, notAHeartbeat);
+    });
+  }
+}
--- a/src/shell/log.ts
+++ b/src/shell/log.ts
@@ -1,13 +1,14 @@
 import { pino } from "pino";
 
+/** The log of a node: structured lines, a fixed message each with the facts as fields. */
 export type Log = ReturnType<typeof openLog>;
 
-/** Structured lines on standard error. */
+/** Opens the log on standard error; a level that is unknown or not set counts as "info". */
 export function openLog(level: string | undefined, node: string) {
-  const known = level === "error" || level === "info" || level === "debug" ? level : "info";
+  const knownLevel = level === "error" || level === "info" || level === "debug" ? level : "info";
   return pino(
     {
-      level: known,
+      level: knownLevel,
       base: { node },
       formatters: { level: (label) => ({ level: label }) },
     },
--- a/src/shell/metrics.ts
+++ b/src/shell/metrics.ts
@@ -1,105 +1,173 @@
-import type { TeamStatus } from "../admission/admission.js";
+import type { AdmissionStatus, TeamStatus } from "../admission/admission.js";
 import type { Controller } from "../core/controller.js";
+import type { LeaderTerm } from "../core/leader-term.js";
+import type { MetricsPage } from "./request-handler.js";
 
-/** The library is loaded at the first scrape: most of a start-up's processor time is loading modules. */
-export async function renderMetrics(
-  controller: Controller,
-  loop: { batches: number; lagMs: number; waiting: number },
-): Promise<{ type: string; text: string }> {
-  const { Registry, Gauge } = await import("prom-client");
-  const registry = new Registry();
-  const gauge = (name: string, help: string, value: number) => {
-    new Gauge({ name: `hillspindle_${name}`, help, registers: [registry] }).set(value);
-  };
-  gauge("ready", "1 if this node takes requests", controller.ready ? 1 : 0);
-  gauge("leading", "1 if this node leads", controller.leaderTerm ? 1 : 0);
-  gauge("batches_total", "Batches of commands worked off", loop.batches);
-  gauge("lag_ms", "How late the last tick came", loop.lagMs);
-  gauge("users_waiting", "Requests of users that await their answer", loop.waiting);
+type PromClient = typeof import("prom-client");
+
+/** What the loop tells of itself. */
+export interface LoopMetrics {
+  /** Batches of commands handled since the start. */
+  readonly batches: number;
+  /** How late the last tick came. */
+  readonly lagMs: number;
+  /** Requests of users that wait for their answer. */
+  readonly waiting: number;
+}
+
+/** The metrics of one scrape, in the order in which they are set. */
+class GaugeSet {
+  readonly #library: PromClient;
+  readonly registry: InstanceType<PromClient["Registry"]>;
+
+  constructor(library: PromClient) {
+    this.#library = library;
+    this.registry = new library.Registry();
+  }
+
+  set(name: string, help: string, value: number): void {
+    new this.#library.Gauge({ name: `hillspindle_${name}`, help, registers: [this.registry] }).set(value);
+  }
+
+  setPerTeam(
+    name: string,
+    help: string,
+    teams: readonly TeamStatus[],
+    toValue: (team: TeamStatus) => number,
+  ): void {
+    const gauge = new this.#library.Gauge({
+      name: `hillspindle_${name}`,
+      help,
+      labelNames: ["team"],
+      registers: [this.registry],
+    });
+    for (const team of teams) gauge.set({ team: team.name }, toValue(team));
+  }
+}
+
+/**
+ * Renders all metrics in the Prometheus text format. The library is loaded at the first scrape: most of a start's
+ * processor time goes into loading modules.
+ */
+export async function renderMetrics(controller: Controller, loop: LoopMetrics): Promise<MetricsPage> {
+  const gauges = new GaugeSet(await import("prom-client"));
+  setNodeGauges(gauges, controller, loop);
+  setFailoverGauges(gauges, controller);
+  const admission = controller.admissionStatus;
+  if (admission) setAdmissionGauges(gauges, admission, controller.leaderTerm);
+  const { leaderTerm } = controller;
+  if (leaderTerm) {
+    setClusterGauges(gauges, leaderTerm);
+    setSchedulingGauges(gauges, leaderTerm);
+    setAgentGauges(gauges, leaderTerm);
+  }
+  return { type: gauges.registry.contentType, text: await gauges.registry.metrics() };
+}
+
+function setNodeGauges(gauges: GaugeSet, controller: Controller, loop: LoopMetrics): void {
+  gauges.set("ready", "1 if this node takes requests", controller.ready ? 1 : 0);
+  gauges.set("leading", "1 if this node leads", controller.leaderTerm ? 1 : 0);
+  gauges.set("batches_total", "Batches of commands worked off", loop.batches);
+  gauges.set("lag_ms", "How late the last tick came", loop.lagMs);
+  gauges.set("users_waiting", "Requests of users that await their answer", loop.waiting);
+}
+
+function setFailoverGauges(gauges: GaugeSet, controller: Controller): void {
   const { standby, takeover } = controller.failover;
   if (standby) {
-    gauge("standby_warm", "1 if this node could lead from its cache of the records", standby.warm ? 1 : 0);
-    gauge("standby_records", "Records in the cache", standby.records);
-    gauge("standby_bytes", "Bytes that the cache takes, about", standby.bytes);
+    gauges.set(
+      "standby_warm",
+      "1 if this node could lead from its cache of the records",
+      standby.warm ? 1 : 0,
+    );
+    gauges.set("standby_records", "Records in the cache", standby.records);
+    gauges.set("standby_bytes", "Bytes that the cache takes, about", standby.bytes);
     if (standby.lagRevisions !== null)
-      gauge("standby_lag_revisions", "Revisions that the cache is behind", standby.lagRevisions);
+      gauges.set("standby_lag_revisions", "Revisions that the cache is behind", standby.lagRevisions);
     if (standby.lagS !== null)
-      gauge("standby_lag_seconds", "Seconds since the cache was last proved complete", standby.lagS);
+      gauges.set("standby_lag_seconds", "Seconds since the cache was last proved complete", standby.lagS);
   }
-  for (const [phase, ms] of takeover.phases())
-    gauge(
+  for (const [phase, sinceLeaderGoneMs] of takeover.phases())
+    gauges.set(
       `takeover_${toSnakeCase(phase)}_ms`,
       "Last takeover of this node: from the end of the former leader's key to this step",
-      ms,
+      sinceLeaderGoneMs,
     );
-  const admission = controller.admissionStatus;
-  if (admission) {
-    const byTeam = (name: string, help: string, of: (team: TeamStatus) => number) => {
-      const perTeam = new Gauge({
-        name: `hillspindle_admission_${name}`,
-        help,
-        labelNames: ["team"],
-        registers: [registry],
-      });
-      for (const team of admission.teams) perTeam.set({ team: team.name }, of(team));
-    };
-    gauge("admission_by_slice", "1 while the leader's permits decide", admission.mode === "slice" ? 1 : 0);
-    byTeam("admitted_total", "Submissions accepted by this node", ({ admitted }) => admitted);
-    byTeam("refused_total", "Submissions answered 429", ({ refused }) => refused);
-    byTeam("available", "Submissions that could be accepted now", ({ available }) => available);
-    byTeam("told_to_wait", "Submissions that were told when to come back", ({ waiting }) => waiting);
-    byTeam(
-      "retry_after_seconds",
-      "What the last one that was refused was told",
-      ({ lastWaitS }) => lastWaitS,
-    );
-    const turns = controller.leaderTerm?.longestWaits();
-    if (turns)
-      byTeam("longest_wait_seconds", "How long nothing has begun of a line that waits", ({ name }) => {
-        return (turns.get(name) ?? 0) / 1000;
-      });
-  }
-  const { leaderTerm } = controller;
-  if (leaderTerm) {
-    const machines = [...leaderTerm.cluster.machines.values()];
-    gauge("token", "The token that everything sent carries", leaderTerm.lease.fencingToken);
-    gauge("jobs", "Jobs that are not over", leaderTerm.cluster.jobs.size);
-    gauge(
-      "machines_up",
-      "Machines that report",
-      machines.filter((m) => m.phase === "up" && !m.isLeaseExpired).length,
-    );
-    gauge(
-      "machines_booting",
-      "Machines hired but not up",
-      machines.filter((m) => m.phase === "booting").length,
-    );
-    gauge(
-      "placements",
-      "Tasks on machines",
-      machines.reduce((n, m) => n + m.placements.size, 0),
-    );
-    gauge("blocked_jobs", "Jobs that found no place in the last round", leaderTerm.scheduler.blocked.length);
-    gauge(
-      "rounds_cut_total",
-      "Rounds that went over their time and were gone on with",
-      leaderTerm.scheduler.interruptedRounds,
-    );
-    gauge(
-      "machines_looked_at_total",
-      "Machines looked at in search of places",
-      leaderTerm.scheduler.feasibleMachines.machinesExamined,
-    );
-    gauge("reports_compared_total", "Reports that said something new", leaderTerm.agents.reconciliations);
-    gauge(
-      "machines_unreachable",
-      "Machines that report but do not hear",
-      machines.filter((m) => m.unreachableSince !== null).length,
+}
+
+function setAdmissionGauges(
+  gauges: GaugeSet,
+  admission: AdmissionStatus,
+  leaderTerm: LeaderTerm | null,
+): void {
+  const { teams } = admission;
+  gauges.set("admission_by_slice", "1 while the leader's permits decide", admission.mode === "slice" ? 1 : 0);
+  const setPerTeam = (name: string, help: string, toValue: (team: TeamStatus) => number) => {
+    gauges.setPerTeam(`admission_${name}`, help, teams, toValue);
+  };
+  setPerTeam("admitted_total", "Submissions accepted by this node", ({ admitted }) => admitted);
+  setPerTeam("refused_total", "Submissions answered 429", ({ refused }) => refused);
+  setPerTeam("available", "Submissions that could be accepted now", ({ available }) => available);
+  setPerTeam("told_to_wait", "Submissions that were told when to come back", ({ waiting }) => waiting);
+  setPerTeam(
+    "retry_after_seconds",
+    "What the last one that was refused was told",
+    ({ lastWaitS }) => lastWaitS,
+  );
+  const longestWaitsMs = leaderTerm?.longestWaits();
+  if (longestWaitsMs)
+    setPerTeam(
+      "longest_wait_seconds",
+      "How long nothing has begun of a line that waits",
+      ({ name }) => (longestWaitsMs.get(name) ?? 0) / 1000,
     );
-    gauge("moves_total", "Moves begun in this term", leaderTerm.migrator.startedMigrations);
-    gauge("unwritten", "Records that wait to be written", leaderTerm.recordWriter.backlog);
-  }
-  return { type: registry.contentType, text: await registry.metrics() };
+}
+
+function setClusterGauges(gauges: GaugeSet, { lease, cluster }: LeaderTerm): void {
+  const machines = [...cluster.machines.values()];
+  gauges.set("token", "The token that everything sent carries", lease.fencingToken);
+  gauges.set("jobs", "Jobs that are not over", cluster.jobs.size);
+  gauges.set(
+    "machines_up",
+    "Machines that report",
+    machines.filter(({ phase, isLeaseExpired }) => phase === "up" && !isLeaseExpired).length,
+  );
+  gauges.set(
+    "machines_booting",
+    "Machines hired but not up",
+    machines.filter(({ phase }) => phase === "booting").length,
+  );
+  gauges.set(
+    "placements",
+    "Tasks on machines",
+    machines.reduce((sum, { placements }) => sum + placements.size, 0),
+  );
+}
+
+function setSchedulingGauges(gauges: GaugeSet, { scheduler }: LeaderTerm): void {
+  gauges.set("blocked_jobs", "Jobs that found no place in the last round", scheduler.blocked.length);
+  gauges.set(
+    "rounds_cut_total",
+    "Rounds that went over their time and were gone on with",
+    scheduler.interruptedRounds,
+  );
+  gauges.set(
+    "machines_looked_at_total",
+    "Machines looked at in search of places",
+    scheduler.feasibleMachines.machinesExamined,
+  );
+}
+
+function setAgentGauges(gauges: GaugeSet, term: LeaderTerm): void {
+  const machines = [...term.cluster.machines.values()];
+  gauges.set("reports_compared_total", "Reports that said something new", term.agents.reconciliations);
+  gauges.set(
+    "machines_unreachable",
+    "Machines that report but do not hear",
+    machines.filter(({ unreachableSince }) => unreachableSince !== null).length,
+  );
+  gauges.set("moves_total", "Moves begun in this term", term.migrator.startedMigrations);
+  gauges.set("unwritten", "Records that wait to be written", term.recordWriter.backlog);
 }
 
 function toSnakeCase(name: string): string {
--- /dev/null
+++ b/src/shell/parse-json.ts
@@ -0,0 +1,8 @@
+/** The value of a JSON text; undefined if it is malformed. */
+export function parseJson(text: string): unknown {
+  try {
+    return JSON.parse(text);
+  } catch {
+    return undefined;
+  }
+}
