--- /dev/null
+++ b/src/cli/arguments.ts
@@ -0,0 +1,37 @@
+import { readFileSync } from "node:fs";
+import { CliError, messageOf } from "./errors.js";
+
+const STDIN_FD = 0;
+
+/** Reads a JSON file, or standard input where the path is "-". */
+export function readJson(path: string): unknown {
+  try {
+    return JSON.parse(readFileSync(path === "-" ? STDIN_FD : path, "utf8"));
+  } catch (error) {
+    throw new CliError("badArgument", `${path}: ${messageOf(error)}`, { cause: error });
+  }
+}
+
+/** Reads changes of settings, each `name=value`. */
+export function parseSettingChanges(pairs: readonly string[]): Record<string, unknown> {
+  return Object.fromEntries(pairs.map(parseSettingChange));
+}
+
+/** A value in braces is JSON, for settings by team; one that is no number is passed on as a text. */
+function parseSettingChange(pair: string): [name: string, value: unknown] {
+  const equals = pair.indexOf("=");
+  if (equals <= 0) throw new CliError("badArgument", `${pair}: write name=value`);
+  const name = pair.slice(0, equals);
+  const text = pair.slice(equals + 1);
+  if (text.startsWith("{")) return [name, parseJsonValue(pair, text)];
+  const value = Number(text);
+  return [name, text.trim() !== "" && Number.isFinite(value) ? value : text];
+}
+
+function parseJsonValue(pair: string, text: string): unknown {
+  try {
+    return JSON.parse(text);
+  } catch (error) {
+    throw new CliError("badArgument", `${pair}: ${messageOf(error)}`, { cause: error });
+  }
+}
--- a/src/cli/server-bundle.ts
+++ b/src/cli/server-bundle.ts
@@ -10,6 +10,7 @@
 
 type ServerModule = typeof import("../shell/serve.js");
 
+/** The server's modules, loaded. */
 export interface LoadedServer {
   readonly server: ServerModule;
   /** Why the code cache was not used; null if it was. */
@@ -19,9 +20,9 @@
 }
 
 /**
- * Loads the server bundle, with V8's code cache if the build left one that fits. Compiling the bundle is a third of the
+ * Loads the server bundle, with V8's code cache if the build left one that fits: compiling the bundle is a third of the
  * processor time of a start. A cache that is missing, or was made by another version of Node or under other flags, is
- * ignored: the bundle is then compiled as usual.
+ * ignored, and the bundle compiled as usual.
  */
 export function loadServer(folder = dirname(fileURLToPath(import.meta.url))): LoadedServer {
   const filename = `${folder}/${BUNDLE}`;
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -8,14 +8,14 @@
 const endpoint = v.pipe(v.string(), v.regex(/^[^\s:]+:\d{1,5}$/, "must be host:port"));
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
 const amount = v.optional(v.pipe(v.number(), v.finite(), v.minValue(0)), 0);
-/** A move, a start with the record of its machine, and a job's two keys at its end have to fit in one transaction. */
+/** A replica migration, a start with its machine's record, and a job's two keys at its end each fit in one transaction. */
 const txnOps = v.pipe(v.number(), v.integer(), v.minValue(4));
-/** Limits allow bursts of a second's worth: a transaction of the smallest size has to fit in one. */
+/** The store allows bursts of a second's worth of writes: a transaction of the smallest size has to fit in one. */
 const writeRps = v.pipe(v.number(), v.finite(), v.minValue(4));
-/** Renewals, following the records and heartbeats of three nodes take this much by themselves. */
-const stateRps = v.pipe(v.number(), v.finite(), v.minValue(10));
+/** Keep-alives, watches and heartbeats of three nodes take this much by themselves. */
+const storeRps = v.pipe(v.number(), v.finite(), v.minValue(10));
 /** The records of ordinary jobs need this much. */
-const LEAST_VALUE_KB = 1;
+const MIN_VALUE_KB = 1;
 
 const schema = v.object({
   node: text,
@@ -49,13 +49,13 @@
       cancel_s: positive,
     }),
     state: v.object({
-      rps: stateRps,
+      rps: storeRps,
       write_rps: writeRps,
       value_kb: positive,
       txn_ops: txnOps,
       next: v.optional(
         v.object({
-          rps: v.optional(stateRps),
+          rps: v.optional(storeRps),
           write_rps: v.optional(writeRps),
           value_kb: v.optional(positive),
           txn_ops: v.optional(txnOps),
@@ -73,128 +73,184 @@
   }),
 });
 
+type WireSettings = v.InferOutput<typeof schema>;
+type WireDeployment = WireSettings["deployment"];
+
+const MAX_PORT = 65_535;
+const BYTES_PER_KB = 1024;
+
+/** The settings of a node, as the platform writes them; they are read once, at the start. */
 export interface Settings {
+  /** Where users, agents, probes and operators connect to. */
   readonly listen: Endpoint;
+  /** Where peers connect to. */
   readonly peerListen: Endpoint;
   readonly peers: readonly { readonly node: string; readonly at: Endpoint }[];
   readonly cloud: Endpoint;
+  /** The key-value store. */
   readonly state: Endpoint;
   readonly maxConnections: number;
   readonly memoryMb: number;
   readonly deployment: Deployment;
 }
 
+/** Where a service listens. */
 export interface Endpoint {
   readonly host: string;
   readonly port: number;
 }
 
-export class SettingsError extends Error {}
+/** Which part of reading the settings failed. */
+export type SettingsErrorCode = "unreadable" | "notToml" | "invalid";
 
-export function parseEndpoint(value: string): Endpoint {
-  const at = value.lastIndexOf(":");
-  return { host: value.slice(0, at), port: Number(value.slice(at + 1)) };
-}
+/** Settings that a node can't start with; the message names the field, where one is at fault. */
+export class SettingsError extends Error {
+  readonly code: SettingsErrorCode;
 
-function port(value: string, field: string): Endpoint {
-  const at = parseEndpoint(value);
-  if (at.port < 1 || at.port > 65_535) throw new SettingsError(`${field}: port out of range`);
-  return at;
+  constructor(code: SettingsErrorCode, message: string, options?: ErrorOptions) {
+    super(message, options);
+    this.name = "SettingsError";
+    this.code = code;
+  }
 }
 
-export function loadSettings(path: string): Settings {
-  let source: string;
-  try {
-    source = readFileSync(path, "utf8");
-  } catch (error) {
-    throw new SettingsError(`cannot read ${path}: ${(error as Error).message}`);
-  }
-  return parseSettings(source);
+/** Splits a `host:port`; the port is not checked. */
+export function parseEndpoint(value: string): Endpoint {
+  const colon = value.lastIndexOf(":");
+  return { host: value.slice(0, colon), port: Number(value.slice(colon + 1)) };
 }
 
-/** The limits to come; what they don't name stays as it is. */
-function nextLimits(state: v.InferOutput<typeof schema>["deployment"]["state"]): StoreLimits | null {
-  const { next } = state;
-  if (!next) return null;
-  return {
-    rps: next.rps ?? state.rps,
-    writeRps: next.write_rps ?? state.write_rps,
-    valueBytes: (next.value_kb ?? state.value_kb) * 1024,
-    txnOps: next.txn_ops ?? state.txn_ops,
-  };
+/** Reads a settings file; throws a SettingsError if it can't be read or is invalid. */
+export function loadSettings(path: string): Settings {
+  return parseSettings(readSource(path));
 }
 
+/** Reads settings in TOML; throws a SettingsError if they are invalid. Unknown fields are a later version's and ignored. */
 export function parseSettings(source: string): Settings {
-  let raw: unknown;
-  try {
-    raw = parse(source);
-  } catch (error) {
-    throw new SettingsError(`not TOML: ${(error as Error).message.split("\n")[0]}`);
-  }
-  const result = v.safeParse(schema, raw);
+  const result = v.safeParse(schema, parseToml(source));
   if (!result.success) {
     const issue = result.issues[0];
-    throw new SettingsError(`${v.getDotPath(issue) ?? "settings"}: ${issue.message}`);
+    throw invalid(v.getDotPath(issue) ?? "settings", issue.message);
   }
-  const s = result.output;
-  const d = s.deployment;
-  for (const [i, team] of d.teams.entries()) {
-    if (d.teams.findIndex((t) => t.name === team.name) !== i) {
-      throw new SettingsError(`deployment.teams.${i}.name: ${team.name} is named twice`);
-    }
+  const wire = result.output;
+  checkNames(wire);
+  checkStoreLimits(wire.deployment.state);
+  checkAgentTimes(wire.deployment.workers);
+  return toSettings(wire);
+}
+
+function invalid(field: string, problem: string): SettingsError {
+  return new SettingsError("invalid", `${field}: ${problem}`);
+}
+
+function readSource(path: string): string {
+  try {
+    return readFileSync(path, "utf8");
+  } catch (cause) {
+    throw new SettingsError("unreadable", `cannot read ${path}: ${messageOf(cause)}`, { cause });
   }
-  if (s.known.some((peer) => peer.node === s.node)) {
-    throw new SettingsError("known: names this node itself");
+}
+
+function parseToml(source: string): unknown {
+  try {
+    return parse(source);
+  } catch (cause) {
+    throw new SettingsError("notToml", `not TOML: ${messageOf(cause).split("\n")[0]}`, { cause });
   }
-  for (const [field, valueKb] of [
-    ["deployment.state.value_kb", d.state.value_kb],
-    ["deployment.state.next.value_kb", d.state.next?.value_kb ?? d.state.value_kb],
-  ] as const) {
-    if (valueKb < LEAST_VALUE_KB) throw new SettingsError(`${field}: must be at least ${LEAST_VALUE_KB}`);
+}
+
+function messageOf(error: unknown): string {
+  return error instanceof Error ? error.message : String(error);
+}
+
+function checkNames({ node, known, deployment: { teams } }: WireSettings): void {
+  const names = new Set<string>();
+  for (const [i, { name }] of teams.entries()) {
+    if (names.has(name)) throw invalid(`deployment.teams.${i}.name`, `${name} is named twice`);
+    names.add(name);
   }
-  if (d.workers.lease_s <= d.workers.report_s) {
-    throw new SettingsError("deployment.workers.lease_s: must be longer than report_s");
+  if (known.some((peer) => peer.node === node)) throw invalid("known", "names this node itself");
+}
+
+function checkStoreLimits({ value_kb, next }: WireDeployment["state"]): void {
+  const problem = `must be at least ${MIN_VALUE_KB}`;
+  if (value_kb < MIN_VALUE_KB) throw invalid("deployment.state.value_kb", problem);
+  if (next?.value_kb !== undefined && next.value_kb < MIN_VALUE_KB) {
+    throw invalid("deployment.state.next.value_kb", problem);
   }
-  if (d.workers.cancel_s <= d.workers.lease_s) {
-    throw new SettingsError(
-      "deployment.workers.cancel_s: must be longer than lease_s, the life of a lost task",
-    );
+}
+
+/** A heartbeat renews an agent's lease; a task on a lost machine runs for up to one lease, and must be over by `cancel_s`. */
+function checkAgentTimes({ report_s, lease_s, cancel_s }: WireDeployment["workers"]): void {
+  if (lease_s <= report_s) throw invalid("deployment.workers.lease_s", "must be longer than report_s");
+  if (cancel_s <= lease_s) {
+    throw invalid("deployment.workers.cancel_s", "must be longer than lease_s, the life of a lost task");
   }
+}
+
+function toSettings(wire: WireSettings): Settings {
+  const { quota } = wire.deployment;
+  return {
+    listen: checkedEndpoint(wire.client_listen, "client_listen"),
+    peerListen: checkedEndpoint(wire.peer_bind, "peer_bind"),
+    peers: wire.known.map((peer, i) => ({
+      node: peer.node,
+      at: checkedEndpoint(peer.endpoint, `known.${i}.endpoint`),
+    })),
+    cloud: checkedEndpoint(wire.endpoints.cloud, "endpoints.cloud"),
+    state: checkedEndpoint(wire.endpoints.state, "endpoints.state"),
+    maxConnections: quota.max_connections,
+    memoryMb: quota.ram_mb,
+    deployment: toDeployment(wire),
+  };
+}
+
+function checkedEndpoint(value: string, field: string): Endpoint {
+  const endpoint = parseEndpoint(value);
+  if (endpoint.port < 1 || endpoint.port > MAX_PORT) throw invalid(field, "port out of range");
+  return endpoint;
+}
+
+function toDeployment({ node, known, deployment }: WireSettings): Deployment {
+  const { zones, teams, objectives, workers, state, cloud } = deployment;
   return {
-    listen: port(s.client_listen, "client_listen"),
-    peerListen: port(s.peer_bind, "peer_bind"),
-    peers: s.known.map((peer, i) => ({ node: peer.node, at: port(peer.endpoint, `known.${i}.endpoint`) })),
-    cloud: port(s.endpoints.cloud, "endpoints.cloud"),
-    state: port(s.endpoints.state, "endpoints.state"),
-    maxConnections: d.quota.max_connections,
-    memoryMb: d.quota.ram_mb,
-    deployment: {
-      node: s.node,
-      peers: s.known.map((peer) => peer.node),
-      zones: d.zones,
-      teams: d.teams.map((team) => ({
-        name: team.name,
-        guarantee: roundUpDemand(team.cpus, team.gpus, 0),
-        limit: roundDownCapacity(team.cpus_max, team.gpus_max, 0),
-      })),
-      objectives: d.objectives.map((o) => ({
-        kind: o.kind,
-        jobClass: o.class,
-        withinS: o.within_s,
-        share: o.share,
-      })),
-      heartbeatIntervalS: d.workers.report_s,
-      leaseS: d.workers.lease_s,
-      gangWaitS: d.workers.gang_wait_s,
-      gangPeerS: d.workers.gang_peer_s,
-      cancelS: d.workers.cancel_s,
-      storeRps: d.state.rps,
-      storeWriteRps: d.state.write_rps,
-      valueBytes: d.state.value_kb * 1024,
-      txnOps: d.state.txn_ops,
-      nextStoreLimits: nextLimits(d.state),
-      cloudRps: d.cloud.rps,
-      listLagS: d.cloud.list_lag_s,
-    },
+    node,
+    peers: known.map((peer) => peer.node),
+    zones,
+    teams: teams.map((team) => ({
+      name: team.name,
+      guarantee: roundUpDemand(team.cpus, team.gpus, 0),
+      limit: roundDownCapacity(team.cpus_max, team.gpus_max, 0),
+    })),
+    objectives: objectives.map((objective) => ({
+      kind: objective.kind,
+      jobClass: objective.class,
+      withinS: objective.within_s,
+      share: objective.share,
+    })),
+    heartbeatIntervalS: workers.report_s,
+    leaseS: workers.lease_s,
+    gangWaitS: workers.gang_wait_s,
+    gangPeerS: workers.gang_peer_s,
+    cancelS: workers.cancel_s,
+    storeRps: state.rps,
+    storeWriteRps: state.write_rps,
+    valueBytes: state.value_kb * BYTES_PER_KB,
+    txnOps: state.txn_ops,
+    nextStoreLimits: toNextStoreLimits(state),
+    cloudRps: cloud.rps,
+    listLagS: cloud.list_lag_s,
+  };
+}
+
+/** The limits that are announced to come; null if there are none. What they don't name stays as it is. */
+function toNextStoreLimits(state: WireDeployment["state"]): StoreLimits | null {
+  const { next } = state;
+  if (!next) return null;
+  return {
+    rps: next.rps ?? state.rps,
+    writeRps: next.write_rps ?? state.write_rps,
+    valueBytes: (next.value_kb ?? state.value_kb) * BYTES_PER_KB,
+    txnOps: next.txn_ops ?? state.txn_ops,
   };
 }
