--- a/test/support/controller-harness.ts
+++ b/test/support/controller-harness.ts
@@ -1,329 +1,300 @@
 import { Controller } from "../../src/core/controller.js";
 import type { AdminRequest, AdminResponse } from "../../src/core/messages/administration.js";
-import type {
-  AgentCommand,
-  Heartbeat,
-  HeartbeatReply,
-  ReportedTask,
-} from "../../src/core/messages/agents.js";
+import type { AgentCommand, Heartbeat, HeartbeatReply } from "../../src/core/messages/agents.js";
 import type { CloudRequest, CloudResponse } from "../../src/core/messages/cloud.js";
 import type { Command } from "../../src/core/messages/commands.js";
-import type { Effect } from "../../src/core/messages/effects.js";
+import type { Effect, SendAgentCommands } from "../../src/core/messages/effects.js";
 import type { PeerMessage } from "../../src/core/messages/peers.js";
-import type { StoreRequest, StoreResponse } from "../../src/core/messages/store.js";
 import type { UserResponse } from "../../src/core/messages/users.js";
 import type { Deployment, MachineType } from "../../src/core/model/deployment.js";
 import type { JobSpec } from "../../src/core/model/job-spec.js";
 import { deployment, TYPES } from "./deployment.js";
 import { FakeStore } from "./fake-store.js";
+import { HeartbeatFactory, type TaskStatus } from "./heartbeat-factory.js";
+import { type HangingCall, ScriptedStore, type StoreRule } from "./scripted-store.js";
 
+export type { TaskStatus } from "./heartbeat-factory.js";
+export { jobSpec } from "./job-spec.js";
+
+const TICK_MS = 100;
+/** Long enough for a campaign in a store without a leader. */
+const ELECTION_MS = 1500;
+
+/** A batch of commands that was sent to an agent directly, with its jobs by uid. */
 export interface SentCommands {
   readonly machine: string;
-  readonly token: number;
-  readonly session: number;
+  readonly fencingToken: number;
+  readonly incarnation: number;
   readonly commands: readonly (AgentCommand & { uid: string })[];
 }
 
-export interface TaskStatus {
-  readonly uid: string;
-  readonly task: number;
-  readonly attempt: number;
-  readonly state: ReportedTask["state"];
-  readonly cause?: ReportedTask["exitReason"];
+/** A batch of commands that the test has not answered. */
+export interface UnansweredCommands {
+  readonly id: number;
+  readonly machine: string;
 }
 
-/** One controller under a fake clock, with a scripted outside: nothing answers unless the test lets it. */
+/** One controller under a fake clock, with scripted surroundings: agents and peers say nothing unless the test lets them. */
 export class ControllerHarness {
   now = 1000;
   readonly controller: Controller;
   readonly store: FakeStore;
-  /** Direct commands sent; those not yet answered wait in `unanswered`. */
+  /** All batches sent to agents directly; those not yet answered are in `unansweredCommands`, too. */
   readonly sentCommands: SentCommands[] = [];
-  readonly unansweredCommands: { id: number; machine: string }[] = [];
+  readonly unansweredCommands: UnansweredCommands[] = [];
   readonly cloudCalls: CloudRequest[] = [];
   readonly errorLines: string[] = [];
   readonly logLines: string[] = [];
-  /** The prefixes of which pages were asked for. */
-  readonly listedPrefixes: string[] = [];
   /** The last heartbeat that was sent to each peer. */
   readonly heartbeats = new Map<string, PeerMessage>();
-  /** The nodes that reports were passed on to. */
+  /** The nodes that heartbeats of agents were forwarded to. */
   readonly forwardedTo: string[] = [];
-  /** What the state service does with a call; null answers for real. */
-  storeRule: ((call: StoreRequest) => StoreResponse | "hang" | null) | null = null;
-  hangingCalls: { id: number; call: StoreRequest }[] = [];
-  cloudRule: (call: CloudRequest) => CloudResponse = (call) => {
-    switch (call.kind) {
-      case "listTypes":
-        return { kind: "types", machineTypes: this.types };
-      case "create":
-        return { kind: "noCapacity" };
-      case "delete":
-        return { kind: "deleted" };
-      case "list":
-        return { kind: "page", machines: [], more: false };
-    }
-  };
+  /** Answers each call to the cloud, at once. */
+  cloudRule: (request: CloudRequest) => CloudResponse = (request) => this.#emptyCloud(request);
+  /** The machine types that the cloud has. */
   types: readonly MachineType[] = TYPES;
+  /** Is the processor budget of the batch spent? */
   isBudgetSpent = () => false;
-  #req = 1;
-  readonly #gathers: boolean;
-  #sequence = new Map<string, number>();
-  readonly #users = new Map<number, UserResponse>();
-  readonly #reports = new Map<number, HeartbeatReply>();
-  readonly #admins = new Map<number, AdminResponse>();
-  readonly #follows: { id: number; call: Extract<StoreRequest, { kind: "watch" }>; at: number }[] = [];
+  #nextRequestId = 1;
+  readonly #admission: boolean;
+  readonly #storeCalls: ScriptedStore;
+  readonly #heartbeatFactory: HeartbeatFactory;
+  readonly #userResponses = new Map<number, UserResponse>();
+  readonly #agentReplies = new Map<number, HeartbeatReply>();
+  readonly #adminResponses = new Map<number, AdminResponse>();
 
   constructor(
     node = "n0",
-    state = new FakeStore(),
+    store = new FakeStore(),
     incarnation = `${node}-1`,
     settings: Partial<Deployment> = {},
     standbyBytes = 0,
     admission = false,
   ) {
-    this.store = state;
-    this.#gathers = admission;
+    this.store = store;
+    this.#admission = admission;
     const identity = { incarnation, seed: 7, epochMs: 1_000_000, standbyBytes, admission };
     this.controller = new Controller({ ...deployment(node), ...settings }, identity);
+    this.#heartbeatFactory = new HeartbeatFactory(this.controller.names);
+    this.#storeCalls = new ScriptedStore(store, (id, response) =>
+      this.handle({ kind: "storeResponded", id, response }),
+    );
   }
 
-  /** A leader whose operators have these aims. */
+  /** A leader whose operators have set these service-level objectives. */
   static withObjectives(
     objectives: Deployment["objectives"],
-    more: Partial<Deployment> = {},
+    settings: Partial<Deployment> = {},
   ): ControllerHarness {
-    return new ControllerHarness("n0", new FakeStore(), "n0-1", { objectives, ...more }).becomeLeader();
+    return new ControllerHarness("n0", new FakeStore(), "n0-1", {
+      objectives,
+      ...settings,
+    }).becomeLeader();
   }
 
-  handle(...commands: Command[]): void {
-    this.#run(this.controller.handle(commands, this.now, { isSpent: this.isBudgetSpent }));
+  /** What the store does with each call; null lets it answer for real. */
+  get storeRule(): StoreRule | null {
+    return this.#storeCalls.rule;
   }
 
-  #run(effects: readonly Effect[]): void {
-    for (const effect of effects) {
-      switch (effect.kind) {
-        case "respondToUser":
-          this.#users.set(effect.requestId, effect.response);
-          break;
-        case "respondToOperator":
-          this.#admins.set(effect.requestId, effect.response);
-          break;
-        case "replyToAgent":
-          this.#reports.set(effect.requestId, effect.reply);
-          break;
-        case "sendAgentCommands": {
-          const machine = this.controller.names.machines.name(effect.machine);
-          const orders = effect.commands.map((o) => ({ ...o, uid: this.controller.names.jobs.name(o.job) }));
-          this.sentCommands.push({
-            machine,
-            token: effect.fencingToken,
-            session: effect.incarnation,
-            commands: orders,
-          });
-          this.unansweredCommands.push({ id: effect.id, machine });
-          break;
-        }
-        case "callStore":
-          this.#stateCall(effect.id, effect.request);
-          break;
-        case "callCloud":
-          this.cloudCalls.push(effect.request);
-          this.handle({ kind: "cloudResponded", id: effect.id, response: this.cloudRule(effect.request) });
-          break;
-        case "log":
-          if (effect.level === "error") this.errorLines.push(effect.text);
-          this.logLines.push(effect.text);
-          break;
-        case "forwardHeartbeat":
-          this.forwardedTo.push(effect.to);
-          break;
-        case "sendToPeer":
-          if (effect.message.kind === "heartbeat") this.heartbeats.set(effect.to, effect.message);
-          break;
-        case "replyToForwardedHeartbeat":
-          break;
-        default:
-          effect satisfies never;
-      }
-    }
+  set storeRule(rule: StoreRule | null) {
+    this.#storeCalls.rule = rule;
   }
 
-  #stateCall(id: number, call: StoreRequest): void {
-    if (call.kind === "list") this.listedPrefixes.push(call.prefix);
-    const ruled = this.storeRule?.(call) ?? null;
-    if (
-      call.kind === "watch" &&
-      call.waitMs > 0 &&
-      (ruled === null || ruled === "hang" || ruled.kind !== "timeout")
-    ) {
-      this.#follows.push({ id, call, at: this.now });
-      return;
-    }
-    if (ruled === "hang") this.hangingCalls.push({ id, call });
-    else if (call.kind === "watch") {
-      const found = ruled ?? this.store.changesSince(call.prefix, call.after);
-      const none = { kind: "events", events: [], revision: this.store.revision } as const;
-      this.handle({ kind: "storeResponded", id, response: found ?? none });
-    } else this.handle({ kind: "storeResponded", id, response: ruled ?? this.store.run(call, this.now) });
+  /** Calls that the rule of the store lets hang. */
+  get hangingCalls(): HangingCall[] {
+    return this.#storeCalls.hangingCalls;
   }
 
-  /** Lets time pass in ticks of 100 ms. */
-  advance(ms: number): void {
-    const end = this.now + ms;
-    while (this.now < end) {
-      this.now += 100;
-      this.store.expire(this.now);
-      for (const follow of this.#follows.splice(0)) {
-        // Where calls are refused, open watches wait.
-        const open = (this.storeRule?.(follow.call) ?? null) === null;
-        const found = open ? this.store.changesSince(follow.call.prefix, follow.call.after) : null;
-        if (found) this.handle({ kind: "storeResponded", id: follow.id, response: found });
-        else if (open && this.now >= follow.at + follow.call.waitMs) {
-          const answer = { kind: "events", events: [], revision: this.store.revision } as const;
-          this.handle({ kind: "storeResponded", id: follow.id, response: answer });
-        } else this.#follows.push(follow);
-      }
+  /** The prefixes of which the store was asked for pages. */
+  get listedPrefixes(): string[] {
+    return this.#storeCalls.listedPrefixes;
+  }
+
+  /** Hands the controller a batch of commands and carries out its effects. */
+  handle(...commands: Command[]): void {
+    const effects = this.controller.handle(commands, this.now, { isSpent: this.isBudgetSpent });
+    for (const effect of effects) this.#carryOut(effect);
+  }
+
+  /** Lets time pass, tick by tick. */
+  advance(forMs: number): void {
+    const endsAt = this.now + forMs;
+    while (this.now < endsAt) {
+      this.now += TICK_MS;
+      this.#storeCalls.step(this.now);
       this.handle({ kind: "tick" });
     }
   }
 
+  /** Lets enough time pass for an election that nobody else stands in. */
   becomeLeader(): this {
-    this.advance(1500);
+    this.advance(ELECTION_MS);
     return this;
   }
 
+  /** Submits a job; undefined while there is no response. */
   submit(spec: JobSpec): UserResponse | undefined {
-    const req = this.#req++;
-    this.handle({ kind: "submit", requestId: req, uid: spec.uid, spec });
-    // What is turned away is answered with the next tick.
-    if (!this.#users.has(req) && this.#gathers) this.handle({ kind: "tick" });
-    return this.#users.get(req);
+    const requestId = this.#nextRequestId++;
+    this.handle({ kind: "submit", requestId, uid: spec.uid, spec });
+    // Rejections are gathered until the next tick.
+    if (!this.#userResponses.has(requestId) && this.#admission) this.handle({ kind: "tick" });
+    return this.#userResponses.get(requestId);
   }
 
+  /** Asks for the status of a job; undefined while there is no response. */
   poll(uid: string): UserResponse | undefined {
-    const req = this.#req++;
-    this.handle({ kind: "poll", requestId: req, uid });
+    const requestId = this.#nextRequestId++;
+    this.handle({ kind: "poll", requestId, uid });
     // Polls of known jobs are gathered until the next tick.
     this.handle({ kind: "tick" });
-    return this.#users.get(req);
+    return this.#userResponses.get(requestId);
   }
 
+  /** Cancels a job; undefined while there is no response. */
   cancel(uid: string): UserResponse | undefined {
-    const req = this.#req++;
-    this.handle({ kind: "cancel", requestId: req, uid });
-    return this.#users.get(req);
+    const requestId = this.#nextRequestId++;
+    this.handle({ kind: "cancel", requestId, uid });
+    return this.#userResponses.get(requestId);
   }
 
-  admin(ask: AdminRequest): AdminResponse | undefined {
-    const req = this.#req++;
-    this.handle({ kind: "administer", requestId: req, request: ask });
-    return this.#admins.get(req);
+  /** Sends a request of an operator; undefined while there is no response. */
+  admin(request: AdminRequest): AdminResponse | undefined {
+    const requestId = this.#nextRequestId++;
+    this.handle({ kind: "administer", requestId, request });
+    return this.#adminResponses.get(requestId);
   }
 
-  makeHeartbeat(name: string, said: readonly TaskStatus[] = [], more: Partial<Heartbeat> = {}): Heartbeat {
-    const sequence = (this.#sequence.get(name) ?? 0) + 1;
-    this.#sequence.set(name, sequence);
-    return {
-      machine: this.controller.names.machines.intern(name),
-      address: `${name}:1`,
-      type: "small",
-      zone: "a",
-      spot: false,
-      incarnation: 1,
-      sequence,
-      fencingToken: this.controller.election.lease?.fencingToken ?? 0,
-      reclaimNoticeS: null,
-      tasks: said.map(({ uid, task, attempt, state, cause }) => ({
-        job: this.controller.names.jobs.intern(uid),
-        task,
-        attempt,
-        state,
-        exitReason: cause ?? null,
-        saved: false,
-      })),
-      ...more,
-    };
+  /** The response to a user's request that the test has made itself. */
+  userResponse(requestId: number): UserResponse | undefined {
+    return this.#userResponses.get(requestId);
   }
 
-  sendHeartbeat(
-    name: string,
-    said: readonly TaskStatus[] = [],
-    more: Partial<Heartbeat> = {},
-  ): HeartbeatReply | undefined {
-    const req = this.#req++;
-    this.handle({
-      kind: "heartbeat",
-      requestId: req,
-      heartbeat: this.makeHeartbeat(name, said, more),
-      body: null,
-    });
-    return this.#reports.get(req);
+  /** The reply to a heartbeat that the test has sent itself. */
+  agentReply(requestId: number): HeartbeatReply | undefined {
+    return this.#agentReplies.get(requestId);
   }
 
-  userResponse(req: number): UserResponse | undefined {
-    return this.#users.get(req);
+  /** The next heartbeat of an agent, which has seen the present leader's fencing token. */
+  makeHeartbeat(
+    machine: string,
+    tasks: readonly TaskStatus[] = [],
+    overrides: Partial<Heartbeat> = {},
+  ): Heartbeat {
+    const fencingToken = this.controller.election.lease?.fencingToken ?? 0;
+    return this.#heartbeatFactory.make(machine, fencingToken, tasks, overrides);
   }
 
-  agentReply(req: number): HeartbeatReply | undefined {
-    return this.#reports.get(req);
+  /** Sends an agent's next heartbeat; undefined while there is no reply. */
+  sendHeartbeat(
+    machine: string,
+    tasks: readonly TaskStatus[] = [],
+    overrides: Partial<Heartbeat> = {},
+  ): HeartbeatReply | undefined {
+    const requestId = this.#nextRequestId++;
+    const heartbeat = this.makeHeartbeat(machine, tasks, overrides);
+    this.handle({ kind: "heartbeat", requestId, heartbeat, body: null });
+    return this.#agentReplies.get(requestId);
   }
 
-  /** Answers every direct command under way to this machine with a report. */
-  replyToCommands(name: string, said: readonly TaskStatus[] = [], more: Partial<Heartbeat> = {}): void {
-    for (const entry of this.unansweredCommands.splice(0)) {
-      if (entry.machine !== name) this.unansweredCommands.push(entry);
-      else
-        this.handle({
-          kind: "agentReplied",
-          id: entry.id,
-          heartbeat: this.makeHeartbeat(name, said, more),
-          executed: true,
-        });
+  /** The agent answers every batch of commands under way to its machine: it was carried out. */
+  replyToCommands(
+    machine: string,
+    tasks: readonly TaskStatus[] = [],
+    overrides: Partial<Heartbeat> = {},
+  ): void {
+    for (const batch of this.unansweredCommands.splice(0)) {
+      if (batch.machine !== machine) {
+        this.unansweredCommands.push(batch);
+        continue;
+      }
+      const heartbeat = this.makeHeartbeat(machine, tasks, overrides);
+      this.handle({ kind: "agentReplied", id: batch.id, heartbeat, executed: true });
     }
   }
 
-  /** Direct commands under way get no answer. */
+  /** All batches of commands under way get no answer. */
   timeOutCommands(): void {
     for (const { id } of this.unansweredCommands.splice(0))
       this.handle({ kind: "agentReplied", id, heartbeat: null, executed: false });
   }
 
+  /** The starts of a job's tasks that were sent, repeats included. */
   startCommands(uid: string): { machine: string; task: number; attempt: number }[] {
-    return this.sentCommands.flatMap(({ machine, commands: orders }) =>
-      orders
-        .filter((o) => o.kind === "start" && o.uid === uid)
+    return this.sentCommands.flatMap(({ machine, commands }) =>
+      commands
+        .filter((command) => command.kind === "start" && command.uid === uid)
         .map(({ task, attempt }) => ({ machine, task, attempt })),
     );
   }
 
-  commandedTasks(op: AgentCommand["kind"], uid: string): string[] {
-    return this.sentCommands.flatMap(({ machine, commands: orders }) =>
-      orders.filter((o) => o.kind === op && o.uid === uid).map((o) => `${machine} ${o.task}`),
+  /** Machine and task of each command of a kind that was sent about a job. */
+  commandedTasks(kind: AgentCommand["kind"], uid: string): string[] {
+    return this.sentCommands.flatMap(({ machine, commands }) =>
+      commands
+        .filter((command) => command.kind === kind && command.uid === uid)
+        .map(({ task }) => `${machine} ${task}`),
     );
   }
-}
 
-export function jobSpec(uid: string, more: Partial<JobSpec> = {}): JobSpec {
-  return {
-    uid,
-    jobClass: "work",
-    team: "red",
-    shape: "array",
-    priority: 1,
-    tasks: 1,
-    need: { cpu: 1000, gpu: 0, ram: 1000 },
-    image: "img",
-    imageGb: 1,
-    types: null,
-    zone: null,
-    oneZone: false,
-    spread: false,
-    spot: false,
-    estimateS: 10,
-    checkpointS: 0,
-    saveS: 0,
-    deadlineS: null,
-    ...more,
-  };
+  #carryOut(effect: Effect): void {
+    switch (effect.kind) {
+      case "respondToUser":
+        this.#userResponses.set(effect.requestId, effect.response);
+        break;
+      case "respondToOperator":
+        this.#adminResponses.set(effect.requestId, effect.response);
+        break;
+      case "replyToAgent":
+        this.#agentReplies.set(effect.requestId, effect.reply);
+        break;
+      case "sendAgentCommands":
+        this.#noteSentCommands(effect);
+        break;
+      case "callStore":
+        this.#storeCalls.call(effect.id, effect.request, this.now);
+        break;
+      case "callCloud":
+        this.cloudCalls.push(effect.request);
+        this.handle({ kind: "cloudResponded", id: effect.id, response: this.cloudRule(effect.request) });
+        break;
+      case "log":
+        if (effect.level === "error") this.errorLines.push(effect.text);
+        this.logLines.push(effect.text);
+        break;
+      case "forwardHeartbeat":
+        this.forwardedTo.push(effect.to);
+        break;
+      case "sendToPeer":
+        if (effect.message.kind === "heartbeat") this.heartbeats.set(effect.to, effect.message);
+        break;
+      case "replyToForwardedHeartbeat":
+        break;
+      default:
+        effect satisfies never;
+    }
+  }
+
+  #noteSentCommands(effect: SendAgentCommands): void {
+    const { machines, jobs } = this.controller.names;
+    const { id, fencingToken, incarnation } = effect;
+    const machine = machines.name(effect.machine);
+    const commands = effect.commands.map((command) => ({ ...command, uid: jobs.name(command.job) }));
+    this.sentCommands.push({ machine, fencingToken, incarnation, commands });
+    this.unansweredCommands.push({ id, machine });
+  }
+
+  /** A cloud that has machine types, but neither machines nor capacity. */
+  #emptyCloud(request: CloudRequest): CloudResponse {
+    switch (request.kind) {
+      case "listTypes":
+        return { kind: "types", machineTypes: this.types };
+      case "create":
+        return { kind: "noCapacity" };
+      case "delete":
+        return { kind: "deleted" };
+      case "list":
+        return { kind: "page", machines: [], more: false };
+    }
+  }
 }
--- /dev/null
+++ b/test/support/job-spec.ts
@@ -0,0 +1,26 @@
+import type { JobSpec } from "../../src/core/model/job-spec.js";
+
+/** A job of one small task that may run anywhere, apart from the fields given. */
+export function jobSpec(uid: string, overrides: Partial<JobSpec> = {}): JobSpec {
+  return {
+    uid,
+    jobClass: "work",
+    team: "red",
+    shape: "array",
+    priority: 1,
+    tasks: 1,
+    need: { cpu: 1000, gpu: 0, ram: 1000 },
+    image: "img",
+    imageGb: 1,
+    types: null,
+    zone: null,
+    oneZone: false,
+    spread: false,
+    spot: false,
+    estimateS: 10,
+    checkpointS: 0,
+    saveS: 0,
+    deadlineS: null,
+    ...overrides,
+  };
+}
