--- /dev/null
+++ b/test/command-planner.test.ts
@@ -0,0 +1,109 @@
+/** Which commands an agent is sent, and when they are sent or repeated (I2). */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
+import { onlyElement } from "./support/leaders.js";
+import { STORE_OUTAGE } from "./support/store-outage.js";
+
+test("a start is sent only after its placement is on record", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.sendHeartbeat("A");
+  harness.storeRule = (call) =>
+    call.kind === "transaction" && JSON.stringify(call).includes("p/j-1") ? "hang" : null;
+  harness.submit(jobSpec("j-1"));
+  harness.advance(500);
+
+  assert.deepEqual(harness.startCommands("j-1"), []);
+
+  const { id, call } = onlyElement(harness.hangingCalls);
+  assert.ok(call.kind === "transaction");
+
+  harness.handle({ kind: "storeResponded", id, response: harness.store.run(call, harness.now) });
+  assert.equal(harness.startCommands("j-1").length, 1);
+});
+
+test("a start is not sent, nor repeated, on old knowledge that its job is not cancelled", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1"));
+  harness.advance(200);
+  harness.timeOutCommands();
+  // The job watch fails, so that a cancellation by another node would not be seen (I2).
+  harness.storeRule = (call) => (call.kind === "watch" ? STORE_OUTAGE : null);
+  for (let i = 0; i < 4; i++) {
+    harness.advance(2000);
+    harness.sendHeartbeat("A");
+    harness.timeOutCommands();
+  }
+  harness.advance(1500);
+  const startsBefore = harness.startCommands("j-1").length;
+  const replies = [harness.sendHeartbeat("A"), harness.sendHeartbeat("A")];
+  harness.advance(4000);
+
+  assert.ok(replies.every((reply) => reply?.kind === "commands" && reply.commands.length === 0));
+  assert.equal(harness.startCommands("j-1").length, startsBefore);
+});
+
+test("what is cancelled before its start was sent is never started", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-0"));
+  harness.advance(200);
+  // A command batch to the machine is in flight, so the next start is on record but not yet sent.
+  harness.submit(jobSpec("j-1"));
+  harness.advance(300);
+
+  assert.ok(harness.store.entries.has("p/j-1/0"));
+  assert.deepEqual(harness.startCommands("j-1"), []);
+
+  harness.cancel("j-1");
+  harness.timeOutCommands();
+  harness.advance(3000);
+  const reply = harness.sendHeartbeat("A");
+
+  assert.ok(
+    reply?.kind === "commands" &&
+      reply.commands.every((command) => harness.controller.names.jobs.name(command.job) !== "j-1"),
+  );
+
+  harness.advance(500);
+  assert.deepEqual(harness.startCommands("j-1"), []);
+  assert.ok(harness.store.entries.has("f/j-1"));
+});
+
+test("an unanswered start is repeated: same attempt, same machine, until it is seen", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1"));
+  harness.advance(200);
+  harness.timeOutCommands();
+  for (let i = 0; i < 3; i++) {
+    harness.advance(2000);
+    harness.sendHeartbeat("A");
+    harness.timeOutCommands();
+  }
+  const starts = harness.startCommands("j-1");
+
+  assert.ok(starts.length >= 1);
+  assert.equal(new Set(starts.map((start) => `${start.machine} ${start.attempt}`)).size, 1);
+
+  const reply = harness.sendHeartbeat("A");
+  assert.ok(reply?.kind === "commands");
+});
+
+test("a cancelled task whose start may be on its way is started and stopped, so that the start can't come later", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1"));
+  harness.advance(200);
+  harness.timeOutCommands();
+  harness.cancel("j-1");
+  harness.advance(2000);
+  const last = harness.sentCommands.at(-1);
+
+  assert.deepEqual(
+    last?.commands.map((command) => command.kind),
+    ["start", "stop"],
+  );
+});
--- /dev/null
+++ b/test/failure-tracking.test.ts
@@ -0,0 +1,26 @@
+/** Machines on which tasks of different jobs fail are drained. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
+
+test("a machine on which different jobs fail is set aside; a job that fails everywhere is held back", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.sendHeartbeat("A");
+  for (const uid of ["j-1", "j-2"]) {
+    harness.submit(jobSpec(uid));
+    harness.advance(200);
+    const { attempt } = harness.startCommands(uid).at(-1) ?? { attempt: 0 };
+    harness.replyToCommands("A", [{ uid, task: 0, attempt, state: "ended", cause: "error" }]);
+    harness.advance(200);
+    harness.unansweredCommands.splice(0);
+    for (const machine of harness.controller.leaderTerm?.cluster.machines.values() ?? [])
+      machine.isCommandInFlight = false;
+  }
+  assert.equal(
+    [...(harness.controller.leaderTerm?.cluster.machines.values() ?? [])].find(
+      (machine) => machine.name === "A",
+    )?.mode,
+    "drain",
+  );
+});
--- /dev/null
+++ b/test/feasible-machines.test.ts
@@ -0,0 +1,45 @@
+/** Which machines a task may be placed on, and in which order they are preferred. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
+
+test("a spread service has at most half of its tasks, rounded up, in one zone", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1", { shape: "service", priority: 3, tasks: 3, spread: true, estimateS: 0 }));
+  carryOutCommands(harness, tasksByMachine);
+
+  assert.equal(liveTasks(tasksByMachine, "A").length, 2);
+});
+
+test("a service without its image anywhere brings it to several machines, those first that hold the fewest others", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>();
+  const service = {
+    shape: "service",
+    priority: 3,
+    estimateS: 0,
+    need: { cpu: 500, gpu: 0, ram: 500 },
+  } as const;
+  tasksByMachine.set("A", []);
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1", { ...service, tasks: 5, image: "one" }));
+  carryOutCommands(harness, tasksByMachine);
+
+  assert.equal(liveTasks(tasksByMachine, "A", "j-1").length, 5);
+
+  for (const name of ["B", "C", "D", "E"]) {
+    tasksByMachine.set(name, []);
+    harness.sendHeartbeat(name);
+  }
+  harness.submit(jobSpec("j-2", { ...service, tasks: 8, image: "two" }));
+  carryOutCommands(harness, tasksByMachine);
+  const replicasByMachine = [...tasksByMachine.keys()].map(
+    (name) => liveTasks(tasksByMachine, name, "j-2").length,
+  );
+
+  assert.deepEqual(replicasByMachine, [0, 2, 2, 2, 2]);
+});
--- /dev/null
+++ b/test/heartbeat-router.test.ts
@@ -0,0 +1,65 @@
+/** What a follower does with heartbeats. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness } from "./support/controller-harness.js";
+import { leaderWithRunningTask } from "./support/leaders.js";
+
+test("a follower passes reports on to a leader it hears, sends workers to one it does not, and never answers itself", () => {
+  const { harness: leader } = leaderWithRunningTask();
+  const follower = new ControllerHarness("n1", leader.store);
+  follower.now = leader.now;
+  follower.advance(500);
+  follower.handle({ kind: "peerLinkChanged", node: "n0", up: true });
+
+  assert.deepEqual(
+    follower.sendHeartbeat("C"),
+    { kind: "redirect", node: "n0" },
+    "the link alone proves nothing",
+  );
+
+  const message = {
+    kind: "heartbeat",
+    fencingToken: 1,
+    leader: "n0",
+    storeHealthy: true,
+    agentsHeard: 1,
+  } as const;
+  follower.handle({ kind: "peerMessage", from: "n0", message });
+  assert.equal(follower.sendHeartbeat("C"), undefined, "no answer of its own");
+  assert.deepEqual(follower.forwardedTo, ["n0"]);
+
+  for (let second = 0; second < 4; second++) {
+    leader.now = follower.now;
+    leader.advance(1000);
+    follower.advance(1000);
+  }
+  assert.deepEqual(follower.sendHeartbeat("C"), { kind: "redirect", node: "n0" }, "it is heard no more");
+});
+
+test("a follower without a leader holds a report for a while, then sends the worker to the next node", () => {
+  const harness = new ControllerHarness("n1");
+  harness.storeRule = () => ({ kind: "unavailable", reason: "" });
+  harness.handle({ kind: "heartbeat", requestId: 77, heartbeat: harness.makeHeartbeat("C"), body: null });
+  harness.advance(1000);
+
+  assert.equal(harness.agentReply(77), undefined);
+
+  harness.advance(1500);
+  assert.deepEqual(harness.agentReply(77), { kind: "redirect", node: null });
+});
+
+test("a copy that comes late to a follower does not make it a worker's way to the leader", () => {
+  const { harness: leader } = leaderWithRunningTask();
+  const follower = new ControllerHarness("n1", leader.store);
+  follower.now = leader.now;
+  follower.advance(500);
+  follower.handle({ kind: "peerLinkChanged", node: "n0", up: true });
+  const heartbeat = follower.makeHeartbeat("C");
+  follower.handle({ kind: "heartbeat", requestId: 901, heartbeat, body: null });
+  follower.handle({ kind: "heartbeat", requestId: 902, heartbeat, body: null });
+
+  assert.deepEqual(follower.agentReply(901), { kind: "redirect", node: "n0" });
+  assert.deepEqual(follower.agentReply(902), { kind: "unavailable" });
+  assert.deepEqual(follower.forwardedTo, []);
+});
--- /dev/null
+++ b/test/job-lookup.test.ts
@@ -0,0 +1,95 @@
+/** Polls: what may be answered from memory, and what has to be compared with the store first (I8). */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
+import { leaderWithDependentJob, phaseOf, reportDone } from "./support/dependent-jobs.js";
+import { FakeStore } from "./support/fake-store.js";
+
+test("404 needs proof: without the state service nothing is said to be unknown", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  assert.equal(harness.poll("j-5")?.kind, "notFound");
+  harness.storeRule = () => ({ kind: "timeout" });
+  assert.equal(harness.poll("j-5")?.kind, "unavailable");
+});
+
+test("polls are answered together by one comparison, and never with what another node has outdated", () => {
+  const store = new FakeStore();
+  const harness = new ControllerHarness("n0", store).becomeLeader();
+  const otherNode = new ControllerHarness("n1", store);
+  otherNode.now = harness.now;
+  otherNode.advance(500);
+  const uids = ["j-1", "j-2", "j-3"];
+  for (const uid of uids) harness.submit(jobSpec(uid));
+  const calls: string[] = [];
+  harness.storeRule = (call) => {
+    calls.push(call.kind);
+    return null;
+  };
+  for (const [index, uid] of uids.entries()) harness.handle({ kind: "poll", requestId: 700 + index, uid });
+  harness.handle({ kind: "tick" });
+
+  assert.deepEqual(calls, ["transaction"]);
+  for (const index of uids.keys()) assert.equal(harness.userResponse(700 + index)?.kind, "status");
+  assert.equal(otherNode.cancel("j-2")?.kind, "status");
+  assert.deepEqual(harness.poll("j-1"), {
+    kind: "status",
+    status: { uid: "j-1", phase: "queued", done: 0, running: 0 },
+  });
+
+  const response = harness.poll("j-2");
+  assert.ok(response?.kind === "status" && response.status.phase === "cancelled");
+
+  harness.storeRule = () => ({ kind: "timeout" });
+  assert.equal(
+    harness.poll("j-1")?.kind,
+    "unavailable",
+    "what can't be compared is not answered from memory",
+  );
+});
+
+test("a poll that waits to be compared while its job is read as over is answered with that, never with less", () => {
+  // Found on the bench: the comparing transaction had no conditions left, succeeded, and a job that was done was reported
+  // as running.
+  const { harness, runningTask } = leaderWithDependentJob();
+  const otherNode = new ControllerHarness("n1", harness.store);
+  otherNode.advance(300);
+
+  assert.equal(phaseOf(otherNode.poll("j-1")), "queued");
+  assert.equal(phaseOf(otherNode.poll("j-2")), "queued");
+
+  reportDone(harness, runningTask);
+  harness.advance(500);
+  otherNode.handle(
+    { kind: "poll", requestId: 901, uid: "j-1" },
+    { kind: "poll", requestId: 902, uid: "j-2" },
+  );
+
+  // A repeated submission reads the records in the same tick.
+  assert.equal(phaseOf(otherNode.submit(jobSpec("j-1"))), "done");
+
+  otherNode.handle({ kind: "tick" });
+  assert.equal(phaseOf(otherNode.userResponse(901)), "done");
+  assert.equal(phaseOf(otherNode.userResponse(902)), "queued");
+});
+
+test("polls of pipelines compare within the operations limit, and re-read only what failed", () => {
+  const harness = new ControllerHarness("n0", new FakeStore(), "n0-1", {
+    txnOps: 4,
+    nextStoreLimits: null,
+  }).becomeLeader();
+  for (let i = 1; i <= 30; i++)
+    harness.submit(jobSpec(`j-${i}`, i > 1 ? { awaits: [`j-${i - 1}`, ...(i > 2 ? ["j-1"] : [])] } : {}));
+  harness.advance(1000);
+  const conditionCounts: number[] = [];
+  harness.store.limits = { valueBytes: 8192, txnOps: 4, writeRps: 1000 };
+  harness.storeRule = (call) => {
+    if (call.kind === "transaction" && call.changes.length === 0)
+      conditionCounts.push(call.conditions.length);
+    return null;
+  };
+
+  for (let i = 1; i <= 30; i++) assert.equal(phaseOf(harness.poll(`j-${i}`)), "queued", `j-${i}`);
+  assert.ok(conditionCounts.length > 0 && Math.max(...conditionCounts) <= 16, String(conditionCounts));
+  assert.equal(harness.store.invalid, 0);
+});
--- /dev/null
+++ b/test/lease-renewal-policy.test.ts
@@ -0,0 +1,114 @@
+/** How long a leader may go on renewing agent leases without the store (I1: it may not know of cancellations). */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness } from "./support/controller-harness.js";
+import { FakeStore } from "./support/fake-store.js";
+import { leaderWithRunningTask } from "./support/leaders.js";
+import { STORE_OUTAGE } from "./support/store-outage.js";
+
+test("a leader that may not know of cancellations answers no report beyond what they leave room for", () => {
+  // I1: whether keep-alives succeed or not, what counts is the age of the last job watch response. `cancel_s` is 40 s,
+  // an agent lease 12 s.
+  for (const renewals of [true, false]) {
+    const { harness, attempt } = leaderWithRunningTask();
+    harness.storeRule = (call) =>
+      renewals && (call.kind === "renewLease" || call.kind === "transaction") ? null : STORE_OUTAGE;
+    const confirmedAt = harness.now;
+    // Another node may confirm a cancellation in the next instant, and this leader would not learn of it.
+    let lastRenewedAt = confirmedAt;
+    while (harness.now < confirmedAt + 60_000) {
+      // In an outage that all nodes share the peers are heard, and the grace period is the longest.
+      const peerHeartbeat = {
+        kind: "heartbeat",
+        fencingToken: 1,
+        leader: null,
+        storeHealthy: false,
+        agentsHeard: 0,
+      } as const;
+      harness.handle({ kind: "peerMessage", from: "n1", message: peerHeartbeat });
+      const reply = harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
+      if (reply?.kind === "commands") lastRenewedAt = harness.now;
+      harness.advance(500);
+    }
+
+    assert.ok(
+      lastRenewedAt - confirmedAt + 12_000 < 40_000,
+      `a lease renewed ${lastRenewedAt - confirmedAt} ms after the confirmation`,
+    );
+    assert.ok(
+      lastRenewedAt - confirmedAt > 20_000,
+      `work is let go after ${lastRenewedAt - confirmedAt} ms already`,
+    );
+  }
+});
+
+test("a quiet leader keeps its office and its workers, however short a cancellation's time is beside a lease", () => {
+  // Found in a run against real processes: between two responses of a watch the watermark of known cancellations grew
+  // older than the staleness bound allows.
+  for (const cancelS of [40, 10, 8, 5]) {
+    const harness = new ControllerHarness("n0", new FakeStore(), "n0-1", {
+      leaseS: 4,
+      cancelS,
+    }).becomeLeader();
+    const token = harness.controller.election.lease?.firstFencingToken;
+    for (let i = 0; i < 60; i++) {
+      assert.equal(harness.sendHeartbeat("A")?.kind, "commands", `${cancelS} s: ${i / 2} s`);
+      harness.advance(500);
+    }
+    assert.equal(harness.controller.election.lease?.firstFencingToken, token, `${cancelS} s`);
+  }
+});
+
+test("a leader that has stood still answers nothing it finds waiting, if it may not know of cancellations by then", () => {
+  const { harness, attempt } = leaderWithRunningTask();
+  // Keep-alives are answered to the last, the job watch is not; then the process is paused for 21 s, and finds a peer's
+  // heartbeat and an agent's in its queue (I1).
+  harness.storeRule = (call) => (call.kind === "watch" ? STORE_OUTAGE : null);
+  harness.advance(6000);
+  harness.now += 21_000;
+  const peerHeartbeat = {
+    kind: "heartbeat",
+    fencingToken: 1,
+    leader: null,
+    storeHealthy: false,
+    agentsHeard: 0,
+  } as const;
+  harness.handle({ kind: "peerMessage", from: "n1", message: peerHeartbeat });
+  const reply = harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
+
+  assert.notEqual(reply?.kind, "commands");
+});
+
+test("a leader without state service and peers lets its workers go after two grants, and is not ready", () => {
+  for (const isIsolated of [true, false]) {
+    const { harness } = leaderWithRunningTask();
+    const advanceSeconds = (seconds: number) => {
+      for (let second = 0; second < seconds; second++) {
+        if (!isIsolated)
+          harness.handle({
+            kind: "peerMessage",
+            from: "n1",
+            message: {
+              kind: "heartbeat",
+              fencingToken: 0,
+              leader: null,
+              storeHealthy: false,
+              agentsHeard: 0,
+            },
+          });
+        harness.advance(1000);
+      }
+    };
+    advanceSeconds(1);
+    harness.storeRule = () => ({ kind: "unavailable", reason: "cut off" });
+    advanceSeconds(6);
+
+    assert.equal(harness.sendHeartbeat("A")?.kind, "commands", "within the hold");
+
+    advanceSeconds(6);
+    assert.equal(harness.sendHeartbeat("A")?.kind === "commands", !isIsolated, `alone: ${isIsolated}`);
+    assert.equal(harness.controller.ready, !isIsolated, "an outage that all share leaves a node ready");
+    assert.equal(harness.poll("j-1")?.kind, "unavailable", "users are answered at once");
+  }
+});
--- /dev/null
+++ b/test/machine-records.test.ts
@@ -0,0 +1,64 @@
+/** Machines are recorded many to a key, within the size limit of a value. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ClusterState } from "../src/core/model/cluster-state.js";
+import { NameRegistry } from "../src/core/model/interner.js";
+import { MachineRecords } from "../src/core/store/machine-records.js";
+import { SMALL_LIMITS } from "./support/small-limits.js";
+
+test("a record of machines that has become too large is split, what it gives away written first", () => {
+  const cluster = new ClusterState(new NameRegistry());
+  let valueBytes = 8192;
+  const records = new MachineRecords(cluster, () => valueBytes);
+  const machineFields = { address: "10.1.0.232:9000", type: "small", zone: "a", spot: false };
+  const machines = Array.from({ length: 48 }, (_, i) =>
+    cluster.machine(`i-${String(i).padStart(6, "0")}`, machineFields, 0),
+  );
+  records.inherit(0, machines, 5);
+
+  assert.deepEqual(records.changed(), []);
+
+  valueBytes = SMALL_LIMITS.valueBytes;
+  const [removed, other] = machines;
+  assert.ok(removed && other);
+  assert.deepEqual(records.toWrite(other), [], "nothing has changed");
+
+  records.gone(removed);
+  const changedRecords = records.changed();
+  assert.deepEqual(
+    changedRecords.map(({ index }) => index),
+    [1, 0],
+  );
+  for (const bucket of changedRecords)
+    assert.ok(Buffer.byteLength(JSON.stringify(records.value(bucket))) <= valueBytes, `${bucket.index}`);
+
+  const recordedNames = changedRecords.flatMap((bucket) =>
+    records.value(bucket).machines.map(([name]) => name),
+  );
+  assert.deepEqual(
+    recordedNames.sort(),
+    machines.slice(1).map(({ name }) => name),
+  );
+});
+
+test("records of machines fit their limit however long the names are", () => {
+  const cluster = new ClusterState(new NameRegistry());
+  const records = new MachineRecords(cluster, () => SMALL_LIMITS.valueBytes);
+  for (let i = 0; i < 30; i++) {
+    const name = `i-${i}${"x".repeat((i * 37) % 290)}`;
+    const machineFields = { address: "10.1.0.232:9000", type: "small", zone: "a", spot: false };
+    const machine = cluster.machine(name, machineFields, 0);
+    machine.phase = "up";
+  }
+  for (const machine of cluster.machines.values()) records.toWrite(machine);
+  const buckets = records.changed();
+
+  for (const bucket of buckets)
+    assert.ok(
+      Buffer.byteLength(JSON.stringify(records.value(bucket))) <= SMALL_LIMITS.valueBytes,
+      `${bucket.index}`,
+    );
+  assert.equal(buckets.flatMap((bucket) => records.value(bucket).machines).length, 30);
+  assert.ok(buckets.length < 10, `${buckets.length} records`);
+});
--- /dev/null
+++ b/test/preemption.test.ts
@@ -0,0 +1,154 @@
+/** Preemption: which work is stopped for which, when, and with how much time to save a checkpoint. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { IDLE_JOB, WAIT_OBJECTIVE } from "./support/objectives.js";
+import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+
+const GUARANTEE_OBJECTIVE = { kind: "guarantee", jobClass: null, withinS: 10, share: 0.9 } as const;
+
+test("lesser work makes room for production, saving first if it can; equals do not", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1", { tasks: 4, priority: 0, checkpointS: 5, saveS: 2 }));
+  carryOutCommands(harness, tasksByMachine);
+
+  assert.equal(liveTasks(tasksByMachine, "A", "j-1").length, 4);
+
+  harness.submit(jobSpec("j-2", { tasks: 1, priority: 0, team: "blue" }));
+  harness.advance(500);
+  assert.deepEqual(harness.commandedTasks("stop", "j-1"), []);
+
+  harness.submit(jobSpec("j-3", { shape: "service", priority: 3, estimateS: 0 }));
+  harness.advance(200);
+  const stop = harness.sentCommands
+    .flatMap((batch) => batch.commands)
+    .find((command) => command.kind === "stop");
+
+  assert.ok(stop?.kind === "stop" && stop.graceS >= 2);
+});
+
+test("what began because of its age is not stopped at once, save for production work", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1", { tasks: 4, priority: 2 }));
+  carryOutCommands(harness, tasksByMachine);
+  harness.submit(jobSpec("j-2", { priority: 0 }));
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 75);
+  harness.submit(jobSpec("j-3", { tasks: 4, priority: 2 }));
+  const firstTask = tasksByMachine.get("A")?.[0] ?? assert.fail();
+  Object.assign(firstTask, { state: "ended", cause: "done" });
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 3);
+
+  assert.equal(liveTasks(tasksByMachine, "A", "j-2").length, 1, "its turn has come, before what outranks it");
+
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 5);
+  assert.equal(liveTasks(tasksByMachine, "A", "j-2").length, 1);
+
+  harness.submit(jobSpec("j-4", { priority: 3, shape: "service", estimateS: 0 }));
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 3);
+  assert.equal(liveTasks(tasksByMachine, "A", "j-4").length, 1);
+});
+
+test("a guaranteed array waits for places that come free before lesser work is stopped for it, but not for long", () => {
+  const harness = ControllerHarness.withObjectives([GUARANTEE_OBJECTIVE]);
+  const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1", { ...IDLE_JOB, tasks: 4, saveS: 2 }));
+  carryOutCommands(harness, tasksByMachine);
+
+  assert.equal(liveTasks(tasksByMachine, "A", "j-1").length, 4);
+
+  const submittedAt = harness.now;
+  harness.submit(jobSpec("j-2"));
+  while (harness.now - submittedAt < 3500) {
+    harness.sendHeartbeat("A", tasksByMachine.get("A"));
+    harness.advance(100);
+  }
+
+  assert.deepEqual(harness.commandedTasks("stop", "j-1"), []);
+
+  while (harness.now - submittedAt < 6000) {
+    harness.sendHeartbeat("A", tasksByMachine.get("A"));
+    harness.advance(100);
+  }
+  assert.equal(harness.commandedTasks("stop", "j-1").length, 1);
+});
+
+test("room is made where starts have counted, not where they would have to be made again", () => {
+  const harness = ControllerHarness.withObjectives([{ ...WAIT_OBJECTIVE, jobClass: "counted" }]);
+  const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-0", { tasks: 4, estimateS: 20 }));
+  carryOutCommands(harness, tasksByMachine);
+  tasksByMachine.set("B", []);
+  harness.sendHeartbeat("B");
+  harness.submit(jobSpec("j-1", { ...IDLE_JOB, jobClass: "counted", tasks: 4, saveS: 2 }));
+  carryOutCommands(harness, tasksByMachine);
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 15);
+  tasksByMachine.set(
+    "A",
+    liveTasks(tasksByMachine, "A", "j-0").map((status) => ({ ...status, state: "ended", cause: "done" })),
+  );
+  harness.submit(jobSpec("j-2", { ...IDLE_JOB, jobClass: "counted", tasks: 4, saveS: 2 }));
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 2);
+
+  assert.deepEqual(
+    [liveTasks(tasksByMachine, "A", "j-2").length, liveTasks(tasksByMachine, "B", "j-1").length],
+    [4, 4],
+  );
+
+  harness.submit(jobSpec("j-3", { shape: "service", priority: 3, estimateS: 0, imageGb: 0 }));
+  harness.advance(200);
+  assert.equal(harness.commandedTasks("stop", "j-1").length, 1);
+  assert.deepEqual(harness.commandedTasks("stop", "j-2"), []);
+});
+
+// Found on a simulated day with faults: work that can't save a checkpoint was preempted late in its run, to avoid
+// restarts that no objective counts.
+test("where no aim counts starts, what can save makes room before work that would be thrown away", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1", { ...IDLE_JOB, tasks: 4, checkpointS: 0, saveS: 0, estimateS: 60 }));
+  carryOutCommands(harness, tasksByMachine);
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 4);
+  tasksByMachine.set("B", []);
+  harness.sendHeartbeat("B");
+  harness.submit(jobSpec("j-2", { ...IDLE_JOB, tasks: 4, saveS: 2, estimateS: 60 }));
+  carryOutCommands(harness, tasksByMachine);
+
+  assert.deepEqual(
+    [liveTasks(tasksByMachine, "A", "j-1").length, liveTasks(tasksByMachine, "B", "j-2").length],
+    [4, 4],
+  );
+
+  harness.submit(jobSpec("j-3", { shape: "service", priority: 3, estimateS: 0, imageGb: 0 }));
+  harness.advance(200);
+  assert.equal(harness.commandedTasks("stop", "j-2").length, 1);
+  assert.deepEqual(harness.commandedTasks("stop", "j-1"), []);
+});
+
+test("work that could not save before the aim is missed is stopped at once, as its checkpoints are kept", () => {
+  for (const [saveS, graceful] of [
+    [2, true],
+    [4.5, false],
+  ] as const) {
+    const harness = ControllerHarness.withObjectives([WAIT_OBJECTIVE]);
+    const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+    harness.sendHeartbeat("A");
+    harness.submit(jobSpec("j-1", { ...IDLE_JOB, tasks: 4, saveS }));
+    carryOutCommands(harness, tasksByMachine);
+    harness.submit(jobSpec("j-2", { shape: "service", priority: 3, estimateS: 0 }));
+    harness.advance(200);
+    const stop = harness.sentCommands
+      .flatMap((batch) => batch.commands)
+      .find((command) => command.kind === "stop");
+
+    assert.ok(stop?.kind === "stop");
+    assert.equal(stop.graceS > 0, graceful, `saving takes ${saveS} s of 5`);
+  }
+});
--- /dev/null
+++ b/test/provisioner.test.ts
@@ -0,0 +1,50 @@
+/** Scale out and scale in. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
+
+test("machines: hired for what finds no place, under names never used again, and returned when idle", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1", { tasks: 12, estimateS: 200 }));
+  harness.advance(3000);
+  const createCalls = harness.cloudCalls.filter((call) => call.kind === "create");
+
+  assert.ok(createCalls.length > 0);
+  assert.equal(
+    new Set(createCalls.map((call) => call.kind === "create" && call.requestId)).size,
+    createCalls.length,
+  );
+
+  harness.cancel("j-1");
+  const idleLeader = new ControllerHarness().becomeLeader();
+  for (let second = 0; second < 110; second++) {
+    idleLeader.sendHeartbeat("A");
+    idleLeader.advance(1000);
+  }
+
+  assert.ok(idleLeader.cloudCalls.some((call) => call.kind === "delete" && call.machines.includes("A")));
+});
+
+test("a hire request without an answer is repeated under its name, and no other is made for it meanwhile", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.sendHeartbeat("A");
+  const defaultCloudRule = harness.cloudRule;
+  harness.cloudRule = (call) => (call.kind === "create" ? { kind: "timeout" } : defaultCloudRule(call));
+  harness.submit(jobSpec("j-1", { tasks: 8, estimateS: 200, zone: "a", types: ["small"] }));
+  harness.advance(1800);
+  const requestIds = harness.cloudCalls.flatMap((call) => (call.kind === "create" ? [call.requestId] : []));
+
+  assert.equal(requestIds.length, 2);
+  assert.equal(new Set(requestIds).size, 1);
+
+  harness.cloudRule = (call) =>
+    call.kind === "create" ? { kind: "created", machines: ["H"] } : defaultCloudRule(call);
+  harness.advance(1500);
+  assert.ok(
+    [...(harness.controller.leaderTerm?.cluster.machines.values() ?? [])].some(
+      (machine) => machine.name === "H",
+    ),
+  );
+});
--- /dev/null
+++ b/test/quarantined-keys.test.ts
@@ -0,0 +1,52 @@
+/** Records that can't be decoded are quarantined. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { leaderWithRunningTask } from "./support/leaders.js";
+
+test("records that can't be read are told of and kept, and nothing they may speak of is started", () => {
+  const { harness: previousLeader, attempt } = leaderWithRunningTask();
+  previousLeader.submit(jobSpec("j-2"));
+  const put = (key: string, value: unknown) =>
+    previousLeader.store.run(
+      { kind: "transaction", conditions: [], changes: [{ put: key, value }] },
+      previousLeader.now,
+    );
+  put("p/j-1/0", { held: "?" });
+  put("j/j-3", ["?"]);
+  put("m/7", 12);
+  put("c/settings", "?");
+  previousLeader.store.expire(previousLeader.now + 60_000);
+  const newLeader = new ControllerHarness("n1", previousLeader.store);
+  newLeader.now = previousLeader.now + 60_000;
+  newLeader.becomeLeader();
+
+  assert.ok(newLeader.controller.leaderTerm?.agents.areRecordsLoaded);
+  assert.ok(
+    newLeader.errorLines.length >= 3 &&
+      newLeader.errorLines.every((text) => text === "a record can't be read"),
+  );
+
+  newLeader.sendHeartbeat("B", [], { zone: "b" });
+  const runningTask: TaskStatus = { uid: "j-1", task: 0, attempt, state: "running" };
+  newLeader.sendHeartbeat("A", [runningTask], { fencingToken: 1 });
+  newLeader.advance(1000);
+
+  assert.deepEqual(
+    newLeader.sendHeartbeat("A", [runningTask]),
+    { kind: "commands", fencingToken: 2, commands: [] },
+    "and what runs is let run",
+  );
+
+  newLeader.advance(60_000);
+  newLeader.sendHeartbeat("B", [], { zone: "b" });
+  newLeader.advance(500);
+
+  assert.deepEqual(newLeader.startCommands("j-1"), [], "it may be running");
+  assert.deepEqual(previousLeader.store.entries.get("p/j-1/0")?.value, { held: "?" }, "kept");
+  assert.equal(newLeader.poll("j-3")?.kind, "unavailable");
+
+  const queue = newLeader.controller.status().queue as { job: string; why: string }[];
+  assert.ok(queue.some((entry) => entry.job === "j-1" && entry.why.includes("read")));
+});
--- /dev/null
+++ b/test/quotas.test.ts
@@ -0,0 +1,55 @@
+/** Quota limits and guaranteed quotas of teams. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+
+const GPU_MACHINE = { type: "gpu" } as const;
+
+test("a team's tasks never hold more than its limit", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>();
+  for (const name of ["A", "B", "C", "D", "E", "F", "G"]) {
+    tasksByMachine.set(name, []);
+    harness.sendHeartbeat(name);
+  }
+  harness.submit(jobSpec("j-1", { tasks: 40, team: "blue" }));
+  carryOutCommands(harness, tasksByMachine);
+  const running = [...tasksByMachine.keys()].reduce(
+    (sum, name) => sum + liveTasks(tasksByMachine, name).length,
+    0,
+  );
+
+  assert.equal(running, 16, "blue may use 16 CPUs of the 28");
+});
+
+test("a team's guarantee takes nothing from work within another team's: no two gangs take turns stopping each other", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>([["G", []]]);
+  harness.sendHeartbeat("G", [], GPU_MACHINE);
+  const gang = {
+    shape: "gang",
+    priority: 2,
+    types: ["gpu"],
+    need: { cpu: 6000, gpu: 2000, ram: 8000 },
+    checkpointS: 5,
+    saveS: 1,
+    estimateS: 600,
+  } as const;
+  harness.submit(jobSpec("j-1", { ...gang, team: "red" }));
+  carryOutCommands(harness, tasksByMachine, { G: GPU_MACHINE });
+
+  assert.equal(liveTasks(tasksByMachine, "G", "j-1").length, 1);
+
+  // Red uses CPUs beyond its guaranteed quota elsewhere; its first gang counts as within that quota all the same.
+  for (const name of ["A", "B", "C", "D"]) tasksByMachine.set(name, []);
+  for (const name of ["A", "B", "C", "D"]) harness.sendHeartbeat(name);
+  harness.submit(jobSpec("j-2", { tasks: 16, team: "red", estimateS: 600 }));
+  carryOutCommands(harness, tasksByMachine, { G: GPU_MACHINE });
+  harness.submit(jobSpec("j-3", { ...gang, team: "blue" }));
+  sendHeartbeatsFor(harness, tasksByMachine, { G: GPU_MACHINE }, 20);
+
+  assert.equal(liveTasks(tasksByMachine, "G", "j-1").length, 1);
+  assert.deepEqual(harness.commandedTasks("stop", "j-1"), []);
+});
--- /dev/null
+++ b/test/reachability.test.ts
@@ -0,0 +1,130 @@
+/** Agents that a leader hears but that don't hear it, and the other way round (I7). */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { leaderWithRunningTask, onlyElement } from "./support/leaders.js";
+
+test("a leader that hears no worker while a peer does hands over and stays out of the race", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name);
+  const receivePeerHeartbeat = (agentsHeard: number) =>
+    harness.handle({
+      kind: "peerMessage",
+      from: "n1",
+      message: {
+        kind: "heartbeat",
+        fencingToken: 0,
+        leader: null,
+        storeHealthy: true,
+        agentsHeard,
+      },
+    });
+  for (let second = 0; second < 10; second++) {
+    receivePeerHeartbeat(0);
+    harness.advance(1000);
+  }
+
+  assert.ok(harness.controller.election.lease, "nobody hears any: handing over would not help");
+
+  for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name);
+  for (let second = 0; second < 8; second++) {
+    receivePeerHeartbeat(3);
+    harness.advance(1000);
+  }
+  assert.equal(harness.controller.election.lease, null);
+  assert.equal(harness.store.entries.has("c/leader"), false, "the key is free at once");
+
+  harness.advance(5000);
+  assert.equal(harness.controller.election.lease, null);
+});
+
+test("a worker that reports but hears nothing gets no more work, is replaced if it lasts, and is used again", () => {
+  for (const persists of [true, false]) {
+    const harness = new ControllerHarness().becomeLeader();
+    const terminatedMachines: string[] = [];
+    const defaultCloudRule = harness.cloudRule;
+    harness.cloudRule = (call) => {
+      if (call.kind === "delete") terminatedMachines.push(...call.machines);
+      return defaultCloudRule(call);
+    };
+    const heartbeatsOfOthers = (fencingToken?: number) => {
+      for (const name of ["B", "C", "D"])
+        harness.sendHeartbeat(name, [], { zone: "b", ...(fencingToken && { fencingToken }) });
+    };
+    harness.sendHeartbeat("A");
+    harness.submit(jobSpec("j-1", { zone: "a" }));
+    harness.advance(200);
+
+    assert.equal(onlyElement(harness.startCommands("j-1")).machine, "A");
+
+    harness.timeOutCommands();
+    // Its heartbeats go on arriving, and never show the start.
+    for (let second = 0; second < 8; second++) {
+      harness.sendHeartbeat("A");
+      heartbeatsOfOthers();
+      harness.advance(1000);
+      harness.timeOutCommands();
+    }
+    assert.notEqual(
+      harness.controller.leaderTerm?.cluster.machine("A", { address: "", type: "", zone: "", spot: false }, 0)
+        .unreachableSince,
+      null,
+    );
+
+    harness.submit(jobSpec("j-2", { zone: "a" }));
+    for (let second = 0; second < 2; second++) {
+      harness.sendHeartbeat("A");
+      heartbeatsOfOthers();
+      harness.advance(1000);
+      harness.timeOutCommands();
+    }
+    assert.deepEqual(harness.startCommands("j-2"), [], "nothing new is given to it");
+
+    if (persists) {
+      for (let second = 0; second < 30; second++) {
+        harness.sendHeartbeat("A");
+        heartbeatsOfOthers();
+        harness.advance(1000);
+        harness.timeOutCommands();
+      }
+      assert.deepEqual(terminatedMachines, ["A"]);
+    } else {
+      const { attempt } = harness.startCommands("j-1")[0] ?? assert.fail();
+      const runningTask: TaskStatus = { uid: "j-1", task: 0, attempt, state: "running" };
+      harness.sendHeartbeat("A", [runningTask]);
+      harness.advance(100);
+      harness.replyToCommands("A", [runningTask]);
+      harness.advance(2000);
+
+      assert.equal(harness.startCommands("j-2").length, 1, "an effect shows that it hears again");
+    }
+  }
+});
+
+test("a lease that runs out under answers shows that they don't arrive; one that ran out in silence does not", () => {
+  for (const silentMs of [0, 13_000]) {
+    const { harness } = leaderWithRunningTask();
+    harness.cloudRule = () => ({ kind: "unavailable", reason: "" });
+    harness.advance(silentMs);
+    harness.sendHeartbeat("A", [], { incarnation: 2 });
+    for (let second = 0; second < 3; second++) {
+      harness.advance(500);
+      harness.timeOutCommands();
+      harness.sendHeartbeat("A", [], { incarnation: 2 });
+    }
+    const isRestarted = harness.startCommands("j-1").length > 1;
+
+    assert.equal(isRestarted, silentMs > 0, `silent for ${silentMs} ms`);
+  }
+});
+
+test("where most workers don't hear the leader, it hands over", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  for (let second = 0; second < 8; second++) {
+    for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name, [], { fencingToken: 0 });
+    harness.advance(1000);
+    harness.timeOutCommands();
+  }
+  assert.equal(harness.controller.election.lease, null);
+});
--- /dev/null
+++ b/test/reconciliation.test.ts
@@ -0,0 +1,68 @@
+/** Reconciliation of heartbeats with the recorded placements (I1, I3, I4). */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness } from "./support/controller-harness.js";
+import { leaderWithRunningTask, successorOfSilentLeader } from "./support/leaders.js";
+import { STORE_OUTAGE } from "./support/store-outage.js";
+
+test("a leader that has not read the records yet renews no lease: it knows of no cancellation", () => {
+  const { harness: previousLeader, attempt } = leaderWithRunningTask();
+  previousLeader.store.expire(previousLeader.now + 60_000);
+  const newLeader = new ControllerHarness("n1", previousLeader.store);
+  newLeader.now = previousLeader.now + 60_000;
+  newLeader.storeRule = (call) => (call.kind === "list" && call.prefix === "j/" ? STORE_OUTAGE : null);
+  newLeader.becomeLeader();
+  const running = [{ uid: "j-1", task: 0, attempt, state: "running" }] as const;
+
+  assert.equal(newLeader.controller.leaderTerm?.agents.areRecordsLoaded, false);
+  assert.equal(newLeader.sendHeartbeat("A", running), undefined, "held, for the leader to be");
+
+  newLeader.storeRule = null;
+  newLeader.advance(1000);
+  assert.equal(newLeader.sendHeartbeat("A", running)?.kind, "commands");
+});
+
+test("a new leader starts a recorded task nowhere else until its machine carries the new token without it", () => {
+  const { harness, attempt } = successorOfSilentLeader();
+  assert.deepEqual(harness.startCommands("j-1"), [], "nothing is known of A yet");
+
+  harness.sendHeartbeat("A", [], { fencingToken: 1 });
+  harness.advance(300);
+  assert.equal(harness.controller.leaderTerm?.cluster.jobByUid("j-1")?.placements.get(0)?.attempt, attempt);
+  assert.deepEqual(
+    harness.startCommands("j-1"),
+    [],
+    "a report under the old token proves nothing: a start may be on its way",
+  );
+
+  harness.timeOutCommands();
+  harness.sendHeartbeat("A");
+  harness.advance(2000);
+
+  assert.equal(harness.startCommands("j-1").length, 1);
+});
+
+test("a new leader adopts what it finds running", () => {
+  const { harness, attempt } = successorOfSilentLeader();
+  harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
+  harness.advance(2000);
+
+  assert.deepEqual(harness.startCommands("j-1"), []);
+  assert.deepEqual(harness.poll("j-1"), {
+    kind: "status",
+    status: { uid: "j-1", phase: "running", done: 0, running: 1 },
+  });
+});
+
+test("reports that are late, repeated or from an earlier session change nothing", () => {
+  const { harness, attempt } = leaderWithRunningTask();
+  const staleHeartbeat = harness.makeHeartbeat("A", [
+    { uid: "j-1", task: 0, attempt, state: "ended", cause: "done" },
+  ]);
+  harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
+  harness.handle({ kind: "heartbeat", requestId: 900, heartbeat: staleHeartbeat, body: null });
+  harness.advance(500);
+
+  assert.equal(harness.controller.leaderTerm?.progressOf("j-1")?.done, 0);
+});
--- /dev/null
+++ b/test/replica-migration.test.ts
@@ -0,0 +1,81 @@
+/** The one pending replica migration, its record, and its completion by a later leader. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+
+/**
+ * A leader that has decided and recorded a migration: A is underused with one replica of j-11, B with two of j-10 is not.
+ */
+function leaderWithPendingMigration(): {
+  harness: ControllerHarness;
+  tasksByMachine: Map<string, TaskStatus[]>;
+} {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+  const service = { shape: "service", priority: 3, estimateS: 0 } as const;
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-11", service));
+  carryOutCommands(harness, tasksByMachine);
+  assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 1);
+  harness.sendHeartbeat("B");
+  tasksByMachine.set("B", []);
+  harness.admin({ kind: "setMachineMode", name: "A", mode: "cordon" });
+  harness.submit(jobSpec("j-10", { ...service, tasks: 2 }));
+  carryOutCommands(harness, tasksByMachine);
+  assert.equal(liveTasks(tasksByMachine, "B", "j-10").length, 2);
+  harness.admin({ kind: "setMachineMode", name: "A", mode: "open" });
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 20);
+  const record = harness.store.entries.get("c/move")?.value as { job?: string } | undefined;
+  assert.equal(record?.job, "j-11", "the move is on record");
+  return { harness, tasksByMachine };
+}
+
+test("move: a replica leaves a cold machine after the drain, and starts on proof that the old copy is gone", () => {
+  const { harness, tasksByMachine } = leaderWithPendingMigration();
+  assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 1, "the old copy drains");
+  assert.equal(liveTasks(tasksByMachine, "B", "j-11").length, 0, "and no second copy runs meanwhile");
+
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 25);
+  assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 0);
+  assert.equal(liveTasks(tasksByMachine, "B", "j-11").length, 1);
+  assert.deepEqual(harness.store.entries.get("c/move")?.value, {}, "the record is cleared");
+});
+
+test("move: none without a target that is not cold, nor before the window has passed", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>([
+    ["A", []],
+    ["B", []],
+  ]);
+  for (const name of tasksByMachine.keys()) harness.sendHeartbeat(name);
+  harness.submit(jobSpec("j-11", { shape: "service", priority: 3, estimateS: 0 }));
+  carryOutCommands(harness, tasksByMachine);
+  sendHeartbeatsFor(harness, tasksByMachine, {}, 60);
+
+  assert.equal(harness.controller.leaderTerm?.migrator.startedMigrations, 0, "B is as cold as A");
+});
+
+test("move: a new leader finishes the recorded one first", () => {
+  const { harness: leader, tasksByMachine } = leaderWithPendingMigration();
+  leader.store.expire(leader.now + 60_000);
+  const nextLeader = new ControllerHarness("n1", leader.store);
+  nextLeader.now = leader.now + 60_000;
+  nextLeader.becomeLeader();
+
+  assert.equal(nextLeader.controller.leaderTerm?.migrator.pending?.job, "j-11");
+
+  nextLeader.unansweredCommands.splice(0);
+  for (const machine of nextLeader.controller.leaderTerm?.cluster.machines.values() ?? [])
+    machine.isCommandInFlight = false;
+  sendHeartbeatsFor(nextLeader, tasksByMachine, {}, 34);
+
+  assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 0);
+  assert.equal(liveTasks(tasksByMachine, "B", "j-11").length, 1);
+  assert.equal(
+    nextLeader.controller.leaderTerm?.migrator.startedMigrations,
+    0,
+    "it began none of its own before",
+  );
+});
--- /dev/null
+++ b/test/reservations.test.ts
@@ -0,0 +1,118 @@
+/** Reservations for starving gangs. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { isStarving } from "../src/core/scheduling/queue-order.js";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { IDLE_JOB } from "./support/objectives.js";
+import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+
+const GPU_MACHINE = { type: "gpu" } as const;
+
+test("a gang that has waited too long has places in a zone, and what is left of its team's limit, kept for it", () => {
+  const gangSpec = {
+    shape: "gang",
+    priority: 2,
+    types: ["gpu"],
+    need: { cpu: 6000, gpu: 2000, ram: 8000 },
+  } as const;
+  for (const [reserved, machines, teams] of [
+    ["places", ["G0", "G1"], ["red", "red"]],
+    ["limit", ["G0"], ["blue", "blue"]],
+  ] as const) {
+    const harness = new ControllerHarness().becomeLeader();
+    const tasksByMachine = new Map<string, TaskStatus[]>(machines.map((name) => [name, []]));
+    const machineFields: Record<string, object> = Object.fromEntries(
+      machines.map((name) => [name, GPU_MACHINE]),
+    );
+    for (const name of machines) harness.sendHeartbeat(name, [], GPU_MACHINE);
+    harness.submit(jobSpec("j-1", { ...gangSpec, tasks: 1, team: teams[0] }));
+    carryOutCommands(harness, tasksByMachine, machineFields);
+    harness.submit(jobSpec("j-2", { ...gangSpec, tasks: 2, team: "blue", oneZone: true }));
+    sendHeartbeatsFor(harness, tasksByMachine, machineFields, 75);
+    if (reserved === "limit") {
+      // Enough free capacity appears, in a zone other than the one reserved for the gang.
+      machineFields.G4 = { ...GPU_MACHINE, zone: "b" };
+      tasksByMachine.set("G4", []);
+      harness.sendHeartbeat("G4", [], machineFields.G4);
+    }
+    // Smaller and just submitted: it would take the one free machine, or the rest of the team's limit.
+    harness.submit(jobSpec("j-3", { ...gangSpec, tasks: 1, team: teams[1] }));
+    sendHeartbeatsFor(harness, tasksByMachine, machineFields, 10);
+    const isRunning = (uid: string) =>
+      [...tasksByMachine.keys()].some((name) => liveTasks(tasksByMachine, name, uid).length > 0);
+
+    assert.equal(isRunning("j-1"), true);
+    assert.equal(isRunning("j-3"), false, reserved);
+  }
+});
+
+test("an aged array does not settle on machines that gangs wait for, as it would be spared there", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const machineFields = { G: GPU_MACHINE };
+  const tasksByMachine = new Map<string, TaskStatus[]>([
+    ["S", []],
+    ["G", []],
+  ]);
+  const gang = {
+    shape: "gang",
+    priority: 2,
+    types: ["gpu"],
+    need: { cpu: 8000, gpu: 2000, ram: 8000 },
+  } as const;
+  harness.sendHeartbeat("S");
+  harness.sendHeartbeat("G", [], GPU_MACHINE);
+  harness.submit(jobSpec("j-1", gang));
+  harness.submit(jobSpec("j-2", { tasks: 4, types: ["small"], priority: 1 }));
+  carryOutCommands(harness, tasksByMachine, machineFields);
+  harness.submit(jobSpec("j-3", { ...IDLE_JOB, tasks: 8 }));
+  sendHeartbeatsFor(harness, tasksByMachine, machineFields, 80);
+  const starvingJob = harness.controller.leaderTerm?.cluster.jobByUid("j-3");
+
+  assert.ok(starvingJob && isStarving(harness.controller.ctx, starvingJob));
+
+  harness.submit(jobSpec("j-4", gang));
+  sendHeartbeatsFor(harness, tasksByMachine, machineFields, 2);
+  tasksByMachine.set(
+    "G",
+    liveTasks(tasksByMachine, "G", "j-1").map((status) => ({ ...status, state: "ended", cause: "done" })),
+  );
+  sendHeartbeatsFor(harness, tasksByMachine, machineFields, 3);
+
+  assert.equal(liveTasks(tasksByMachine, "G", "j-4").length, 1);
+  assert.ok(
+    !tasksByMachine.get("G")?.some((status) => status.uid === "j-3"),
+    "nor did it begin there, to be stopped at once",
+  );
+});
+
+test("places gathered for an aged gang that is too late go to one that is not", () => {
+  const gangSpec = {
+    shape: "gang",
+    priority: 2,
+    types: ["gpu"],
+    need: { cpu: 6000, gpu: 2000, ram: 8000 },
+    oneZone: true,
+  } as const;
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>(["G0", "G1"].map((name) => [name, []]));
+  const machineFields = { G0: GPU_MACHINE, G1: GPU_MACHINE, G2: GPU_MACHINE };
+  // One machine of two stays occupied; the other is reserved for the first gang until that gang is too late.
+  harness.sendHeartbeat("G0", [], GPU_MACHINE);
+  harness.submit(jobSpec("j-0", { ...gangSpec, tasks: 1, team: "red" }));
+  carryOutCommands(harness, tasksByMachine, machineFields);
+  harness.submit(jobSpec("j-1", { ...gangSpec, tasks: 2, team: "blue" }));
+  const runForAtLeast = (seconds: number) => {
+    const endsAt = harness.now + seconds * 1000;
+    while (harness.now < endsAt) sendHeartbeatsFor(harness, tasksByMachine, machineFields, 1);
+  };
+  runForAtLeast(60);
+  harness.submit(jobSpec("j-2", { ...gangSpec, tasks: 2, team: "blue" }));
+  runForAtLeast(168);
+  tasksByMachine.set("G2", []);
+  sendHeartbeatsFor(harness, tasksByMachine, machineFields, 3);
+  const machinesRunning = (uid: string) =>
+    [...tasksByMachine.keys()].filter((name) => liveTasks(tasksByMachine, name, uid).length > 0).length;
+
+  assert.deepEqual([machinesRunning("j-1"), machinesRunning("j-2")], [0, 2]);
+});
--- /dev/null
+++ b/test/retry-reservations.test.ts
@@ -0,0 +1,45 @@
+/** Retry reservations: the time that a refused submission is given is kept. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { AdmissionCluster } from "./support/admission-cluster.js";
+import { NODES } from "./support/deployment.js";
+
+test("who is refused and comes back at the time it was told is taken, at whatever node, before newcomers", () => {
+  const cluster = new AdmissionCluster({ admission_rate: 12 });
+  cluster.beats(5);
+  const returningAt = new Map<number, string[]>();
+  let uid = 0;
+  let [acceptedOnReturn, refusedAgain, acceptedEarly] = [0, 0, 0];
+  for (let second = 0; second < 60; second++) {
+    cluster.beat();
+    for (const [nodeIndex, { name }] of cluster.nodes.entries()) {
+      for (let i = 0; i < 10; i++) {
+        const id = `j-1${++uid}`;
+        const decision = cluster.node(name).admission.decide(id, "red");
+        if (decision.kind === "take") continue;
+
+        assert.ok(decision.afterS >= 1 && decision.afterS <= 30);
+
+        const repeatedDecision = cluster.node(name).admission.decide(id, "red");
+        if (repeatedDecision.kind === "wait")
+          assert.ok(repeatedDecision.afterS <= decision.afterS, "the same submission, the same time");
+        else acceptedEarly++;
+        if (decision.afterS < 30) {
+          const due = second + decision.afterS + 1;
+          returningAt.set(due, [...(returningAt.get(due) ?? []), id]);
+        }
+      }
+      // Each retry goes to another node than the one that refused it.
+      const due = returningAt.get(second)?.filter((_, i) => i % NODES.length === nodeIndex) ?? [];
+      for (const id of due) {
+        if (cluster.node(name).admission.decide(id, "red").kind === "take") acceptedOnReturn++;
+        else refusedAgain++;
+      }
+    }
+  }
+
+  assert.equal(acceptedEarly, 0);
+  assert.ok(acceptedOnReturn > 100, `${acceptedOnReturn} came back, ${refusedAgain} were refused again`);
+  assert.equal(refusedAgain, 0);
+});
--- /dev/null
+++ b/test/scheduler.test.ts
@@ -0,0 +1,47 @@
+/** Rounds of the scheduler and pending reasons. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
+
+test("a job that waits says why", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.sendHeartbeat("A");
+  harness.submit(jobSpec("j-1", { types: ["gpu"], need: { cpu: 1000, gpu: 1000, ram: 1000 } }));
+  harness.advance(3000);
+  const queue = harness.controller.status().queue as { job: string; why: string }[];
+
+  assert.equal(queue.find((entry) => entry.job === "j-1")?.why, "no machine has room");
+
+  // It is logged once, not in every round: six thousand such lines on one day of a fleet were most of its log.
+  for (let i = 0; i < 200; i++) {
+    harness.sendHeartbeat("A");
+    harness.advance(1000);
+  }
+  assert.equal(harness.logLines.filter((text) => text === "job still waits").length, 1);
+});
+
+test("a round that has used its time goes on where it stopped", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>([
+    ["A", []],
+    ["B", []],
+  ]);
+  harness.sendHeartbeat("A");
+  harness.sendHeartbeat("B");
+  // The time budget of each round is spent after one job.
+  harness.isBudgetSpent = () => true;
+  for (let i = 1; i <= 5; i++) harness.submit(jobSpec(`j-${i}`));
+  carryOutCommands(harness, tasksByMachine);
+
+  assert.ok((harness.controller.leaderTerm?.scheduler.interruptedRounds ?? 0) > 0);
+
+  for (let i = 1; i <= 5; i++) {
+    const running = ["A", "B"].reduce(
+      (sum, name) => sum + liveTasks(tasksByMachine, name, `j-${i}`).length,
+      0,
+    );
+    assert.equal(running, 1, `j-${i}`);
+  }
+});
--- /dev/null
+++ b/test/spot-interruption.test.ts
@@ -0,0 +1,30 @@
+/** Interruption notices of spot instances. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
+
+test("on a notice what can save is stopped in time to do so, and nothing new is given to the machine", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+  const machineFields = { A: { spot: true } };
+  harness.sendHeartbeat("A", [], machineFields.A);
+  harness.submit(jobSpec("j-1", { spot: true, checkpointS: 5, saveS: 2 }));
+  harness.submit(jobSpec("j-2", { spot: true }));
+  carryOutCommands(harness, tasksByMachine, machineFields);
+  harness.sendHeartbeat("A", liveTasks(tasksByMachine, "A"), { ...machineFields.A, reclaimNoticeS: 12 });
+  harness.advance(200);
+  const stops = harness.sentCommands
+    .flatMap((batch) => batch.commands)
+    .filter((command) => command.kind === "stop");
+
+  assert.deepEqual(
+    stops.map((command) => [command.uid, command.kind === "stop" && command.graceS >= 2]),
+    [["j-1", true]],
+  );
+
+  harness.submit(jobSpec("j-3", { spot: true }));
+  harness.advance(500);
+  assert.deepEqual(harness.startCommands("j-3"), []);
+});
--- /dev/null
+++ b/test/store-limits.test.ts
@@ -0,0 +1,237 @@
+/** The store's limits fall while the scheduler runs: value size, operations a transaction, writes a second. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { parseSettings, SettingsError } from "../src/config/settings.js";
+import type { StoreRequest } from "../src/core/messages/store.js";
+import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
+import { FakeStore } from "./support/fake-store.js";
+import { receiveFromBothPeers } from "./support/peer-versions.js";
+import { productionStore } from "./support/production-store.js";
+import { countRunning, reportAllRunning, runFor } from "./support/running-agents.js";
+import { SETTINGS } from "./support/settings.js";
+import { SMALL_LIMITS } from "./support/small-limits.js";
+
+/** The size in bytes of each stored value, by key. */
+function valueSizes(store: FakeStore): [string, number][] {
+  return [...store.entries].map(([key, { value }]) => [key, Buffer.byteLength(JSON.stringify(value))]);
+}
+
+/** A leader that has heard no peer, with 60 machines; `refused` collects each transaction that the store calls invalid. */
+function leaderWithoutPeers(knowsNextLimits: boolean): { harness: ControllerHarness; refused: string[] } {
+  const harness = new ControllerHarness(
+    "n0",
+    new FakeStore(),
+    "n0-1",
+    knowsNextLimits ? {} : { nextStoreLimits: null },
+  ).becomeLeader();
+  const refused: string[] = [];
+  harness.storeRule = (call: StoreRequest) => {
+    if (call.kind !== "transaction") return null;
+    const response = harness.store.run(call, harness.now);
+    if (response.kind === "invalid") refused.push(JSON.stringify(call));
+    return response;
+  };
+  for (let i = 0; i < 60; i++) harness.sendHeartbeat(`i-${i}`);
+  return { harness, refused };
+}
+
+test("after the fall of the limits, with production's large records on file, everything goes on within them", () => {
+  const store = productionStore();
+  const leader = new ControllerHarness("n0", store).becomeLeader();
+  receiveFromBothPeers(leader);
+  reportAllRunning(leader);
+  leader.advance(500);
+  store.limits = SMALL_LIMITS;
+  reportAllRunning(leader);
+  // Tasks of both of production's chunks end; other tasks are placed.
+  const job = leader.controller.leaderTerm?.cluster.jobByUid("j-000001") ?? assert.fail("not read");
+  const endedPlacements = [...job.placements.values()].filter(({ task }) => task % 50 === 7);
+  for (const { machine, task, attempt } of endedPlacements) {
+    const otherTasks = [...machine.placements]
+      .filter((placement) => placement.task !== task || placement.job !== job)
+      .map((placement) => ({
+        uid: placement.job.uid,
+        task: placement.task,
+        attempt: placement.attempt,
+        state: "running" as const,
+      }));
+    leader.sendHeartbeat(machine.name, [
+      { uid: job.uid, task, attempt, state: "ended", cause: "done" },
+      ...otherTasks,
+    ]);
+  }
+  leader.submit(jobSpec("j-8", { tasks: 60, team: "blue", need: { cpu: 100, gpu: 0, ram: 100 } }));
+  leader.cancel("j-000002");
+  runFor(leader, 15);
+
+  assert.equal(countRunning(leader, "j-8"), 60);
+  assert.equal(store.invalid, 0, "the fall is no event");
+  assert.equal(leader.controller.election.hasValidLease, true);
+
+  const large = valueSizes(store).filter(([, bytes]) => bytes > SMALL_LIMITS.valueBytes);
+  // Records that have not changed since are not rewritten.
+  assert.deepEqual(
+    large.map(([key]) => key),
+    ["m/0", "p/j-000001/0"],
+  );
+
+  // The next leader restores the newest state from records of both sizes.
+  store.expire(leader.now + 60_000);
+  const nextLeader = new ControllerHarness("n1", store);
+  nextLeader.now = leader.now + 60_000;
+  nextLeader.becomeLeader();
+  const restoredJob =
+    nextLeader.controller.leaderTerm?.cluster.jobByUid("j-000001") ?? assert.fail("not read");
+
+  assert.equal(restoredJob.doneCount, endedPlacements.length);
+  assert.equal(restoredJob.placements.size, 150 - endedPlacements.length);
+  for (const { task } of endedPlacements) assert.ok(restoredJob.isDone(task), `task ${task}`);
+  assert.equal(nextLeader.controller.leaderTerm?.cluster.jobByUid("j-8")?.placements.size, 60);
+
+  const machines = [...(nextLeader.controller.leaderTerm?.cluster.machines.values() ?? [])];
+  assert.ok(
+    machines
+      .filter((machine) => machine.placements.size > 0)
+      .every((machine) => machine.address !== "" || machine.recordIndex === null),
+  );
+
+  // A job with chunks of both sizes completes, and leaves none of them.
+  nextLeader.cancel("j-000001");
+  for (const machine of machines) nextLeader.sendHeartbeat(machine.name, [], { incarnation: 2 });
+  nextLeader.advance(15_000);
+  for (const machine of machines) nextLeader.sendHeartbeat(machine.name, [], { incarnation: 2 });
+  nextLeader.advance(15_000);
+
+  assert.deepEqual(
+    [...store.entries.keys()].filter((key) => key.startsWith("p/j-000001/")),
+    [],
+  );
+});
+
+test("the limits fall before all nodes are heard: a 400 is never repeated as it was, and opens the gate", () => {
+  const { harness, refused } = leaderWithoutPeers(true);
+  harness.store.limits = SMALL_LIMITS;
+  harness.submit(jobSpec("j-1", { tasks: 150, need: { cpu: 100, gpu: 0, ram: 100 } }));
+  runFor(harness, 15);
+
+  assert.equal(harness.controller.config.layout, 2);
+  assert.equal(countRunning(harness, "j-1"), 150);
+  assert.equal(new Set(refused).size, refused.length, "nothing is sent twice as it was");
+  assert.ok(refused.length > 0 && refused.length < 10, `${refused.length} refused`);
+  assert.equal(harness.controller.election.hasValidLease, true);
+});
+
+test("one record that can't be written holds up no other, nor renewals", () => {
+  const { harness, refused } = leaderWithoutPeers(true);
+  const name = `i-${"x".repeat(290)}`;
+  harness.sendHeartbeat(name, [], { zone: "b" });
+  harness.store.limits = SMALL_LIMITS;
+  harness.submit(jobSpec("j-1", { tasks: 20, need: { cpu: 100, gpu: 0, ram: 100 }, priority: 2, zone: "b" }));
+  for (let i = 2; i < 12; i++)
+    harness.submit(jobSpec(`j-${i}`, { need: { cpu: 100, gpu: 0, ram: 100 }, zone: "a" }));
+  runFor(harness, 20);
+
+  for (let i = 2; i < 12; i++) assert.equal(countRunning(harness, `j-${i}`), 1, `j-${i}`);
+  assert.deepEqual(harness.startCommands("j-1"), [], "nothing is started that is not on record");
+  assert.equal(harness.controller.election.hasValidLease, true);
+  assert.ok(refused.length < 10, `${refused.length} refused`);
+  assert.ok(harness.errorLines.includes("a record can't be written"));
+});
+
+test("429 is met by a slower rate, not by asking again at once", () => {
+  const { harness } = leaderWithoutPeers(true);
+  receiveFromBothPeers(harness);
+  harness.advance(1000);
+  harness.store.limits = SMALL_LIMITS;
+  for (let i = 0; i < 300; i++) harness.submit(jobSpec(`j-${i}`, { need: { cpu: 50, gpu: 0, ram: 50 } }));
+  const throttledBefore = harness.store.throttled;
+  runFor(harness, 30);
+
+  assert.ok(
+    harness.store.throttled - throttledBefore < 30,
+    `${harness.store.throttled - throttledBefore} throttled in 30 s`,
+  );
+
+  const accepted = [...harness.store.entries.keys()].filter((key) => key.startsWith("j/")).length;
+  assert.ok(accepted > 0);
+
+  const started = Array.from({ length: 300 }, (_, i) => countRunning(harness, `j-${i}`)).filter(
+    (tasks) => tasks > 0,
+  ).length;
+  assert.equal(started, accepted, "what was accepted is started");
+});
+
+test("a job with long lists: refused under the smaller limit; one stored before can be cancelled, and completed", () => {
+  const types = ["small", ...Array.from({ length: 300 }, (_, i) => `another-type-${i}`)];
+  const store = new FakeStore();
+  const previousLeader = new ControllerHarness("n0", store, "n0-1", { nextStoreLimits: null }).becomeLeader();
+  previousLeader.sendHeartbeat("A");
+
+  for (const uid of ["j-1", "j-2"])
+    assert.equal(previousLeader.submit(jobSpec(uid, { types }))?.kind, "accepted");
+
+  previousLeader.advance(300);
+  store.limits = SMALL_LIMITS;
+  store.expire(previousLeader.now + 60_000);
+  const newLeader = new ControllerHarness("n1", store);
+  newLeader.now = previousLeader.now + 60_000;
+  newLeader.becomeLeader();
+
+  assert.match(JSON.stringify(newLeader.submit(jobSpec("j-3", { types }))), /invalid.*too large/);
+  assert.equal(newLeader.submit(jobSpec("j-1", { types }))?.kind, "accepted", "a repeat");
+  assert.equal(newLeader.cancel("j-1")?.kind, "status");
+  assert.equal(store.invalid, 0);
+
+  const starts = previousLeader.startCommands("j-2");
+  assert.equal(starts.length, 1);
+
+  const attempt = starts[0]?.attempt ?? 0;
+  newLeader.sendHeartbeat("A", [{ uid: "j-2", task: 0, attempt, state: "ended", cause: "done" }], {
+    fencingToken: 2,
+  });
+  newLeader.advance(3000);
+
+  for (const uid of ["j-1", "j-2"]) assert.ok(store.entries.has(`f/${uid}`), uid);
+});
+
+test("what operators set must fit a record", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  let refused = 0;
+  for (let i = 0; i < 120; i++) {
+    const response = harness.admin({ kind: "setMachineMode", name: `machine-${i}`, mode: "drain" });
+    if (response?.kind === "invalid") refused++;
+  }
+
+  assert.ok(refused > 0 && refused < 100, `${refused} refused`);
+  assert.ok(valueSizes(harness.store).every(([, bytes]) => bytes <= SMALL_LIMITS.valueBytes));
+});
+
+test("settings: the limits to come are optional; impossible ones name their field", () => {
+  const settingsWithNext = (nextLimits: string) =>
+    SETTINGS.replace("[deployment.cloud]", `[deployment.state.next]\n${nextLimits}\n[deployment.cloud]`);
+  assert.equal(parseSettings(SETTINGS).deployment.nextStoreLimits, null);
+  assert.deepEqual(
+    parseSettings(settingsWithNext("value_kb = 2.0\ntxn_ops = 10")).deployment.nextStoreLimits,
+    {
+      rps: 250,
+      writeRps: 100,
+      valueBytes: 2048,
+      txnOps: 10,
+    },
+  );
+
+  const invalidSettings: [string, RegExp][] = [
+    ["value_kb = 0", /deployment\.state\.next\.value_kb/],
+    ["value_kb = 0.25", /deployment\.state\.next\.value_kb/],
+    ["txn_ops = 2", /deployment\.state\.next\.txn_ops/],
+    ['write_rps = "28"', /deployment\.state\.next\.write_rps/],
+    ["rps = -1", /deployment\.state\.next\.rps/],
+  ];
+  for (const [nextLimits, field] of invalidSettings)
+    assert.throws(
+      () => parseSettings(settingsWithNext(nextLimits)),
+      (error) => error instanceof SettingsError && field.test(error.message),
+      nextLimits,
+    );
+});
--- /dev/null
+++ b/test/submissions.test.ts
@@ -0,0 +1,148 @@
+/** Submissions: idempotent requests, unsatisfiable jobs, and which dependencies a job may name. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import type { PeerMessage } from "../src/core/messages/peers.js";
+import { decodeJobSubmission } from "../src/protocol/jobs.js";
+import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
+import { phaseOf } from "./support/dependent-jobs.js";
+import { STORE_OUTAGE } from "./support/store-outage.js";
+
+const NEW_PEER_HEARTBEAT = {
+  kind: "heartbeat",
+  fencingToken: 0,
+  leader: null,
+  storeHealthy: true,
+  agentsHeard: 0,
+  protocol: 2,
+} as const;
+
+test("a known job is never turned away, however its repeated submission looks", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.submit(jobSpec("j-1"));
+  assert.equal(harness.submit(jobSpec("j-1", { team: "nobody" }))?.kind, "accepted");
+
+  harness.handle({ kind: "submit", requestId: 500, uid: "j-1", spec: "cpus: missing" });
+  assert.equal(harness.submit(jobSpec("j-2", { team: "nobody" }))?.kind, "unsatisfiable");
+  assert.equal(
+    harness.submit(jobSpec("j-3", { need: { cpu: 99_000, gpu: 0, ram: 0 } }))?.kind,
+    "unsatisfiable",
+  );
+  assert.equal(
+    harness.submit(jobSpec("j-4", { shape: "gang", tasks: 25 }))?.kind,
+    "unsatisfiable",
+    "more than the team's limit",
+  );
+  assert.equal(
+    harness.submit(jobSpec("j-6", { tasks: 25 }))?.kind,
+    "accepted",
+    "an array needs room for one task",
+  );
+});
+
+test("what a submission may name: accepted jobs that are no services; repeats count once", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.submit(jobSpec("j-1"));
+  harness.submit(jobSpec("j-2", { shape: "service" }));
+  harness.submit(jobSpec("j-3"));
+  harness.cancel("j-3");
+
+  assert.equal(harness.submit(jobSpec("j-4", { awaits: ["j-9"] }))?.kind, "unsatisfiable", "never accepted");
+  assert.equal(harness.submit(jobSpec("j-5", { awaits: ["j-5"] }))?.kind, "unsatisfiable", "itself");
+  assert.equal(
+    harness.submit(jobSpec("j-6", { awaits: ["j-1", "j-2"] }))?.kind,
+    "unsatisfiable",
+    "a service",
+  );
+
+  harness.cancel("j-2");
+  harness.advance(2000);
+  const otherNode = new ControllerHarness("n1", harness.store);
+  otherNode.advance(300);
+
+  assert.equal(
+    otherNode.submit(jobSpec("j-6", { awaits: ["j-2"] }))?.kind,
+    "unsatisfiable",
+    "a service that is over, on another node",
+  );
+  assert.equal(phaseOf(otherNode.submit(jobSpec("j-7", { awaits: ["j-3"] }))), "cancelled");
+
+  otherNode.storeRule = (call) => (call.kind === "get" && call.key === "j/j-1" ? STORE_OUTAGE : null);
+  assert.equal(
+    otherNode.submit(jobSpec("j-8", { awaits: ["j-1"] }))?.kind,
+    "unavailable",
+    "can't be known now",
+  );
+
+  otherNode.storeRule = null;
+  assert.equal(otherNode.submit(jobSpec("j-8", { awaits: ["j-1"] }))?.kind, "accepted");
+
+  const repeatedSubmission = otherNode.submit(jobSpec("j-8", { awaits: ["j-9", "j-8", "j-2"] }));
+  assert.deepEqual(
+    [repeatedSubmission?.kind, phaseOf(repeatedSubmission)],
+    ["accepted", "queued"],
+    "known, whatever it names",
+  );
+});
+
+test("awaits: null, absent or empty is none; anything but a list of a hundred well-formed ids is refused", () => {
+  const body = {
+    uid: "j-1",
+    jobclass: "work",
+    crew: "red",
+    shape: "sweep",
+    rank: "idle",
+    pieces: 1,
+    cpus: 1,
+    gpus: 0,
+    ram_gb: 1,
+    same_place: false,
+    apart: false,
+    loaners: false,
+    bundle: "img",
+    size_gb: 1,
+    guess_s: 1,
+    snapshot_s: 0,
+    stow_s: 0,
+  };
+  const parse = (awaits: unknown) => decodeJobSubmission({ ...body, awaits }).spec;
+  const dependenciesOf = (awaits: unknown) => {
+    const spec = parse(awaits);
+    assert.ok(typeof spec !== "string", String(spec));
+    return spec.awaits;
+  };
+
+  assert.equal(dependenciesOf(undefined), undefined);
+  assert.equal(dependenciesOf(null), undefined);
+  assert.equal(dependenciesOf([]), undefined);
+  assert.deepEqual(dependenciesOf(["j-000398", "j-000405", "j-000398"]), ["j-000398", "j-000405"]);
+
+  const tooMany = Array.from({ length: 101 }, (_, i) => `j-${i}`);
+  for (const invalid of ["j-1", 7, {}, ["x-1"], [null], [["j-1"]], ["j-"], tooMany])
+    assert.match(String(parse(invalid)), /^awaits/, JSON.stringify(invalid));
+});
+
+test("while a node of the version before is heard, a job that waits for others is refused for now", () => {
+  const harness = new ControllerHarness().becomeLeader();
+  harness.submit(jobSpec("j-1"));
+  const { protocol: _, ...oldHeartbeat } = NEW_PEER_HEARTBEAT;
+  const receive = (message: PeerMessage) => harness.handle({ kind: "peerMessage", from: "n1", message });
+  receive(oldHeartbeat);
+
+  assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "unavailable");
+  assert.equal(harness.submit(jobSpec("j-3"))?.kind, "accepted", "all else goes on");
+
+  receive(NEW_PEER_HEARTBEAT);
+  assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "accepted");
+
+  receive(oldHeartbeat);
+  assert.equal(
+    phaseOf(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))),
+    "queued",
+    "a repeat is never refused",
+  );
+
+  // A node that is down or partitioned does not block dependent jobs for ever.
+  harness.advance(16_000);
+  assert.equal(harness.submit(jobSpec("j-4", { awaits: ["j-1"] }))?.kind, "accepted");
+});
--- /dev/null
+++ b/test/support/admission-cluster.ts
@@ -0,0 +1,123 @@
+/** Fair admission on three nodes, without the rest of the controller. */
+
+import assert from "node:assert/strict";
+import { Admission } from "../../src/admission/admission.js";
+import type { AdmissionNote } from "../../src/admission/messages.js";
+import { defaultOperator, type OperatorSettings } from "../../src/config/operator.js";
+import { Context } from "../../src/core/context.js";
+import { NameRegistry } from "../../src/core/model/interner.js";
+import { seededRandom } from "../../src/core/random.js";
+import { deployment, NODES } from "./deployment.js";
+
+/** Between two heartbeats of a node. */
+export const HEARTBEAT_MS = 1000;
+
+/** One node with its clock and the heartbeats on their way to it. */
+export interface AdmissionNode {
+  readonly name: string;
+  readonly ctx: Context;
+  admission: Admission;
+  /** The rate of its monotonic clock: above 1 it runs fast. */
+  readonly drift: number;
+  readonly inbox: { readonly from: string; readonly note: AdmissionNote | undefined; readonly at: number }[];
+}
+
+export type NodeName = (typeof NODES)[number];
+
+/** Three nodes with clocks of their own, one of which issues permit leases. Heartbeats can be lost or delayed. */
+export class AdmissionCluster {
+  now = 0;
+  leader: NodeName | null = "n0";
+  token = 1;
+  readonly openJobs = new Map<string, number>();
+  readonly nodes: AdmissionNode[];
+  /** Nodes that are partitioned from all others. */
+  readonly cut = new Set<string>();
+  /** Nodes of a version without fair admission. */
+  readonly old = new Set<string>();
+  readonly #settings: OperatorSettings;
+  #processes = 0;
+  #uid = 0;
+  readonly #refused: { readonly uid: string; readonly team: string; readonly at: number }[] = [];
+
+  constructor(settings: Partial<OperatorSettings> = {}, teams = deployment("n0").teams) {
+    this.#settings = { ...defaultOperator, ...settings };
+    this.nodes = NODES.map((name, i) => {
+      const ctx = new Context({ ...deployment(name), teams }, new NameRegistry(), seededRandom(1), 0);
+      ctx.settings = this.#settings;
+      const drift = 1 + (i - 1) * 0.0005;
+      return { name, ctx, admission: new Admission(ctx, `p${this.#processes++}`), drift, inbox: [] };
+    });
+  }
+
+  node(name: string): AdmissionNode {
+    const node = this.nodes.find((one) => one.name === name);
+    assert.ok(node);
+    return node;
+  }
+
+  restart(name: string): void {
+    const node = this.node(name);
+    node.admission = new Admission(node.ctx, `p${this.#processes++}`);
+    node.inbox.length = 0;
+  }
+
+  /** Each node sends one heartbeat, 100 ms apart; they arrive after `delayMs`, or never where it is null. */
+  beat(delayMs: (from: string, to: string) => number | null = () => 5): void {
+    for (const node of this.nodes) {
+      this.advance(HEARTBEAT_MS / 10);
+      const isLeader = node.name === this.leader && !this.cut.has(node.name);
+      const token = isLeader && !this.old.has(node.name) ? this.token : null;
+      node.admission.tick(this.leader, token, { openJobs: () => this.openJobs });
+      for (const other of this.nodes) {
+        if (other === node || this.cut.has(node.name) || this.cut.has(other.name)) continue;
+        const delay = delayMs(node.name, other.name);
+        if (delay === null) continue;
+        const note = this.old.has(node.name) ? undefined : node.admission.noteFor(other.name);
+        other.inbox.push({ from: node.name, note, at: this.now + delay });
+      }
+    }
+    this.advance(HEARTBEAT_MS - (HEARTBEAT_MS / 10) * this.nodes.length);
+  }
+
+  beats(count: number): void {
+    for (let i = 0; i < count; i++) this.beat();
+  }
+
+  advance(ms: number): void {
+    this.now += ms;
+    for (const node of this.nodes) {
+      node.ctx.now = this.now * node.drift;
+      const due = node.inbox.filter(({ at }) => at <= this.now);
+      node.inbox.splice(0, node.inbox.length, ...node.inbox.filter(({ at }) => at > this.now));
+      if (this.old.has(node.name)) continue;
+      for (const { from, note } of due) node.admission.heard(from, note);
+    }
+  }
+
+  /** Submits `count` jobs of a team to one node, retries that are due first. Returns how many are accepted. */
+  submit(name: string, team: string, count: number): number {
+    let taken = 0;
+    for (let i = 0; i < count; i++) {
+      const uid = this.#returning(team) ?? `j-${++this.#uid}`;
+      const decision = this.node(name).admission.decide(uid, team);
+      if (decision.kind === "take") taken++;
+      else this.#refused.push({ uid, team, at: this.now + decision.afterS * 1000 });
+    }
+    this.openJobs.set(team, (this.openJobs.get(team) ?? 0) + taken);
+    return taken;
+  }
+
+  #returning(team: string): string | undefined {
+    const next = this.#refused.findIndex((one) => one.team === team && one.at <= this.now);
+    return next < 0 ? undefined : this.#refused.splice(next, 1)[0]?.uid;
+  }
+}
+
+/** A single team, so that no permits are kept for first submissions of others. */
+export const RED_ONLY = deployment("n0").teams.slice(0, 1);
+
+/** How many permits of a team a node may still spend. */
+export function availablePermits(node: AdmissionNode, team: string): number {
+  return node.admission.report().teams.find(({ name }) => name === team)?.available ?? 0;
+}
--- /dev/null
+++ b/test/support/production-store.ts
@@ -0,0 +1,19 @@
+/** Records of the version that is in production. */
+
+import { readFileSync } from "node:fs";
+import type { StoreEntry } from "../../src/core/messages/store.js";
+import { FakeStore } from "./fake-store.js";
+
+export const FIXTURE = new URL("../../../../test/fixtures/production-state.json", import.meta.url);
+
+/** A store with records that production's own code wrote, exported at the commit that deploy/service.toml names. */
+export function productionStore(): FakeStore {
+  const { items, revision } = JSON.parse(readFileSync(FIXTURE, "utf8")) as {
+    items: StoreEntry[];
+    revision: number;
+  };
+  const store = new FakeStore();
+  for (const item of items) store.entries.set(item.key, item);
+  store.revision = revision;
+  return store;
+}
