--- a/src/core/election/election.ts
+++ b/src/core/election/election.ts
@@ -14,7 +14,7 @@
 const STEPPED_DOWN_BACKOFF_MS = 500;
 const LOST_BACKOFF_MIN_MS = 200;
 const LOST_BACKOFF_MAX_MS = 600;
-/** Candidates start at random times within so long after the leader key is gone. */
+/** Nodes campaign at random times within so long after the leader key was removed, so as not to collide. */
 const CAMPAIGN_JITTER_MS = 150;
 
 /**
--- a/src/core/election/leader-lease.ts
+++ b/src/core/election/leader-lease.ts
@@ -33,7 +33,7 @@
   onSteppedDown(reason: string): void;
   /** True while starts are recorded but not yet acknowledged: advancing the fencing token would make them begin anew. */
   hasStartsInFlight(): boolean;
-  /** How long this node defers to better candidates once the leader key is gone, in milliseconds. */
+  /** How long this node defers to better candidates once the leader key is removed, in milliseconds. */
   campaignDelayMs(): number;
   /** The leader key was removed, as far as this node knows. */
   onLeaderKeyRemoved(): void;
--- a/src/core/election/lease-renewal-policy.ts
+++ b/src/core/election/lease-renewal-policy.ts
@@ -9,7 +9,7 @@
 const MIN_STALENESS_BOUND_MS = 2000;
 /** What an agent may need to terminate its tasks when its lease expires, and a user's answer to arrive early. */
 const CANCEL_MARGIN_MS = 2500;
-/** The same as a bound on the grace period, in seconds and rounded up. */
+/** That margin in whole seconds, as the bound on the grace period reckons with it. */
 const GRACE_MARGIN_S = 3;
 
 /** What the renewal policy depends on beside the settings. */
