--- a/test/model/store-network.ts
+++ b/test/model/store-network.ts
@@ -1,5 +1,5 @@
 import type { Effect } from "../../src/core/messages/effects.js";
-import type { StoreRequest, StoreResponse } from "../../src/core/messages/store.js";
+import type { StoreRequest, StoreResponse, WatchRequest } from "../../src/core/messages/store.js";
 import type { FakeStore } from "../support/fake-store.js";
 import type { ControllerNode, Controllers } from "./controllers.js";
 import { RequestMeter } from "./request-meter.js";
@@ -9,7 +9,6 @@
 const WATCH_STEP_MS = 20;
 
 type StoreCall = Extract<Effect, { kind: "callStore" }>;
-type WatchRequest = Extract<StoreRequest, { kind: "watch" }>;
 type CallRequest = Exclude<StoreRequest, WatchRequest>;
 /** Answers a call after a while. */
 type Respond = (delayMs: number, response: StoreResponse) => void;
--- a/test/support/fake-store.ts
+++ b/test/support/fake-store.ts
@@ -1,128 +1,184 @@
-import type { StoreEntry, StoreRequest, StoreResponse } from "../../src/core/messages/store.js";
+import type {
+  StoreEntry,
+  StoreRequest,
+  StoreResponse,
+  TransactionRequest,
+  WatchRequest,
+} from "../../src/core/messages/store.js";
 
+/** What a store takes: beyond it requests are refused. */
 export interface Limits {
   readonly valueBytes: number;
   readonly txnOps: number;
+  /** Changes a second; a second's worth may come at once. */
   readonly writeRps: number;
 }
 
-const CONDITIONS = 4;
-const TXN_BYTES = 64 * 1024;
-/** The most items in one page of a list; a test may set another. */
-const PAGE = 20;
+type ListRequest = Extract<StoreRequest, { kind: "list" }>;
 
-/** A stand-in for the state service, in memory and in virtual time. */
+interface Lease {
+  expiresAt: number;
+  readonly ttlMs: number;
+}
+
+/** A change of a key; the entry is null where the key was removed. */
+interface LogEntry {
+  readonly key: string;
+  readonly entry: StoreEntry | null;
+  readonly revision: number;
+}
+
+/** So many conditions may a transaction have for each change that it may have. */
+const CONDITIONS_PER_CHANGE = 4;
+const MAX_TRANSACTION_BYTES = 64 * 1024;
+const PAGE_SIZE = 20;
+
+/** A stand-in for the key-value store, in memory and in virtual time. */
 export class FakeStore {
   readonly entries = new Map<string, StoreEntry>();
-  readonly leases = new Map<number, { until: number; lifeMs: number }>();
-  readonly #owned = new Map<string, number>();
-  readonly log: { key: string; item: StoreEntry | null; revision: number }[] = [];
+  /** All changes, in the order of their revisions. */
+  readonly log: LogEntry[] = [];
   revision = 0;
+  /** Leases expire only when the outage is over. The caller refuses calls until then. */
   outageUntil = 0;
-  pageSize = PAGE;
+  /** The most entries in one page of a list; a test may set another. */
+  pageSize = PAGE_SIZE;
   /** None until a test sets some. */
   limits: Limits | null = null;
   /** Transactions refused for what was in them, and for the rate of changes. */
   invalid = 0;
   throttled = 0;
-  /** Told of every record that is written. */
+  /** Changes up to this revision are no longer kept. */
+  compactedThrough = 0;
+  /** Called with every record that is written. */
   onWrite: ((key: string, value: unknown) => void) | null = null;
+  readonly #leases = new Map<number, Lease>();
+  /** The lease that each key goes with, if any. */
+  readonly #leaseOfKey = new Map<string, number>();
   #changesLeft = 0;
-  #changesAt = 0;
-  #nextGrant = 1;
+  #changesLeftAt = 0;
+  #nextLease = 1;
 
+  /** Revokes the leases whose time is over. */
   expire(now: number): void {
     if (now < this.outageUntil) return;
-    for (const [grant, { until }] of this.leases) if (until <= now) this.revoke(grant);
+    for (const [leaseId, { expiresAt }] of this.#leases) if (expiresAt <= now) this.revoke(leaseId);
   }
 
+  /** After an outage every lease begins anew. */
   endOutage(now: number): void {
-    for (const grant of this.leases.values()) grant.until = now + grant.lifeMs;
-  }
-
-  revoke(grant: number): void {
-    this.leases.delete(grant);
-    for (const [key, owner] of this.#owned) if (owner === grant) this.#remove(key, ++this.revision);
+    for (const lease of this.#leases.values()) lease.expiresAt = now + lease.ttlMs;
   }
 
-  #remove(key: string, revision: number): void {
-    this.entries.delete(key);
-    this.#owned.delete(key);
-    this.log.push({ key, item: null, revision });
+  /** Ends a lease; the keys that go with it are removed. */
+  revoke(leaseId: number): void {
+    this.#leases.delete(leaseId);
+    for (const [key, owner] of this.#leaseOfKey) if (owner === leaseId) this.#remove(key, ++this.revision);
   }
 
-  run(call: Exclude<StoreRequest, { kind: "watch" }>, now: number): StoreResponse {
-    switch (call.kind) {
+  /** Carries out a call. */
+  run(request: Exclude<StoreRequest, WatchRequest>, now: number): StoreResponse {
+    switch (request.kind) {
       case "get": {
-        const item = this.entries.get(call.key);
-        return item ? { kind: "found", entry: structuredClone(item) } : { kind: "notFound" };
-      }
-      case "list": {
-        const keys = [...this.entries.keys()].filter((k) => k.startsWith(call.prefix)).sort();
-        const from = call.after === null ? keys : keys.filter((k) => k > (call.after ?? ""));
-        const items = from.slice(0, this.pageSize).flatMap((key) => this.entries.get(key) ?? []);
-        const more = from.length > this.pageSize;
-        return { kind: "page", entries: structuredClone(items), more, revision: this.revision };
+        const entry = this.entries.get(request.key);
+        return entry ? { kind: "found", entry: structuredClone(entry) } : { kind: "notFound" };
       }
+      case "list":
+        return this.#list(request);
       case "grantLease": {
-        const grant = this.#nextGrant++;
-        this.leases.set(grant, { until: now + call.ttlMs, lifeMs: call.ttlMs });
-        return { kind: "leaseGranted", leaseId: grant };
+        const leaseId = this.#nextLease++;
+        this.#leases.set(leaseId, { expiresAt: now + request.ttlMs, ttlMs: request.ttlMs });
+        return { kind: "leaseGranted", leaseId };
       }
       case "renewLease": {
-        const grant = this.leases.get(call.leaseId);
-        if (!grant) return { kind: "notFound" };
-        grant.until = now + grant.lifeMs;
+        const lease = this.#leases.get(request.leaseId);
+        if (!lease) return { kind: "notFound" };
+        lease.expiresAt = now + lease.ttlMs;
         return { kind: "ok", revision: this.revision };
       }
       case "revokeLease":
-        this.revoke(call.leaseId);
+        this.revoke(request.leaseId);
         return { kind: "ok", revision: this.revision };
-      case "transaction": {
-        const beyond = this.#beyondLimits(call, now);
-        if (beyond) return beyond;
-        const failed = call.conditions.filter((c) => (this.entries.get(c.key)?.version ?? 0) !== c.version);
-        if (failed.length > 0) return { kind: "conflict", failed: failed.map((c) => c.key) };
-        for (const change of call.changes) {
-          if ("put" in change && change.leaseId !== undefined && !this.leases.has(change.leaseId)) {
-            return { kind: "invalid", reason: "no such lease" };
-          }
-        }
-        const revision = ++this.revision;
-        for (const change of call.changes) {
-          if ("remove" in change) {
-            if (this.entries.has(change.remove)) this.#remove(change.remove, revision);
-            continue;
-          }
-          const item = { key: change.put, value: structuredClone(change.value), version: revision };
-          this.entries.set(change.put, item);
-          this.onWrite?.(item.key, item.value);
-          if (change.leaseId === undefined) this.#owned.delete(change.put);
-          else this.#owned.set(change.put, change.leaseId);
-          this.log.push({ key: change.put, item, revision });
-        }
-        return { kind: "ok", revision };
-      }
+      case "transaction":
+        return this.#runTransaction(request, now);
+    }
+  }
+
+  /** What has changed under a prefix after a revision; null if nothing has. */
+  changesSince(prefix: string, after: number): StoreResponse | null {
+    if (after < this.compactedThrough) return { kind: "compacted" };
+    const changes = this.log.slice(this.#firstAfter(after)).filter(({ key }) => key.startsWith(prefix));
+    if (changes.length === 0) return null;
+    return {
+      kind: "events",
+      revision: this.revision,
+      events: changes.map(({ key, entry, revision }) =>
+        entry ? { kind: "put", entry: structuredClone(entry) } : { kind: "removed", key, version: revision },
+      ),
+    };
+  }
+
+  #list({ prefix, after }: ListRequest): StoreResponse {
+    const keys = [...this.entries.keys()].filter((key) => key.startsWith(prefix)).sort();
+    const rest = after === null ? keys : keys.filter((key) => key > after);
+    const entries = rest.slice(0, this.pageSize).flatMap((key) => this.entries.get(key) ?? []);
+    const more = rest.length > this.pageSize;
+    return { kind: "page", entries: structuredClone(entries), more, revision: this.revision };
+  }
+
+  #runTransaction(request: TransactionRequest, now: number): StoreResponse {
+    const refusal = this.#refusal(request, now);
+    if (refusal) return refusal;
+    const failed = request.conditions
+      .filter(({ key, version }) => (this.entries.get(key)?.version ?? 0) !== version)
+      .map(({ key }) => key);
+    if (failed.length > 0) return { kind: "conflict", failed };
+    for (const change of request.changes) {
+      if ("put" in change && change.leaseId !== undefined && !this.#leases.has(change.leaseId))
+        return { kind: "invalid", reason: "no such lease" };
+    }
+    const revision = ++this.revision;
+    for (const change of request.changes) {
+      if ("put" in change) this.#put(change.put, change.value, change.leaseId, revision);
+      else if (this.entries.has(change.remove)) this.#remove(change.remove, revision);
     }
+    return { kind: "ok", revision };
+  }
+
+  #put(key: string, value: unknown, leaseId: number | undefined, revision: number): void {
+    const entry = { key, value: structuredClone(value), version: revision };
+    this.entries.set(key, entry);
+    this.onWrite?.(key, entry.value);
+    if (leaseId === undefined) this.#leaseOfKey.delete(key);
+    else this.#leaseOfKey.set(key, leaseId);
+    this.log.push({ key, entry, revision });
+  }
+
+  #remove(key: string, revision: number): void {
+    this.entries.delete(key);
+    this.#leaseOfKey.delete(key);
+    this.log.push({ key, entry: null, revision });
   }
 
-  #beyondLimits(call: Extract<StoreRequest, { kind: "transaction" }>, now: number): StoreResponse | null {
+  /** The refusal of a transaction that is beyond the limits; null if it is within, and its changes are counted. */
+  #refusal(request: TransactionRequest, now: number): StoreResponse | null {
     if (!this.limits) return null;
     const { valueBytes, txnOps, writeRps } = this.limits;
-    const bytes = (value: unknown) => Buffer.byteLength(JSON.stringify(value));
-    const large = call.changes.some((change) => "put" in change && bytes(change.value) > valueBytes);
-    const many = call.changes.length > txnOps || call.conditions.length > CONDITIONS * txnOps;
-    if (large || many || bytes(call) > TXN_BYTES) {
+    const { changes, conditions } = request;
+    const isValueTooLarge = changes.some((change) => "put" in change && jsonBytes(change.value) > valueBytes);
+    const isTooLong = changes.length > txnOps || conditions.length > CONDITIONS_PER_CHANGE * txnOps;
+    if (isValueTooLarge || isTooLong || jsonBytes(request) > MAX_TRANSACTION_BYTES) {
       this.invalid++;
-      return { kind: "invalid", reason: large ? "value too large" : "too many operations" };
+      return { kind: "invalid", reason: isValueTooLarge ? "value too large" : "too many operations" };
     }
-    this.#changesLeft = Math.min(writeRps, this.#changesLeft + ((now - this.#changesAt) * writeRps) / 1000);
-    this.#changesAt = now;
-    if (call.changes.length > this.#changesLeft) {
+    const refilled = ((now - this.#changesLeftAt) * writeRps) / 1000;
+    this.#changesLeft = Math.min(writeRps, this.#changesLeft + refilled);
+    this.#changesLeftAt = now;
+    if (changes.length > this.#changesLeft) {
       this.throttled++;
       return { kind: "throttled" };
     }
-    this.#changesLeft -= call.changes.length;
+    this.#changesLeft -= changes.length;
     return null;
   }
 
@@ -136,22 +192,8 @@
     }
     return low;
   }
+}
 
-  /** Changes up to this revision are no longer kept. */
-  compactedThrough = 0;
-
-  changesSince(prefix: string, after: number): StoreResponse | null {
-    if (after < this.compactedThrough) return { kind: "compacted" };
-    const found = this.log.slice(this.#firstAfter(after)).filter((e) => e.key.startsWith(prefix));
-    if (found.length === 0) return null;
-    return {
-      kind: "events",
-      revision: this.revision,
-      events: found.map((e) =>
-        e.item
-          ? { kind: "put", entry: structuredClone(e.item) }
-          : { kind: "removed", key: e.key, version: e.revision },
-      ),
-    };
-  }
+function jsonBytes(value: unknown): number {
+  return Buffer.byteLength(JSON.stringify(value));
 }
--- a/test/support/scripted-agents.ts
+++ b/test/support/scripted-agents.ts
@@ -1,53 +1,62 @@
 import assert from "node:assert/strict";
-import type { ControllerHarness, TaskStatus } from "./controller-harness.js";
+import type { Heartbeat } from "../../src/core/messages/agents.js";
+import type { ControllerHarness, SentCommands, TaskStatus } from "./controller-harness.js";
 
-/** Workers that do at once what they are told, by machine: what each reports. */
+/** The tasks that each machine's agent reports. */
+export type TasksByMachine = Map<string, TaskStatus[]>;
+/** Fields of heartbeats, by machine, that differ from those of a small on-demand machine. */
+export type HeartbeatOverrides = Record<string, Partial<Heartbeat>>;
 
+/** So many rounds of commands, answers and a tick are enough for what a controller decides to settle. */
+const ROUNDS = 12;
+
+/** Agents carry out at once what they are sent, and report it. */
 export function carryOutCommands(
-  b: ControllerHarness,
-  held: Map<string, TaskStatus[]>,
-  more: Record<string, object> = {},
+  harness: ControllerHarness,
+  tasksByMachine: TasksByMachine,
+  overrides: HeartbeatOverrides = {},
 ): void {
-  for (let round = 0; round < 12; round++) {
-    for (const { machine, commands: orders } of b.sentCommands.splice(0)) {
-      const list = held.get(machine) ?? [];
-      for (const o of orders) {
-        const at = list.findIndex((s) => s.uid === o.uid && s.task === o.task && s.attempt === o.attempt);
-        if (o.kind === "start" && at < 0)
-          list.push({ uid: o.uid, task: o.task, attempt: o.attempt, state: "running" });
-        if (o.kind === "stop" && at >= 0)
-          list[at] = { ...(list[at] as TaskStatus), state: "ended", cause: "stopped" };
-      }
-      held.set(machine, list);
-    }
-    for (const name of held.keys()) b.replyToCommands(name, held.get(name) ?? [], more[name] ?? {});
-    b.advance(100);
+  for (let round = 0; round < ROUNDS; round++) {
+    for (const batch of harness.sentCommands.splice(0)) carryOutBatch(tasksByMachine, batch);
+    for (const machine of tasksByMachine.keys())
+      harness.replyToCommands(machine, tasksByMachine.get(machine) ?? [], overrides[machine] ?? {});
+    harness.advance(100);
   }
 }
 
+/** All agents send a heartbeat each second, and carry out what they are sent meanwhile. */
 export function sendHeartbeatsFor(
-  b: ControllerHarness,
-  held: Map<string, TaskStatus[]>,
-  more: Record<string, object>,
+  harness: ControllerHarness,
+  tasksByMachine: TasksByMachine,
+  overrides: HeartbeatOverrides,
   seconds: number,
 ): void {
-  for (let s = 0; s < seconds; s++) {
-    for (const name of held.keys()) b.sendHeartbeat(name, held.get(name) ?? [], more[name] ?? {});
-    b.advance(1000);
-    settleOnce(b, held, more);
+  for (let second = 0; second < seconds; second++) {
+    for (const machine of tasksByMachine.keys())
+      harness.sendHeartbeat(machine, tasksByMachine.get(machine) ?? [], overrides[machine] ?? {});
+    harness.advance(1000);
+    const before = harness.now;
+    carryOutCommands(harness, tasksByMachine, overrides);
+    assert.ok(harness.now >= before);
   }
 }
 
-function settleOnce(
-  b: ControllerHarness,
-  held: Map<string, TaskStatus[]>,
-  more: Record<string, object>,
-): void {
-  const before = b.now;
-  carryOutCommands(b, held, more);
-  assert.ok(b.now >= before);
+/** The tasks on a machine that have not ended, of one job if it is named. */
+export function liveTasks(tasksByMachine: TasksByMachine, machine: string, uid?: string): TaskStatus[] {
+  return (tasksByMachine.get(machine) ?? []).filter(
+    (task) => task.state !== "ended" && (uid === undefined || task.uid === uid),
+  );
 }
 
-export function liveTasks(held: Map<string, TaskStatus[]>, name: string, uid?: string): TaskStatus[] {
-  return (held.get(name) ?? []).filter((s) => s.state !== "ended" && (uid === undefined || s.uid === uid));
+function carryOutBatch(tasksByMachine: TasksByMachine, { machine, commands }: SentCommands): void {
+  const tasks = tasksByMachine.get(machine) ?? [];
+  for (const { kind, uid, task, attempt } of commands) {
+    const index = tasks.findIndex(
+      (known) => known.uid === uid && known.task === task && known.attempt === attempt,
+    );
+    const known = tasks[index];
+    if (kind === "start" && !known) tasks.push({ uid, task, attempt, state: "running" });
+    if (kind === "stop" && known) tasks[index] = { ...known, state: "ended", cause: "stopped" };
+  }
+  tasksByMachine.set(machine, tasks);
 }
--- a/test/support/scripted-store.ts
+++ b/test/support/scripted-store.ts
@@ -1,4 +1,4 @@
-import type { StoreRequest, StoreResponse } from "../../src/core/messages/store.js";
+import type { StoreRequest, StoreResponse, WatchRequest } from "../../src/core/messages/store.js";
 import type { FakeStore } from "./fake-store.js";
 
 /** What becomes of a call: a response of the test's choice, none at all, or, for null, that of the store. */
@@ -15,7 +15,7 @@
 
 interface OpenWatch {
   readonly id: number;
-  readonly request: Extract<StoreRequest, { kind: "watch" }>;
+  readonly request: WatchRequest;
   readonly openedAt: number;
 }
 
