--- a/test/fleet-size.test.ts
+++ b/test/fleet-size.test.ts
@@ -63,7 +63,7 @@
   // Written at four fifths of 100 changes a second, a record of 2 KiB for each 32 tasks.
   const placedMs = playUntilPlaced(cluster, tasks, 30_000 + (tasks / 32) * 25);
   assert.equal(cluster.runningTasks.size, tasks, `placed in ${placedMs} ms`);
-  assert.deepEqual(cluster.agentLeases.expired, [], "in the cold start");
+  assert.deepEqual(cluster.agents.leases.expired, [], "in the cold start");
 
   cluster.controllers.crash(leaderOf(cluster), 4000);
   cluster.run(cluster.now + 2 * LEASE_MS);
@@ -72,13 +72,13 @@
   cluster.run(cluster.now + 2 * LEASE_MS);
   assert.equal(countUnfenced(cluster), 0, "after the restart of all");
   assert.deepEqual(
-    cluster.agentLeases.expired,
+    cluster.agents.leases.expired,
     [],
     "no lease expired of an agent that could send heartbeats",
   );
-  assert.equal(cluster.agentTasks.stops, 0, "nothing was stopped");
+  assert.equal(cluster.agents.tasks.stops, 0, "nothing was stopped");
   assert.equal(cluster.runningTasks.size, tasks);
-  const starts = cluster.agentTasks.starts;
+  const starts = cluster.agents.tasks.starts;
   assert.equal(starts, tasks, "nothing was started twice");
 
   const inZone = [...cluster.machines.values()].filter(({ alive, zone }) => alive && zone === "a");
@@ -87,12 +87,12 @@
   cluster.run(cluster.now + 4 * LEASE_MS);
   const namesInZone = inZone.map(({ name }) => name).sort();
   assert.deepEqual(
-    cluster.agentLeases.expired.map(({ machine }) => machine).sort(),
+    cluster.agents.leases.expired.map(({ machine }) => machine).sort(),
     namesInZone,
     "in that zone alone, once each",
   );
-  const restarts = cluster.agentTasks.starts - starts;
-  const ended = cutTasks + cluster.agentTasks.stops;
+  const restarts = cluster.agents.tasks.starts - starts;
+  const ended = cutTasks + cluster.agents.tasks.stops;
   assert.ok(restarts <= ended, `${restarts} starts for ${ended} tasks that were lost or made room`);
   playUntilPlaced(cluster, tasks, 30_000 + (tasks / 32) * 25);
   assert.equal(cluster.runningTasks.size, tasks, "all of it is");
--- a/test/model/agents.ts
+++ b/test/model/agents.ts
@@ -1,35 +1,51 @@
-import type { AgentLeases } from "./agent-leases.js";
-import type { AgentNetwork } from "./agent-network.js";
-import type { AgentTasks } from "./agent-tasks.js";
+import { AgentLeases } from "./agent-leases.js";
+import { AgentNetwork } from "./agent-network.js";
+import { AgentTasks } from "./agent-tasks.js";
+import type { Controllers } from "./controllers.js";
+import type { SubmittedJobs } from "./jobs.js";
 import { isHung, type SimulatedMachine } from "./machines.js";
+import type { RuleChecks } from "./rule-checks.js";
 import type { RunningTasks } from "./running-tasks.js";
 import type { Simulation } from "./simulation.js";
+import type { Trouble } from "./trouble.js";
 
 const STEP_MS = 100;
 
 /** What the agents are built from. */
 export interface AgentsOptions {
   readonly simulation: Simulation;
+  readonly controllers: Controllers;
+  readonly machines: ReadonlyMap<string, SimulatedMachine>;
+  readonly jobs: SubmittedJobs;
   readonly runningTasks: RunningTasks;
-  readonly leases: AgentLeases;
-  readonly tasks: AgentTasks;
-  readonly network: AgentNetwork;
+  readonly rules: RuleChecks;
+  readonly trouble: Trouble;
+  /** Called when the last task of a job is done. */
+  readonly onJobFinished: (uid: string) => void;
 }
 
-/** The agents on the machines, from boot to termination. */
+/** The agents on the machines, from boot to termination: their leases, their tasks, and what they say and hear. */
 export class Agents {
+  readonly leases: AgentLeases;
+  readonly tasks: AgentTasks;
+  readonly network: AgentNetwork;
   readonly #simulation: Simulation;
   readonly #runningTasks: RunningTasks;
-  readonly #leases: AgentLeases;
-  readonly #tasks: AgentTasks;
-  readonly #network: AgentNetwork;
 
-  constructor({ simulation, runningTasks, leases, tasks, network }: AgentsOptions) {
+  constructor(options: AgentsOptions) {
+    const { simulation, controllers, machines, runningTasks, trouble } = options;
     this.#simulation = simulation;
     this.#runningTasks = runningTasks;
-    this.#leases = leases;
-    this.#tasks = tasks;
-    this.#network = network;
+    this.leases = new AgentLeases(simulation, runningTasks);
+    this.tasks = new AgentTasks({ ...options, errorRate: trouble.taskError });
+    this.network = new AgentNetwork({
+      simulation,
+      controllers,
+      machines,
+      leases: this.leases,
+      tasks: this.tasks,
+      duplicateRate: trouble.lateDuplicates,
+    });
   }
 
   /** Starts the agent of a machine that has booted. */
@@ -49,10 +65,10 @@
   }
 
   #step(machine: SimulatedMachine): void {
-    this.#leases.expireIfDue(machine);
+    this.leases.expireIfDue(machine);
     if (isHung(machine, this.#simulation.now)) return;
-    this.#tasks.step(machine);
+    this.tasks.step(machine);
     const isHeartbeatDue = this.#simulation.now >= machine.nextHeartbeatAt;
-    if (isHeartbeatDue && machine.pendingHeartbeat === 0) this.#network.sendHeartbeat(machine);
+    if (isHeartbeatDue && machine.pendingHeartbeat === 0) this.network.sendHeartbeat(machine);
   }
 }
--- a/test/model/compound-faults.ts
+++ b/test/model/compound-faults.ts
@@ -1,4 +1,4 @@
-import type { AgentNetwork } from "./agent-network.js";
+import type { Agents } from "./agents.js";
 import type { ControllerNode, Controllers } from "./controllers.js";
 import type { SubmittedJobs } from "./jobs.js";
 import type { SimulatedMachine } from "./machines.js";
@@ -13,7 +13,7 @@
   readonly machines: ReadonlyMap<string, SimulatedMachine>;
   readonly jobs: SubmittedJobs;
   readonly store: StoreNetwork;
-  readonly agentNetwork: AgentNetwork;
+  readonly agents: Agents;
   readonly users: Users;
 }
 
@@ -120,14 +120,14 @@
   }
 
   #networkFaults(forMs: number): Fault[] {
-    const { store, agentNetwork } = this.#targets;
+    const { store, agents } = this.#targets;
     const until = this.#simulation.now + forMs;
     return [
       () => {
         store.lateTransactionsUntil = until;
       },
       () => {
-        agentNetwork.manyDuplicatesUntil = until;
+        agents.network.manyDuplicatesUntil = until;
       },
       () => {
         store.slowUntil = until;
--- a/test/model/faults.ts
+++ b/test/model/faults.ts
@@ -10,7 +10,6 @@
 /** What the faults are built from. */
 export interface FaultsOptions extends FaultTargets {
   readonly trouble: Trouble;
-  readonly agents: Agents;
 }
 
 /** The faults of a run, drawn at random at the rates of its trouble. */
@@ -22,12 +21,12 @@
   readonly #agents: Agents;
   readonly #compound: CompoundFaults;
 
-  constructor({ trouble, agents, ...targets }: FaultsOptions) {
+  constructor({ trouble, ...targets }: FaultsOptions) {
     this.#trouble = trouble;
     this.#targets = targets;
     this.#simulation = targets.simulation;
     this.#controllers = targets.controllers;
-    this.#agents = agents;
+    this.#agents = targets.agents;
     this.#compound = new CompoundFaults(targets);
   }
 
--- a/test/model/model-cluster.ts
+++ b/test/model/model-cluster.ts
@@ -1,9 +1,6 @@
 import type { Controller } from "../../src/core/controller.js";
 import type { Effect } from "../../src/core/messages/effects.js";
 import { FakeStore } from "../support/fake-store.js";
-import { AgentLeases } from "./agent-leases.js";
-import { AgentNetwork } from "./agent-network.js";
-import { AgentTasks } from "./agent-tasks.js";
 import { Agents } from "./agents.js";
 import { Cloud } from "./cloud.js";
 import { ControllerLog } from "./controller-log.js";
@@ -56,12 +53,10 @@
   readonly log: ControllerLog;
   readonly rules: RuleChecks;
   readonly storeNetwork: StoreNetwork;
-  readonly agentLeases: AgentLeases;
-  readonly agentTasks: AgentTasks;
+  readonly agents: Agents;
   readonly cloud: Cloud;
   readonly users: Users;
   readonly faults: Faults;
-  readonly #agentNetwork: AgentNetwork;
   readonly #peerNetwork: PeerNetwork;
   readonly #observer: EffectObserver | undefined;
 
@@ -76,56 +71,29 @@
       startWithOldVersion: trouble.upgrade,
       onEffect: (node, epoch, effect) => this.#route(node, epoch, effect),
     });
-    const { simulation, controllers, jobs, machines, runningTasks } = this;
+    const { simulation, controllers, jobs, machines, runningTasks, store } = this;
+    const shared = { simulation, controllers, jobs, machines };
     this.log = new ControllerLog(simulation);
-    const { teams } = controllers;
-    const rules = new RuleChecks({ simulation, jobs, machines, runningTasks, teams });
+    const rules = new RuleChecks({ ...shared, runningTasks, teams: controllers.teams });
     this.rules = rules;
-    this.users = new Users({ simulation, controllers, jobs, rules });
-    this.storeNetwork = new StoreNetwork(simulation, controllers, this.store);
-
-    const leases = new AgentLeases(simulation, runningTasks);
-    this.agentLeases = leases;
-    const tasks = new AgentTasks({
-      simulation,
-      machines,
-      jobs,
+    this.users = new Users({ ...shared, rules });
+    this.storeNetwork = new StoreNetwork(simulation, controllers, store);
+    const agents = new Agents({
+      ...shared,
       runningTasks,
       rules,
-      errorRate: trouble.taskError,
+      trouble,
       onJobFinished: (uid) => this.faults.onJobFinished(uid),
     });
-    this.agentTasks = tasks;
-    const network = new AgentNetwork({
-      simulation,
-      controllers,
-      machines,
-      leases,
-      tasks,
-      duplicateRate: trouble.lateDuplicates,
-    });
-    this.#agentNetwork = network;
-    this.#peerNetwork = new PeerNetwork(simulation, controllers, network);
-    const agents = new Agents({ simulation, runningTasks, leases, tasks, network });
+    this.agents = agents;
+    this.#peerNetwork = new PeerNetwork(simulation, controllers, agents.network);
     this.cloud = new Cloud({
-      simulation,
-      controllers,
-      machines,
+      ...shared,
       scale,
       onBooted: (machine) => agents.start(machine),
       onTerminated: (machine) => agents.terminate(machine),
     });
-    this.faults = new Faults({
-      trouble,
-      simulation,
-      controllers,
-      machines,
-      jobs,
-      users: this.users,
-      store: this.storeNetwork,
-      agentNetwork: network,
-      agents,
-    });
+    this.faults = new Faults({ ...shared, trouble, agents, users: this.users, store: this.storeNetwork });
     this.#start(trouble);
   }
 
@@ -134,6 +102,7 @@
     return this.simulation.now;
   }
 
+  /** The controllers' nodes, in the order of their names. */
   get nodes(): readonly ControllerNode[] {
     return this.controllers.nodes;
   }
@@ -170,7 +139,7 @@
         this.users.respond(effect.requestId, effect.response);
         break;
       case "replyToAgent":
-        this.#agentNetwork.replyFrom(node, effect.requestId, effect.reply);
+        this.agents.network.replyFrom(node, effect.requestId, effect.reply);
         break;
       case "forwardHeartbeat":
         this.#peerNetwork.forwardHeartbeat(node, effect);
@@ -193,7 +162,7 @@
         this.#peerNetwork.send(node, effect);
         break;
       case "sendAgentCommands":
-        this.#agentNetwork.sendCommands(node, epoch, effect);
+        this.agents.network.sendCommands(node, epoch, effect);
         break;
       default:
         effect satisfies never;
--- a/test/model/running-tasks.ts
+++ b/test/model/running-tasks.ts
@@ -7,6 +7,7 @@
   readonly #teamUse = new Map<string, { cpu: number; gpu: number }>();
   readonly #placements = new Map<AgentTask, { machine: SimulatedMachine; spec: JobSpec }>();
 
+  /** How many there are. */
   get size(): number {
     return this.#placements.size;
   }
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -13,7 +13,7 @@
 /** The rules, and the users' checks at the end of a day. */
 function check(cluster: ModelCluster, seed: number): void {
   assert.deepEqual(cluster.violations, [], `seed ${seed}`);
-  assert.ok(cluster.agentTasks.starts > 0, `seed ${seed}: nothing ran`);
+  assert.ok(cluster.agents.tasks.starts > 0, `seed ${seed}: nothing ran`);
   for (const job of cluster.jobs.values()) {
     if (job.acceptedAt === null) continue;
     const unansweredS = (cluster.now - job.answeredAt) / 1000;
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -1,7 +1,6 @@
 import type { Deployment, MachineType } from "../../src/core/model/deployment.js";
 
-/** The small deployment that most tests play: two zones, two teams, three nodes. */
-
+/** The machine types of the small deployment. */
 export const TYPES: readonly MachineType[] = [
   {
     name: "small",
@@ -25,12 +24,14 @@
   },
 ];
 
+/** The nodes of the small deployment. */
 export const NODES = ["n0", "n1", "n2"] as const;
 
+/** The small deployment that most tests play, as a node sees it: two zones, two teams, three nodes. */
 export function deployment(node: string): Deployment {
   return {
     node,
-    peers: NODES.filter((n) => n !== node),
+    peers: NODES.filter((peer) => peer !== node),
     zones: ["a", "b"],
     teams: [
       {
--- a/test/support/trace-digest.ts
+++ b/test/support/trace-digest.ts
@@ -17,8 +17,10 @@
 export class TraceDigest {
   readonly #hash = createHash("sha256");
   readonly #packr = new Packr({ useRecords: false });
+  /** How many effects were hashed. */
   effects = 0;
 
+  /** Hashes an effect of a node. */
   observe(core: Controller, node: string, now: number, effect: Effect): void {
     const wire = this.#encode(core, effect);
     if (wire === null) return;
@@ -28,12 +30,13 @@
     this.#hash.update("\n");
   }
 
-  /** What operators are shown; the texts that explain something are left out. */
+  /** Hashes what operators are shown; the texts that explain something are left out. */
   observeStatus(core: Controller, now: number): void {
     const withoutTexts = (key: string, value: unknown) => (key === "why" ? undefined : value);
     this.#hash.update(`${now} ${JSON.stringify(core.status(), withoutTexts)}\n`);
   }
 
+  /** The digest of all that was observed; it can be taken once. */
   digest(): string {
     return this.#hash.digest("hex").slice(0, 32);
   }
@@ -41,7 +44,7 @@
   #encode(core: Controller, effect: Effect): string | Uint8Array | null {
     switch (effect.kind) {
       case "respondToUser":
-        return `user ${effect.requestId} ${encodeUserAnswer(effect.response)}`;
+        return `user ${effect.requestId} ${encodeUserResponse(effect.response)}`;
       case "respondToOperator":
         return `operator ${effect.requestId} ${JSON.stringify(effect.response)}`;
       case "replyToAgent": {
@@ -74,21 +77,21 @@
 }
 
 /** Status, body and `Retry-After`, as the HTTP server answers a user. */
-function encodeUserAnswer(answer: UserResponse): string {
-  switch (answer.kind) {
+function encodeUserResponse(response: UserResponse): string {
+  switch (response.kind) {
     case "accepted":
-      return `${answer.known ? 200 : 201} ${JSON.stringify(encodeJobStatus(answer.status))}`;
+      return `${response.known ? 200 : 201} ${JSON.stringify(encodeJobStatus(response.status))}`;
     case "status":
-      return `200 ${JSON.stringify(encodeJobStatus(answer.status))}`;
+      return `200 ${JSON.stringify(encodeJobStatus(response.status))}`;
     case "notFound":
       return "404";
     case "unsatisfiable":
-      return `422 ${answer.error}`;
+      return `422 ${response.error}`;
     case "invalid":
-      return `400 ${answer.error}`;
+      return `400 ${response.error}`;
     case "unavailable":
-      return `503 ${answer.retryAfterS} ${answer.error}`;
+      return `503 ${response.retryAfterS} ${response.error}`;
     case "throttled":
-      return `429 ${answer.retryAfterS} ${answer.error}`;
+      return `429 ${response.retryAfterS} ${response.error}`;
   }
 }
