--- a/test/admission-shares.test.ts
+++ b/test/admission-shares.test.ts
@@ -1,3 +1,5 @@
+/** Weighted shares: properties of the allocation. */
+
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -5,22 +7,22 @@
 
 const RUNS = { numRuns: 500, seed: 20_261_202 };
 const weight = fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 5000 }));
-const claim: fc.Arbitrary<Claim> = fc.record({ weight, demand: fc.nat({ max: 300 }) });
-const claims = fc.array(claim, { maxLength: 9 });
-const capacity = fc.nat({ max: 400 });
+const anyClaim: fc.Arbitrary<Claim> = fc.record({ weight, demand: fc.nat({ max: 300 }) });
+const anyClaims = fc.array(anyClaim, { maxLength: 9 });
+const anyCapacity = fc.nat({ max: 400 });
 
-const sum = (list: readonly number[]) => list.reduce((total, n) => total + n, 0);
+const sum = (list: readonly number[]) => list.reduce((total, count) => total + count, 0);
 
 test("property: never above the capacity or a demand, and no room unused while somebody asks", () => {
   fc.assert(
-    fc.property(capacity, claims, (room, list) => {
-      const given = allocate(room, list);
+    fc.property(anyCapacity, anyClaims, (capacity, list) => {
+      const given = allocate(capacity, list);
       assert.equal(given.length, list.length);
       for (const [i, count] of given.entries()) {
         assert.ok(Number.isInteger(count) && count >= 0);
         assert.ok(count <= (list[i]?.demand ?? 0));
       }
-      assert.equal(sum(given), Math.min(room, sum(list.map(({ demand }) => demand))));
+      assert.equal(sum(given), Math.min(capacity, sum(list.map(({ demand }) => demand))));
     }),
     RUNS,
   );
@@ -28,12 +30,12 @@
 
 test("property: each has its weighted part, or all it asks for, whatever the others ask", () => {
   fc.assert(
-    fc.property(capacity, claims, (room, list) => {
-      const weights = sum(list.map((one) => one.weight));
-      for (const [i, count] of allocate(room, list).entries()) {
-        const one = list[i];
-        if (!one || one.weight === 0) continue;
-        assert.ok(count >= Math.min(one.demand, Math.floor((room * one.weight) / weights)));
+    fc.property(anyCapacity, anyClaims, (capacity, list) => {
+      const weights = sum(list.map((claim) => claim.weight));
+      for (const [i, count] of allocate(capacity, list).entries()) {
+        const claim = list[i];
+        if (!claim || claim.weight === 0) continue;
+        assert.ok(count >= Math.min(claim.demand, Math.floor((capacity * claim.weight) / weights)));
       }
     }),
     RUNS,
@@ -42,24 +44,34 @@
 
 test("property: what a flooder gains by asking for more it takes from nobody's own part", () => {
   fc.assert(
-    fc.property(capacity, claims, fc.nat({ max: 8 }), fc.nat({ max: 100_000 }), (room, list, at, flood) => {
-      const flooder = list[at];
-      if (!flooder) return;
-      const before = allocate(room, list);
-      const weights = sum(list.map((one) => one.weight));
-      const flooded = list.map((one, i) => (i === at ? { ...one, demand: one.demand + flood } : one));
-      const after = allocate(room, flooded);
-      assert.ok((after[at] ?? 0) >= (before[at] ?? 0));
-      for (const [i, one] of list.entries()) {
-        if (i === at || one.weight === 0) continue;
-        // Who had more than its part had it because the others did not ask.
-        const part = Math.floor((room * one.weight) / weights);
-        assert.ok(
-          (after[i] ?? 0) >= Math.min(before[i] ?? 0, part),
-          `${before[i]} to ${after[i]}, part ${part}`,
+    fc.property(
+      anyCapacity,
+      anyClaims,
+      fc.nat({ max: 8 }),
+      fc.nat({ max: 100_000 }),
+      (capacity, list, flooderIndex, flood) => {
+        const flooder = list[flooderIndex];
+        if (!flooder) return;
+        const before = allocate(capacity, list);
+        const weights = sum(list.map((claim) => claim.weight));
+        const flooded = list.map((claim, i) =>
+          i === flooderIndex ? { ...claim, demand: claim.demand + flood } : claim,
         );
-      }
-    }),
+        const after = allocate(capacity, flooded);
+
+        assert.ok((after[flooderIndex] ?? 0) >= (before[flooderIndex] ?? 0));
+
+        for (const [i, claim] of list.entries()) {
+          if (i === flooderIndex || claim.weight === 0) continue;
+          // A claimant that had more than its share had it because the others asked for less.
+          const part = Math.floor((capacity * claim.weight) / weights);
+          assert.ok(
+            (after[i] ?? 0) >= Math.min(before[i] ?? 0, part),
+            `${before[i]} to ${after[i]}, part ${part}`,
+          );
+        }
+      },
+    ),
     RUNS,
   );
 });
@@ -67,18 +79,21 @@
 test("property: more weight never brings less, and the same claims in another order bring the same sum", () => {
   fc.assert(
     fc.property(
-      capacity,
-      claims,
+      anyCapacity,
+      anyClaims,
       fc.nat({ max: 8 }),
       fc.integer({ min: 1, max: 5000 }),
-      (room, list, at, more) => {
-        const one = list[at];
-        if (!one) return;
+      (capacity, list, claimIndex, addedWeight) => {
+        const claim = list[claimIndex];
+        if (!claim) return;
         const heavier = list.map((other, i) =>
-          i === at ? { ...other, weight: other.weight + more } : other,
+          i === claimIndex ? { ...other, weight: other.weight + addedWeight } : other,
         );
-        assert.ok((allocate(room, heavier)[at] ?? 0) >= (allocate(room, list)[at] ?? 0));
-        assert.equal(sum(allocate(room, [...list].reverse())), sum(allocate(room, list)));
+
+        assert.ok(
+          (allocate(capacity, heavier)[claimIndex] ?? 0) >= (allocate(capacity, list)[claimIndex] ?? 0),
+        );
+        assert.equal(sum(allocate(capacity, [...list].reverse())), sum(allocate(capacity, list)));
       },
     ),
     RUNS,
@@ -93,6 +108,7 @@
   ];
   assert.deepEqual(allocate(12, list), [9, 3, 0]);
   assert.deepEqual(allocate(23, list), [10, 10, 3]);
+
   const huge = [
     { weight: 7, demand: Number.MAX_SAFE_INTEGER },
     { weight: 5, demand: 1e12 },
--- /dev/null
+++ b/test/negative-fit-cache.test.ts
@@ -0,0 +1,30 @@
+/** What did not fit is not tried again until something changes. */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { Job } from "../src/core/model/job.js";
+import { NegativeFitCache } from "../src/core/scheduling/negative-fit-cache.js";
+import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
+
+test("what found no place is not looked for again by as much or more, unless places are kept for it", () => {
+  const { ctx } = new ControllerHarness().controller;
+  const cache = new NegativeFitCache(ctx);
+  const gangOf = (uid: string, cpu: number, tasks = 1) =>
+    new Job(0, jobSpec(uid, { shape: "gang", tasks, need: { cpu, gpu: 0, ram: 0 } }), 0, 1);
+  cache.add(gangOf("j-1", 2000, 2), 2);
+
+  assert.equal(cache.has(gangOf("j-2", 3000, 2), 2), true);
+  assert.equal(cache.has(gangOf("j-3", 1000, 2), 2), false, "less may fit");
+  assert.equal(cache.has(gangOf("j-4", 2000), 1), false, "fewer may fit");
+
+  const reserved = gangOf("j-5", 3000, 2);
+  reserved.reservationUntil = ctx.now + 1;
+  assert.equal(cache.has(reserved, 2), false);
+
+  const failedBefore = gangOf("j-6", 3000, 2);
+  failedBefore.failedMachines.add(1);
+  assert.equal(cache.has(failedBefore, 2), false, "its choice is another one");
+
+  cache.clear();
+  assert.equal(cache.has(gangOf("j-2", 3000, 2), 2), false);
+});
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -1,3 +1,5 @@
+/** Links between nodes, over real sockets. */
+
 import assert from "node:assert/strict";
 import { once } from "node:events";
 import net, { type AddressInfo } from "node:net";
@@ -20,37 +22,37 @@
   return port;
 }
 
-function settings(node: string, listen: number, peer: string, at: number): Settings {
+function settingsOf(node: string, listen: number, peer: string, peerPort: number): Settings {
   const base = parseSettings(SETTINGS);
   return {
     ...base,
     peerListen: { host: LOOPBACK, port: listen },
-    peers: [{ node: peer, at: { host: LOOPBACK, port: at } }],
+    peers: [{ node: peer, at: { host: LOOPBACK, port: peerPort } }],
     deployment: { ...base.deployment, node, peers: [peer] },
   };
 }
 
-const LIST = [1, 2, 3].map((id) => ({ id, body: { host: `i-${id}` } }));
-const REPORTS: PeerMessage = { kind: "forwardedHeartbeats", heartbeats: LIST };
-const ANSWERS: PeerMessage = {
+const FORWARDED = [1, 2, 3].map((id) => ({ id, body: { host: `i-${id}` } }));
+const HEARTBEATS: PeerMessage = { kind: "forwardedHeartbeats", heartbeats: FORWARDED };
+const REPLIES: PeerMessage = {
   kind: "forwardedReplies",
   replies: [{ id: 2, status: 200, body: { baton: 5 } }],
 };
 
-/** Two nodes, in a thread of their own, as links are kept up for as long as a node runs. */
-async function talk(): Promise<[string, PeerMessage][]> {
-  const [a, b] = [await freePort(), await freePort()];
-  const heard: [string, PeerMessage][] = [];
-  let up = 0;
+/** Two nodes, in a thread of their own, as links stay up for as long as a node runs. Returns what both received. */
+async function exchangeMessages(): Promise<[string, PeerMessage][]> {
+  const [portA, portB] = [await freePort(), await freePort()];
+  const received: [string, PeerMessage][] = [];
+  let linksUp = 0;
   let changed = () => {};
-  const node = (name: string, listen: number, peer: string, at: number) => {
-    const peers = new Peers(settings(name, listen, peer, at), {
+  const node = (name: string, listen: number, peer: string, peerPort: number) => {
+    const peers = new Peers(settingsOf(name, listen, peer, peerPort), {
       link: (_to, isUp) => {
-        if (isUp) up++;
+        if (isUp) linksUp++;
         changed();
       },
       message: (from, message) => {
-        heard.push([from, message]);
+        received.push([from, message]);
         changed();
       },
     });
@@ -59,36 +61,36 @@
     });
     return peers;
   };
-  const until = (done: () => boolean) =>
+  const waitUntil = (done: () => boolean) =>
     new Promise<void>((then) => {
       changed = () => {
         if (done()) then();
       };
       changed();
     });
-  const first = node("n0", a, "n1", b);
-  const second = node("n1", b, "n0", a);
-  await until(() => up === 2);
-  first.send("n1", REPORTS);
-  await until(() => heard.length === 1);
-  second.send("n0", ANSWERS);
-  await until(() => heard.length === 2);
-  return heard;
+  const first = node("n0", portA, "n1", portB);
+  const second = node("n1", portB, "n0", portA);
+  await waitUntil(() => linksUp === 2);
+  first.send("n1", HEARTBEATS);
+  await waitUntil(() => received.length === 1);
+  second.send("n0", REPLIES);
+  await waitUntil(() => received.length === 2);
+  return received;
 }
 
 if (isMainThread) {
   test("nodes pass reports on, and answers back, many in one message", async () => {
     const nodes = new Worker(fileURLToPath(import.meta.url));
     try {
-      const [heard] = await once(nodes, "message");
-      assert.deepEqual(heard, [
-        ["n0", REPORTS],
-        ["n1", ANSWERS],
+      const [received] = await once(nodes, "message");
+      assert.deepEqual(received, [
+        ["n0", HEARTBEATS],
+        ["n1", REPLIES],
       ]);
     } finally {
       await nodes.terminate();
     }
   });
 } else {
-  parentPort?.postMessage(await talk());
+  parentPort?.postMessage(await exchangeMessages());
 }
--- a/test/record-cache.test.ts
+++ b/test/record-cache.test.ts
@@ -1,3 +1,5 @@
+/** The standby's copy of the records against any history of writes, and any way in which watches deliver it. */
+
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -19,13 +21,13 @@
 type Step =
   | { readonly kind: "put"; readonly key: string; readonly value: number }
   | { readonly kind: "remove"; readonly key: string }
-  /** Time passes; the calls under way are answered in this manner. */
-  | { readonly kind: "tick"; readonly manner: Manner }
+  /** Time passes; the pending requests are answered in this way. */
+  | { readonly kind: "tick"; readonly delivery: Delivery }
   | { readonly kind: "compact" };
 
-type Manner = "right" | "lost" | "hangs" | "twice" | "shuffled" | "pages of one";
+type Delivery = "right" | "lost" | "hangs" | "twice" | "shuffled" | "pages of one";
 
-const manner = fc.constantFrom<Manner>(
+const delivery = fc.constantFrom<Delivery>(
   "right",
   "right",
   "right",
@@ -39,12 +41,12 @@
 const step: fc.Arbitrary<Step> = fc.oneof(
   { weight: 4, arbitrary: fc.record({ kind: fc.constant("put" as const), key, value: fc.nat() }) },
   { weight: 2, arbitrary: fc.record({ kind: fc.constant("remove" as const), key }) },
-  { weight: 6, arbitrary: fc.record({ kind: fc.constant("tick" as const), manner }) },
+  { weight: 6, arbitrary: fc.record({ kind: fc.constant("tick" as const), delivery }) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant("compact" as const) }) },
 );
 
-/** A node's calls to a store, answered as the history says. */
-class Play {
+/** A node's requests to a store, answered as the steps of a history say. */
+class StoreReplay {
   readonly store = new FakeStore();
   readonly ctx = new Context(deployment("n1"), new NameRegistry(), seededRandom(1), 0);
   readonly #hanging: { id: number; call: StoreRequest }[] = [];
@@ -53,14 +55,14 @@
     this.store.run({ kind: "transaction", conditions: [], changes: [change] }, 0);
   }
 
-  /** Answers what is under way until nothing more is asked for; what is asked again for a lost answer waits. */
-  answerAll(how: Manner): void {
+  /** Answers pending requests until there are no more; the retry of a request that was answered by a timeout waits. */
+  answerAll(delivery: Delivery): void {
     const calls = this.#hanging.splice(0);
     this.#collect(calls);
-    for (let next = calls.shift(); next; next = calls.shift()) {
-      if (how === "hangs") this.#hanging.push(next);
-      else this.#answer(next.id, next.call, how);
-      this.#collect(how === "lost" ? this.#hanging : calls);
+    for (let pending = calls.shift(); pending; pending = calls.shift()) {
+      if (delivery === "hangs") this.#hanging.push(pending);
+      else this.#answer(pending.id, pending.call, delivery);
+      this.#collect(delivery === "lost" ? this.#hanging : calls);
     }
   }
 
@@ -69,80 +71,83 @@
       if (effect.kind === "callStore") calls.push({ id: effect.id, call: effect.request });
   }
 
-  #answer(id: number, call: StoreRequest, how: Manner): void {
-    if (how === "lost") {
+  #answer(id: number, call: StoreRequest, delivery: Delivery): void {
+    if (delivery === "lost") {
       this.ctx.onStoreResponse(id, { kind: "timeout" });
       return;
     }
-    this.store.pageSize = how === "pages of one" ? 1 : 20;
-    const answer = call.kind === "watch" ? this.#follow(call) : this.store.run(call, 0);
-    this.ctx.onStoreResponse(id, distort(answer, how));
+    this.store.pageSize = delivery === "pages of one" ? 1 : 20;
+    const response = call.kind === "watch" ? this.#watch(call) : this.store.run(call, 0);
+    this.ctx.onStoreResponse(id, distort(response, delivery));
   }
 
-  #follow({ prefix, after }: Extract<StoreRequest, { kind: "watch" }>): StoreResponse {
+  #watch({ prefix, after }: Extract<StoreRequest, { kind: "watch" }>): StoreResponse {
     const found = this.store.changesSince(prefix, after);
     return found ?? { kind: "events", events: [], revision: this.store.revision };
   }
 }
 
-/** Changes delivered twice or out of order. */
-function distort(answer: StoreResponse, how: Manner): StoreResponse {
-  if (answer.kind !== "events") return answer;
-  const events: readonly WatchEvent[] = answer.events;
-  if (how === "twice") return { ...answer, events: [...events, ...events] };
-  if (how === "shuffled") return { ...answer, events: [...events].reverse() };
-  return answer;
+/** Delivers changes twice or out of order. */
+function distort(response: StoreResponse, delivery: Delivery): StoreResponse {
+  if (response.kind !== "events") return response;
+  const events: readonly WatchEvent[] = response.events;
+  if (delivery === "twice") return { ...response, events: [...events, ...events] };
+  if (delivery === "shuffled") return { ...response, events: [...events].reverse() };
+  return response;
 }
 
+/** The records as a leader without a standby copy reads them. */
 function readCold(store: FakeStore): StoredRecords {
-  const play = new Play();
-  for (const [name, item] of store.entries) play.store.entries.set(name, item);
-  play.store.revision = store.revision;
-  const read: LoadedRecords[] = [];
-  new RecordReader(play.ctx).load((loaded) => read.push(loaded));
-  play.answerAll("right");
-  assert.ok(read[0]);
-  return read[0].records;
+  const replay = new StoreReplay();
+  for (const [name, item] of store.entries) replay.store.entries.set(name, item);
+  replay.store.revision = store.revision;
+  const results: LoadedRecords[] = [];
+  new RecordReader(replay.ctx).load((loaded) => results.push(loaded));
+  replay.answerAll("right");
+  assert.ok(results[0]);
+  return results[0].records;
 }
 
 test("property: whatever the history and its delivery, a warm start has the records of a cold one, or is refused", () => {
-  let warm = 0;
+  let warmStarts = 0;
   fc.assert(
     fc.property(
       fc.array(step, { minLength: 10, maxLength: 120 }),
       fc.array(key, { maxLength: 5 }),
-      (steps, last) => {
-        const play = new Play();
+      (steps, lastKeys) => {
+        const replay = new StoreReplay();
         const cache = new RecordCache();
-        const feed = new CacheFeed(play.ctx, cache);
-        for (const next of steps) {
-          if (next.kind === "put") play.write({ put: next.key, value: next.value });
-          else if (next.kind === "remove") play.write({ remove: next.key });
-          else if (next.kind === "compact") play.store.compactedThrough = play.store.revision;
+        const feed = new CacheFeed(replay.ctx, cache);
+        for (const nextStep of steps) {
+          if (nextStep.kind === "put") replay.write({ put: nextStep.key, value: nextStep.value });
+          else if (nextStep.kind === "remove") replay.write({ remove: nextStep.key });
+          else if (nextStep.kind === "compact") replay.store.compactedThrough = replay.store.revision;
           else {
-            play.ctx.now += TICK_MS;
+            replay.ctx.now += TICK_MS;
             feed.tick();
-            play.answerAll(next.manner);
+            replay.answerAll(nextStep.delivery);
           }
         }
-        // What the feed has not seen, up to the election.
-        for (const name of last) play.write({ put: name, value: -1 });
+        // Writes up to the election that the feed has not seen.
+        for (const name of lastKeys) replay.write({ put: name, value: -1 });
         feed.stop();
         if (!feed.isComplete) return;
         const refused: string[] = [];
         const loaded: LoadedRecords[] = [];
-        const cold = new RecordReader(play.ctx);
+        const coldReader = new RecordReader(replay.ctx);
         const events = { confirmed: () => {}, refused: (why: string) => refused.push(why) };
-        new WarmStart(play.ctx, cache, play.store.revision, cold, events).load((records) =>
+        new WarmStart(replay.ctx, cache, replay.store.revision, coldReader, events).load((records) =>
           loaded.push(records),
         );
-        play.answerAll("right");
+        replay.answerAll("right");
+
         assert.equal(loaded.length, 1);
-        if (refused.length === 0) warm++;
-        assert.deepEqual(loaded[0]?.records, readCold(play.store));
+
+        if (refused.length === 0) warmStarts++;
+        assert.deepEqual(loaded[0]?.records, readCold(replay.store));
       },
     ),
     { numRuns: 400, seed: 20_261_202 },
   );
-  assert.ok(warm > 100, `${warm} of 400 histories began warm`);
+  assert.ok(warmStarts > 100, `${warmStarts} of 400 histories began warm`);
 });
--- /dev/null
+++ b/test/round-robin-turns.test.ts
@@ -0,0 +1,118 @@
+/** Round-robin turns between lines of waiting jobs (a line is a team and a job class). */
+
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import fc from "fast-check";
+import { RoundRobinTurns } from "../src/admission/round-robin-turns.js";
+import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { leaderWithFairAdmission } from "./support/fair-admission.js";
+import { FakeStore } from "./support/fake-store.js";
+import { liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+
+const TURN_MS = 60_000;
+
+interface WaitingJob {
+  readonly uid: number;
+  readonly spec: { readonly team: string; readonly jobClass: string };
+  readonly queuedSince: number;
+}
+
+function waitingJob(uid: number, team: string, jobClass: string, queuedSince: number): WaitingJob {
+  return { uid, spec: { team, jobClass }, queuedSince };
+}
+
+test("property: no more than one job of each other line goes before a line's oldest, whatever the lines are made of", () => {
+  const line = fc.record({
+    team: fc.constantFrom("a", "b", "c"),
+    jobClass: fc.constantFrom("x", "y"),
+    queuedSince: fc.integer({ min: 0, max: 200_000 }),
+  });
+  fc.assert(
+    fc.property(
+      fc.array(line, { minLength: 1, maxLength: 60 }),
+      fc.integer({ min: 0, max: 300_000 }),
+      (list, now) => {
+        const jobs = list.map(({ team, jobClass, queuedSince }, index) =>
+          waitingJob(index, team, jobClass, Math.min(queuedSince, now)),
+        );
+        const turns = new RoundRobinTurns();
+        const due = turns.due(jobs, TURN_MS, now);
+        const dueLines = new Set([...due].map(({ spec }) => `${spec.team} ${spec.jobClass}`));
+
+        assert.equal(dueLines.size, due.size, "one of each line");
+
+        for (const job of jobs) {
+          const olderJobs = jobs.filter(
+            ({ spec, queuedSince }) =>
+              spec.team === job.spec.team &&
+              spec.jobClass === job.spec.jobClass &&
+              queuedSince < job.queuedSince,
+          );
+          if (olderJobs.length === 0 && now - job.queuedSince >= TURN_MS)
+            assert.ok(
+              [...due].some(({ spec }) => spec.team === job.spec.team && spec.jobClass === job.spec.jobClass),
+            );
+        }
+        const places = turns.places(jobs);
+        for (const job of due) {
+          const jobsBefore = jobs.filter(
+            (other) => other !== job && (places.get(other) ?? 0) < (places.get(job) ?? 0),
+          );
+          assert.deepEqual(jobsBefore, []);
+        }
+      },
+    ),
+    { numRuns: 300, seed: 20_261_202 },
+  );
+});
+
+test("a line's turn comes once nothing of it has begun for so long, and goes when something has", () => {
+  const turns = new RoundRobinTurns();
+  const smallJobs = Array.from({ length: 1000 }, (_, i) => waitingJob(i, "a", "x", i));
+  const hugeJob = waitingJob(9999, "b", "y", 500);
+  turns.began(waitingJob(-1, "a", "x", 0), 59_000);
+
+  assert.deepEqual([...turns.due([...smallJobs, hugeJob], TURN_MS, 60_000)], []);
+  assert.deepEqual([...turns.due([...smallJobs, hugeJob], TURN_MS, 60_500)], [hugeJob]);
+
+  turns.began(hugeJob, 61_000);
+  assert.deepEqual([...turns.due([...smallJobs, hugeJob], TURN_MS, 100_000)], []);
+  assert.equal(turns.longestWaitMs("b", [hugeJob], 100_000), 39_000);
+});
+
+test("under a flood of small jobs a huge array of another team has its turn, also under a new leader", () => {
+  const store = new FakeStore();
+  const settings = { admission_rate: 10_000, admission_turn_s: 30 };
+  store.run({ kind: "transaction", conditions: [], changes: [{ put: "c/settings", value: settings }] }, 0);
+  const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
+  let uid = 100;
+  const startedTasks = () => liveTasks(tasksByMachine, "A", "j-7").length;
+  /** Lets seconds pass until j-7 starts, while small jobs are submitted that each end within a second. */
+  const playUntilStarted = (leader: ControllerHarness, seconds: number) => {
+    for (let second = 0; second < seconds && startedTasks() === 0; second++) {
+      const jobs = [...(leader.controller.leaderTerm?.cluster.jobs.values() ?? [])];
+      for (let missing = 12 - jobs.filter((job) => job.pending > 0).length; missing > 0; missing--)
+        leader.submit(jobSpec(`j-${uid++}`, { tasks: 1, estimateS: 1, team: "red" }));
+      sendHeartbeatsFor(leader, tasksByMachine, {}, 1);
+      const endedStatuses = (tasksByMachine.get("A") ?? []).map((status) =>
+        status.uid === "j-7" ? status : { ...status, state: "ended" as const, cause: "done" as const },
+      );
+      tasksByMachine.set("A", endedStatuses);
+    }
+  };
+  const firstLeader = leaderWithFairAdmission(store);
+  firstLeader.sendHeartbeat("A");
+  playUntilStarted(firstLeader, 6);
+  firstLeader.submit(jobSpec("j-7", { tasks: 5000, estimateS: 50, team: "blue", jobClass: "bulk" }));
+  playUntilStarted(firstLeader, 6);
+
+  assert.equal(startedTasks(), 0, "the small ones go first for a while");
+
+  const nextLeader = new ControllerHarness("n1", store, "n1-1", {}, 0, true);
+  nextLeader.now = firstLeader.now + 5000;
+  store.expire(nextLeader.now);
+  nextLeader.becomeLeader();
+  playUntilStarted(nextLeader, 20);
+
+  assert.ok(startedTasks() > 0, "its wait counts from its acceptance");
+});
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,246 +1,292 @@
+/** The controller alone with a thousand machines: starvation under overload, and the cost of its rounds. */
+
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Job } from "../src/core/model/job.js";
-import { NegativeFitCache } from "../src/core/scheduling/negative-fit-cache.js";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { FakeStore } from "./support/fake-store.js";
 
-/** Lets workers do what they are told at once; reports every other second; tasks of an array take `runS`. */
-class Fleet {
-  readonly held = new Map<string, (TaskStatus & { until: number })[]>();
-  readonly begun = new Map<string, number>();
+/** Agents that carry out commands at once and send heartbeats every half second; tasks end after about `runMs`. */
+class AgentFleet {
+  readonly tasksByMachine = new Map<string, (TaskStatus & { until: number })[]>();
+  /** When the first task of each job started. */
+  readonly firstStartAt = new Map<string, number>();
   done = 0;
-  readonly #b: ControllerHarness;
-  readonly #more: Record<string, object>;
-
-  constructor(b: ControllerHarness, names: readonly string[], more: Record<string, object> = {}) {
-    this.#b = b;
-    this.#more = more;
-    for (const name of names) this.held.set(name, []);
-    this.report();
+  readonly #harness: ControllerHarness;
+  readonly #machineFields: Record<string, object>;
+
+  constructor(
+    harness: ControllerHarness,
+    names: readonly string[],
+    machineFields: Record<string, object> = {},
+  ) {
+    this.#harness = harness;
+    this.#machineFields = machineFields;
+    for (const name of names) this.tasksByMachine.set(name, []);
+    this.sendHeartbeats();
   }
 
-  report(): void {
-    for (const [name, list] of this.held) this.#b.sendHeartbeat(name, list, this.#more[name] ?? {});
+  /** Every agent sends a heartbeat. */
+  sendHeartbeats(): void {
+    for (const [name, tasks] of this.tasksByMachine)
+      this.#harness.sendHeartbeat(name, tasks, this.#machineFields[name] ?? {});
   }
 
   /** One step of half a second. */
   step(runMs: number): void {
-    const b = this.#b;
-    b.advance(500);
-    for (const { machine, commands: orders } of b.sentCommands.splice(0)) {
-      let list = this.held.get(machine) ?? [];
-      for (const o of orders) {
-        const known = list.find((s) => s.uid === o.uid && s.task === o.task && s.attempt === o.attempt);
-        if (o.kind === "start" && !known) {
-          // Not all alike: places come free one by one.
-          const until = b.now + runMs + (o.attempt % 7) * 900;
-          list.push({ uid: o.uid, task: o.task, attempt: o.attempt, state: "running", until });
-          if (!this.begun.has(o.uid)) this.begun.set(o.uid, b.now);
-        } else if (o.kind === "stop" && known) {
-          known.until = 0;
-          Object.assign(known, { state: "ended", cause: "stopped" });
-        } else if (o.kind === "acknowledge") list = list.filter((s) => s !== known);
+    const harness = this.#harness;
+    harness.advance(500);
+    for (const { machine, commands } of harness.sentCommands.splice(0)) {
+      let tasks = this.tasksByMachine.get(machine) ?? [];
+      for (const command of commands) {
+        const running = tasks.find(
+          (task) =>
+            task.uid === command.uid && task.task === command.task && task.attempt === command.attempt,
+        );
+        if (command.kind === "start" && !running) {
+          // Run times differ, so that capacity becomes free bit by bit.
+          const until = harness.now + runMs + (command.attempt % 7) * 900;
+          tasks.push({
+            uid: command.uid,
+            task: command.task,
+            attempt: command.attempt,
+            state: "running",
+            until,
+          });
+          if (!this.firstStartAt.has(command.uid)) this.firstStartAt.set(command.uid, harness.now);
+        } else if (command.kind === "stop" && running) {
+          running.until = 0;
+          Object.assign(running, { state: "ended", cause: "stopped" });
+        } else if (command.kind === "acknowledge") tasks = tasks.filter((task) => task !== running);
       }
-      this.held.set(machine, list);
-      b.replyToCommands(machine, list, this.#more[machine] ?? {});
+      this.tasksByMachine.set(machine, tasks);
+      harness.replyToCommands(machine, tasks, this.#machineFields[machine] ?? {});
     }
-    for (const list of this.held.values()) {
-      for (const s of list) {
-        if (s.state !== "running" || b.now < s.until) continue;
-        Object.assign(s, { state: "ended", cause: "done" });
+    for (const tasks of this.tasksByMachine.values()) {
+      for (const task of tasks) {
+        if (task.state !== "running" || harness.now < task.until) continue;
+        Object.assign(task, { state: "ended", cause: "done" });
         this.done++;
       }
     }
-    this.report();
+    this.sendHeartbeats();
   }
 }
 
+const UNLIMITED = { cpu: 1_000_000_000, gpu: 0, ram: 0 };
+const MACHINE_COUNT = 1000;
+const TASKS_PER_MACHINE = 100;
+/** A new leader sends its fencing token to four machines in each tick of 100 ms. */
+const FENCES_IN_500_MS = 20;
+
+/** A leader with a thousand machines and a hundred tasks on each. */
+function leaderOfHugeFleet(): { harness: ControllerHarness; fleet: AgentFleet } {
+  const teams = [{ name: "red", guarantee: UNLIMITED, limit: UNLIMITED }];
+  const harness = new ControllerHarness("n0", new FakeStore(), "n0-1", { teams }).becomeLeader();
+  const names = Array.from({ length: MACHINE_COUNT }, (_, i) => `M${i}`);
+  const fleet = new AgentFleet(
+    harness,
+    names,
+    Object.fromEntries(names.map((name, i) => [name, { zone: i % 3 === 0 ? "a" : "b" }])),
+  );
+  const need = { cpu: 40, gpu: 0, ram: 40 };
+  for (let i = 0; i < 10; i++)
+    harness.submit(
+      jobSpec(`j-${i}`, {
+        tasks: (MACHINE_COUNT * TASKS_PER_MACHINE) / 10,
+        estimateS: 3600,
+        need,
+        imageGb: 0,
+      }),
+    );
+  for (let i = 0; i < 60; i++) fleet.step(3_600_000);
+  return { harness, fleet };
+}
+
+function countPlacements(harness: ControllerHarness): number {
+  let count = 0;
+  for (const machine of harness.controller.leaderTerm?.cluster.machines.values() ?? [])
+    count += machine.placements.size;
+  return count;
+}
+
 test("under constant overload the largest and least of every kind begins within four minutes", () => {
-  const b = new ControllerHarness().becomeLeader();
-  const more: Record<string, object> = {};
+  const harness = new ControllerHarness().becomeLeader();
+  const machineFields: Record<string, object> = {};
   const names: string[] = [];
   for (let i = 0; i < 3; i++) {
     names.push(`G${i}`);
-    more[`G${i}`] = { type: "gpu" };
+    machineFields[`G${i}`] = { type: "gpu" };
   }
   names.push("S0", "S1");
-  const fleet = new Fleet(b, names, more);
+  const fleet = new AgentFleet(harness, names, machineFields);
   const gang = {
     shape: "gang",
     priority: 2,
     types: ["gpu"],
     need: { cpu: 6000, gpu: 2000, ram: 8000 },
   } as const;
-  const small = { ...gang, tasks: 1 };
-  let n = 0;
-  // More of everything than there is room for, shorter and of higher rank, all the time.
-  let begin = 0;
+  const smallGang = { ...gang, tasks: 1 };
+  let round = 0;
+  // More of every kind than there is capacity for, shorter and of higher priority, is submitted all the time.
+  let submittedAt = 0;
   for (let step = 0; step < 520; step++) {
     if (step === 40) {
-      begin = b.now;
-      b.submit(jobSpec("j-wide", { ...gang, tasks: 2, estimateS: 60, team: "blue", oneZone: true }));
-      b.submit(jobSpec("j-long", { tasks: 60, estimateS: 60, types: ["small"], team: "blue" }));
-      b.submit(jobSpec("j-idle", { priority: 0, types: ["small"], team: "blue" }));
+      submittedAt = harness.now;
+      harness.submit(jobSpec("j-wide", { ...gang, tasks: 2, estimateS: 60, team: "blue", oneZone: true }));
+      harness.submit(jobSpec("j-long", { tasks: 60, estimateS: 60, types: ["small"], team: "blue" }));
+      harness.submit(jobSpec("j-idle", { priority: 0, types: ["small"], team: "blue" }));
     }
     if (step % 4 === 0) {
-      b.submit(jobSpec(`j-g${n}`, { ...small, estimateS: 5, team: n % 2 ? "red" : "blue" }));
-      b.submit(jobSpec(`j-s${n}`, { tasks: 6, estimateS: 5, priority: 2, types: ["small"], team: "red" }));
-      n++;
+      harness.submit(
+        jobSpec(`j-g${round}`, { ...smallGang, estimateS: 5, team: round % 2 ? "red" : "blue" }),
+      );
+      harness.submit(
+        jobSpec(`j-s${round}`, { tasks: 6, estimateS: 5, priority: 2, types: ["small"], team: "red" }),
+      );
+      round++;
     }
     fleet.step(5000);
   }
-  assert.ok((b.controller.leaderTerm?.scheduler.blocked.length ?? 0) > 10, "there is overload to the end");
+
+  assert.ok(
+    (harness.controller.leaderTerm?.scheduler.blocked.length ?? 0) > 10,
+    "there is overload to the end",
+  );
+
   for (const uid of ["j-wide", "j-long", "j-idle"]) {
-    const at = fleet.begun.get(uid);
-    assert.ok(at !== undefined, `${uid} never began`);
-    assert.ok(at - begin < 240_000, `${uid} began after ${(at - begin) / 1000} s`);
+    const firstStartAt = fleet.firstStartAt.get(uid);
+    assert.ok(firstStartAt !== undefined, `${uid} never began`);
+    assert.ok(
+      firstStartAt - submittedAt < 240_000,
+      `${uid} began after ${(firstStartAt - submittedAt) / 1000} s`,
+    );
   }
 });
 
 test("a fleet of a thousand machines with 100,000 tasks: quiet rounds and unchanged reports cost next to nothing", () => {
-  const b = new ControllerHarness().becomeLeader();
+  const harness = new ControllerHarness().becomeLeader();
   const names = Array.from({ length: 1000 }, (_, i) => `M${i}`);
-  const fleet = new Fleet(b, names);
+  const fleet = new AgentFleet(harness, names);
   for (let i = 0; i < 10; i++)
-    b.submit(jobSpec(`j-${i}`, { tasks: 10_000, estimateS: 600, team: i % 2 ? "red" : "blue" }));
+    harness.submit(jobSpec(`j-${i}`, { tasks: 10_000, estimateS: 600, team: i % 2 ? "red" : "blue" }));
   for (let i = 0; i < 40; i++) fleet.step(3_600_000);
-  const { leaderTerm } = b.controller;
+  const { leaderTerm } = harness.controller;
+
   assert.ok(leaderTerm);
-  const placed = [...leaderTerm.cluster.machines.values()].reduce((sum, m) => sum + m.placements.size, 0);
+
+  const placed = [...leaderTerm.cluster.machines.values()].reduce(
+    (sum, machine) => sum + machine.placements.size,
+    0,
+  );
   assert.equal(placed, 40, "as many as the teams' limits allow");
-  const looked = leaderTerm.scheduler.feasibleMachines.machinesExamined;
-  const compared = leaderTerm.agents.reconciliations;
-  const written = b.store.revision;
+
+  const examinedBefore = leaderTerm.scheduler.feasibleMachines.machinesExamined;
+  const reconciledBefore = leaderTerm.agents.reconciliations;
+  const revisionBefore = harness.store.revision;
   for (let i = 0; i < 20; i++) fleet.step(3_600_000);
-  // Ten seconds, ten rounds at most a second, ten jobs waiting: far fewer looks at a machine than machines x jobs.
+
+  // Ten seconds, at most ten rounds a second, ten jobs queued: far fewer machines are examined than machines x jobs.
   assert.ok(
-    leaderTerm.scheduler.feasibleMachines.machinesExamined - looked <= 2 * 1000,
-    `${leaderTerm.scheduler.feasibleMachines.machinesExamined - looked} looks`,
+    leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore <= 2 * 1000,
+    `${leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore} looks`,
   );
   assert.ok(
-    leaderTerm.agents.reconciliations - compared <= 1000,
-    `${leaderTerm.agents.reconciliations - compared} reports taken apart`,
+    leaderTerm.agents.reconciliations - reconciledBefore <= 1000,
+    `${leaderTerm.agents.reconciliations - reconciledBefore} reports taken apart`,
   );
-  assert.ok(b.store.revision - written <= 5, "and next to nothing is written");
+  assert.ok(harness.store.revision - revisionBefore <= 5, "and next to nothing is written");
 });
 
 test("a fleet's machines are recorded many to a key, and a new leader of the largest fleet is soon ready", () => {
-  const b = new ControllerHarness().becomeLeader();
+  const leader = new ControllerHarness().becomeLeader();
   const names = Array.from({ length: 1000 }, (_, i) => `M${i}`);
-  const fleet = new Fleet(b, names);
-  for (let i = 0; i < 20; i++) b.submit(jobSpec(`j-${i}`, { tasks: 1, estimateS: 600 }));
+  const fleet = new AgentFleet(leader, names);
+  for (let i = 0; i < 20; i++) leader.submit(jobSpec(`j-${i}`, { tasks: 1, estimateS: 600 }));
   for (let i = 0; i < 20; i++) fleet.step(3_600_000);
-  const buckets = [...b.store.entries.keys()].filter((key) => key.startsWith("m/"));
-  assert.ok(buckets.length >= 1 && buckets.length <= 30, `${buckets.length} records of machines`);
-  b.store.expire(b.now + 60_000);
-  const next = new ControllerHarness("n1", b.store);
-  next.now = b.now + 60_000;
-  next.becomeLeader();
-  assert.ok(next.controller.leaderTerm?.agents.areRecordsLoaded, "ready after three reads");
-  const recorded = next.controller.leaderTerm.cluster.machines.size;
+  const machineRecords = [...leader.store.entries.keys()].filter((key) => key.startsWith("m/"));
+
+  assert.ok(
+    machineRecords.length >= 1 && machineRecords.length <= 30,
+    `${machineRecords.length} records of machines`,
+  );
+
+  leader.store.expire(leader.now + 60_000);
+  const nextLeader = new ControllerHarness("n1", leader.store);
+  nextLeader.now = leader.now + 60_000;
+  nextLeader.becomeLeader();
+
+  assert.ok(nextLeader.controller.leaderTerm?.agents.areRecordsLoaded, "ready after three reads");
+
+  const recorded = nextLeader.controller.leaderTerm.cluster.machines.size;
   assert.ok(recorded > 0);
-  // It shows them its token a few at a time, so that its renewals are never late.
-  let most = 0;
+
+  // It sends the fencing token to a few at a time, so that its own keep-alives are never late.
+  let mostPerTick = 0;
   for (let i = 0; i < 60; i++) {
-    const before = next.sentCommands.length;
-    next.advance(100);
-    most = Math.max(most, next.sentCommands.length - before);
+    const before = nextLeader.sentCommands.length;
+    nextLeader.advance(100);
+    mostPerTick = Math.max(mostPerTick, nextLeader.sentCommands.length - before);
   }
-  assert.ok(most > 0 && most <= 10, `${most} at once`);
+  assert.ok(mostPerTick > 0 && mostPerTick <= 10, `${mostPerTick} at once`);
 });
 
-test("what found no place is not looked for again by as much or more, unless places are kept for it", () => {
-  const { ctx } = new ControllerHarness().controller;
-  const failedFits = new NegativeFitCache(ctx);
-  const make = (uid: string, cpu: number, tasks = 1) =>
-    new Job(0, jobSpec(uid, { shape: "gang", tasks, need: { cpu, gpu: 0, ram: 0 } }), 0, 1);
-  failedFits.add(make("j-1", 2000, 2), 2);
-  assert.equal(failedFits.has(make("j-2", 3000, 2), 2), true);
-  assert.equal(failedFits.has(make("j-3", 1000, 2), 2), false, "less may fit");
-  assert.equal(failedFits.has(make("j-4", 2000), 1), false, "fewer may fit");
-  const kept = make("j-5", 3000, 2);
-  kept.reservationUntil = ctx.now + 1;
-  assert.equal(failedFits.has(kept, 2), false);
-  const fails = make("j-6", 3000, 2);
-  fails.failedMachines.add(1);
-  assert.equal(failedFits.has(fails, 2), false, "its choice is another one");
-  failedFits.clear();
-  assert.equal(failedFits.has(make("j-2", 3000, 2), 2), false);
-});
+test("100,000 tasks on a thousand machines: placed, taken over by a new leader, a third of them lost in one tick", () => {
+  const { harness: leader, fleet } = leaderOfHugeFleet();
+  assert.equal(countPlacements(leader), MACHINE_COUNT * TASKS_PER_MACHINE);
+  assert.deepEqual(leader.errorLines, []);
 
-const ANY = { cpu: 1_000_000_000, gpu: 0, ram: 0 };
-const MANY = 1000;
-const EACH = 100;
-/** A new leader shows its token to four a tick of a tenth of a second. */
-const FENCES_IN_500_MS = 20;
+  // Chunks of 128 tasks, each written twice at most: when placed, and once more after an interrupted round.
+  const chunks = [...leader.store.entries.keys()].filter((key) => key.startsWith("p/")).length;
+  assert.ok(chunks <= 10 * Math.ceil((MACHINE_COUNT * TASKS_PER_MACHINE) / 10 / 128), `${chunks} records`);
 
-/** A leader with a thousand machines, a hundred tasks on each. */
-function hugeFleet(): { b: ControllerHarness; fleet: Fleet } {
-  const teams = [{ name: "red", guarantee: ANY, limit: ANY }];
-  const b = new ControllerHarness("n0", new FakeStore(), "n0-1", { teams }).becomeLeader();
-  const names = Array.from({ length: MANY }, (_, i) => `M${i}`);
-  const fleet = new Fleet(
-    b,
-    names,
-    Object.fromEntries(names.map((name, i) => [name, { zone: i % 3 === 0 ? "a" : "b" }])),
-  );
-  const need = { cpu: 40, gpu: 0, ram: 40 };
-  for (let i = 0; i < 10; i++)
-    b.submit(jobSpec(`j-${i}`, { tasks: (MANY * EACH) / 10, estimateS: 3600, need, imageGb: 0 }));
-  for (let i = 0; i < 60; i++) fleet.step(3_600_000);
-  return { b, fleet };
-}
+  const tasksByMachine = [...fleet.tasksByMachine];
+  leader.store.expire(leader.now + 60_000);
+  const teams = [{ name: "red", guarantee: UNLIMITED, limit: UNLIMITED }];
+  const nextLeader = new ControllerHarness("n1", leader.store, "n1-1", { teams });
+  nextLeader.now = leader.now + 60_000;
+  nextLeader.becomeLeader();
 
-function placements(b: ControllerHarness): number {
-  let n = 0;
-  for (const machine of b.controller.leaderTerm?.cluster.machines.values() ?? [])
-    n += machine.placements.size;
-  return n;
-}
+  assert.ok(nextLeader.controller.leaderTerm?.agents.areRecordsLoaded);
+  assert.equal(countPlacements(nextLeader), MACHINE_COUNT * TASKS_PER_MACHINE);
 
-test("100,000 tasks on a thousand machines: placed, taken over by a new leader, a third of them lost in one tick", () => {
-  const { b, fleet } = hugeFleet();
-  assert.equal(placements(b), MANY * EACH);
-  assert.deepEqual(b.errorLines, []);
-  // Records of 128 tasks, each written twice at most: when they were placed, and once more for a round that was cut.
-  const chunks = [...b.store.entries.keys()].filter((key) => key.startsWith("p/")).length;
-  assert.ok(chunks <= 10 * Math.ceil((MANY * EACH) / 10 / 128), `${chunks} records`);
-
-  const held = [...fleet.held];
-  b.store.expire(b.now + 60_000);
-  const teams = [{ name: "red", guarantee: ANY, limit: ANY }];
-  const next = new ControllerHarness("n1", b.store, "n1-1", { teams });
-  next.now = b.now + 60_000;
-  next.becomeLeader();
-  assert.ok(next.controller.leaderTerm?.agents.areRecordsLoaded);
-  assert.equal(placements(next), MANY * EACH);
-  const beat = (alive: readonly [string, (typeof held)[number][1]][], token: number) => {
-    for (const [name, list] of alive) next.sendHeartbeat(name, list, { fencingToken: token });
+  const sendHeartbeats = (alive: readonly [string, (typeof tasksByMachine)[number][1]][], token: number) => {
+    for (const [name, list] of alive) nextLeader.sendHeartbeat(name, list, { fencingToken: token });
   };
-  const token = next.controller.leaderTerm.lease.fencingToken;
-  beat(held, 1);
-  next.advance(500);
-  beat(held, token);
-  assert.equal(placements(next), MANY * EACH, "all are adopted, none is started or stopped");
-  assert.deepEqual(next.commandedTasks("start", "j-0"), []);
-  assert.deepEqual(next.commandedTasks("stop", "j-0"), []);
-
-  // A third falls silent for good: each tick's effects stay bounded while what ran there is placed again.
-  const alive = held.filter((_, i) => i % 3 !== 0);
-  const before = next.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined;
+  const token = nextLeader.controller.leaderTerm.lease.fencingToken;
+  sendHeartbeats(tasksByMachine, 1);
+  nextLeader.advance(500);
+  sendHeartbeats(tasksByMachine, token);
+
+  assert.equal(
+    countPlacements(nextLeader),
+    MACHINE_COUNT * TASKS_PER_MACHINE,
+    "all are adopted, none is started or stopped",
+  );
+  assert.deepEqual(nextLeader.commandedTasks("start", "j-0"), []);
+  assert.deepEqual(nextLeader.commandedTasks("stop", "j-0"), []);
+
+  // A third of the machines falls silent for good: the effects of each tick stay bounded while their tasks are placed
+  // again.
+  const alive = tasksByMachine.filter((_, i) => i % 3 !== 0);
+  const examinedBefore = nextLeader.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined;
   let mostSent = 0;
   for (let i = 0; i < 60; i++) {
-    const sent = next.sentCommands.length;
-    next.advance(500);
-    mostSent = Math.max(mostSent, next.sentCommands.length - sent);
-    if (i % 4 === 0) beat(alive, token);
+    const sent = nextLeader.sentCommands.length;
+    nextLeader.advance(500);
+    mostSent = Math.max(mostSent, nextLeader.sentCommands.length - sent);
+    if (i % 4 === 0) sendHeartbeats(alive, token);
   }
-  const left = placements(next);
-  assert.ok(left <= Math.ceil(alive.length * EACH), `${left} placements`);
-  assert.ok(next.controller.leaderTerm, "it still leads");
-  assert.deepEqual(next.errorLines, []);
+  const remaining = countPlacements(nextLeader);
+
+  assert.ok(remaining <= Math.ceil(alive.length * TASKS_PER_MACHINE), `${remaining} placements`);
+  assert.ok(nextLeader.controller.leaderTerm, "it still leads");
+  assert.deepEqual(nextLeader.errorLines, []);
   assert.ok(mostSent <= 2 * FENCES_IN_500_MS, `${mostSent} direct commands in half a second`);
-  const looked = next.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined - before;
-  assert.ok(looked <= 20 * 10 * MANY, `${looked} looks at a machine for ten jobs in thirty seconds`);
+
+  const examined =
+    nextLeader.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore;
+  assert.ok(
+    examined <= 20 * 10 * MACHINE_COUNT,
+    `${examined} looks at a machine for ten jobs in thirty seconds`,
+  );
 });
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -1,3 +1,5 @@
+/** What comes in from outside, checked field by field: settings, submissions, heartbeats, responses, requests. */
+
 import assert from "node:assert/strict";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
@@ -70,7 +72,7 @@
   assert.equal(openFilesProblem(1200, ""), null, "where the system does not tell");
 });
 
-// Guarded against: the settings of the version before, stored whole, must not be raised with the default.
+// Guarded against: stored settings of the version before are complete, and must not follow a raised default.
 test("a stored max_machines stays as the operator set it", () => {
   assert.equal(readOperator({ max_machines: 2000 }).max_machines, 2000);
   assert.equal(defaultOperator.max_machines, 10_000);
@@ -87,9 +89,11 @@
   const good = decodeJobSubmission(JOB);
   assert.ok(typeof good.spec === "object");
   assert.deepEqual(good.spec.need, { cpu: 1100, gpu: 0, ram: 2000 });
+
   const { racks, due_s, yard, ...sparse } = JOB;
   assert.deepEqual([racks, due_s, yard], [null, null, null]);
   assert.ok(typeof decodeJobSubmission(sparse).spec === "object", "a field that may be null may be missing");
+
   for (const [field, value] of Object.entries({
     uid: "x-1",
     pieces: 0,
@@ -108,8 +112,8 @@
 });
 
 test("reports: malformed ones are refused, and integers beyond a double's reach do no harm", () => {
-  const directory = new NameRegistry();
-  const report = {
+  const names = new NameRegistry();
+  const heartbeat = {
     host: "i-1",
     address: "10.0.0.1:1",
     rack: "g8",
@@ -120,39 +124,50 @@
     baton: 0,
     pieces: [{ piece: "j-1/3", try: 7, phase: "ended", cause: "error", stored: true }],
   };
-  const read = decodeHeartbeat(report, directory);
-  assert.equal(read?.tasks[0]?.exitReason, "error");
-  const [order] = encodeAgentCommands(
-    [{ kind: "stop", job: read.tasks[0].job, task: 3, attempt: 7, graceS: 2 }],
-    directory,
+  const decoded = decodeHeartbeat(heartbeat, names);
+
+  assert.equal(decoded?.tasks[0]?.exitReason, "error");
+
+  const [command] = encodeAgentCommands(
+    [{ kind: "stop", job: decoded.tasks[0].job, task: 3, attempt: 7, graceS: 2 }],
+    names,
   );
-  assert.deepEqual(order, { verb: "stop", piece: "j-1/3", try: 7, windup_s: 2 });
-  const bad = [
+  assert.deepEqual(command, { verb: "stop", piece: "j-1/3", try: 7, windup_s: 2 });
+
+  const malformed = [
     {},
-    { ...report, shift: -1 },
-    { ...report, address: "http://x" },
-    { ...report, pieces: [{ piece: "j-1", try: 1, phase: "running" }] },
-    { ...report, pieces: [{ piece: "j-1/x", try: 1, phase: "running" }] },
-    { ...report, pieces: [{ piece: "j-1/1", try: 1, phase: "dancing" }] },
-    { ...report, pieces: {} },
+    { ...heartbeat, shift: -1 },
+    { ...heartbeat, address: "http://x" },
+    { ...heartbeat, pieces: [{ piece: "j-1", try: 1, phase: "running" }] },
+    { ...heartbeat, pieces: [{ piece: "j-1/x", try: 1, phase: "running" }] },
+    { ...heartbeat, pieces: [{ piece: "j-1/1", try: 1, phase: "dancing" }] },
+    { ...heartbeat, pieces: {} },
   ];
-  for (const body of bad) assert.equal(decodeHeartbeat(body, directory), null, JSON.stringify(body));
+  for (const body of malformed) assert.equal(decodeHeartbeat(body, names), null, JSON.stringify(body));
 });
 
 test("answers from outside that make no sense count as none", () => {
-  const txn = { kind: "transaction", conditions: [], changes: [] } as const;
-  assert.equal(decodeStoreResponse(txn, 200, { ledger: "x" }).kind, "timeout");
-  assert.equal(decodeStoreResponse(txn, 409, {}).kind, "timeout");
-  assert.equal(decodeStoreResponse(txn, 503, {}).kind, "unavailable");
+  const transaction = { kind: "transaction", conditions: [], changes: [] } as const;
+  assert.equal(decodeStoreResponse(transaction, 200, { ledger: "x" }).kind, "timeout");
+  assert.equal(decodeStoreResponse(transaction, 409, {}).kind, "timeout");
+  assert.equal(decodeStoreResponse(transaction, 503, {}).kind, "unavailable");
   assert.equal(decodeStoreResponse({ kind: "get", key: "a" }, 200, undefined).kind, "timeout");
-  const hire = { kind: "create", requestId: "r", type: "t", zone: "z", spot: false, count: 1 } as const;
-  assert.equal(decodeCloudResponse(hire, 503, { error: "no capacity" }).kind, "noCapacity");
-  assert.equal(decodeCloudResponse(hire, 503, { error: "trouble" }).kind, "unavailable");
-  assert.equal(decodeCloudResponse(hire, 200, { hosts: 5 }).kind, "timeout");
+
+  const createRequest = {
+    kind: "create",
+    requestId: "r",
+    type: "t",
+    zone: "z",
+    spot: false,
+    count: 1,
+  } as const;
+  assert.equal(decodeCloudResponse(createRequest, 503, { error: "no capacity" }).kind, "noCapacity");
+  assert.equal(decodeCloudResponse(createRequest, 503, { error: "trouble" }).kind, "unavailable");
+  assert.equal(decodeCloudResponse(createRequest, 200, { hosts: 5 }).kind, "timeout");
   assert.equal(decodeCloudResponse({ kind: "list", after: null }, 200, { hosts: [{}] }).kind, "timeout");
 });
 
-/** A job as large as a body may be, and larger. */
+/** A submission whose body has this many bytes. */
 function padded(bytes: number): string {
   const empty = JSON.stringify({ ...JOB, note: "" });
   return JSON.stringify({ ...JOB, note: "x".repeat(bytes - empty.length) });
@@ -195,7 +210,7 @@
   const server = createServer(handler, shareSockets(100));
   await new Promise<void>((listening) => server.listen(0, "127.0.0.1", listening));
   const { port } = server.address() as AddressInfo;
-  const ask = async (method: string, path: string, body?: string) => {
+  const request = async (method: string, path: string, body?: string) => {
     const response = await fetch(`http://127.0.0.1:${port}${path}`, { method, body: body ?? null });
     return {
       status: response.status,
@@ -204,7 +219,8 @@
     };
   };
   try {
-    assert.equal((await ask("POST", "/api/jobs", JSON.stringify(JOB))).status, 201);
+    assert.equal((await request("POST", "/api/jobs", JSON.stringify(JOB))).status, 201);
+
     const cases: [string, string, string | undefined, number][] = [
       ["POST", "/api/jobs", "{", 400],
       ["POST", "/api/jobs", "[]", 400],
@@ -226,22 +242,27 @@
       ["PUT", "/admin/machines/i-1", '{"mode":"explode"}', 400],
     ];
     for (const [method, path, body, status] of cases) {
-      const answer = await ask(method, path, body);
+      const answer = await request(method, path, body);
       assert.equal(answer.status, status, `${method} ${path} ${body?.slice(0, 40)}`);
       assert.equal("error" in JSON.parse(answer.body), status >= 400);
     }
-    const later = await ask("GET", "/api/jobs/j-1");
-    assert.deepEqual([later.status, later.after], [503, "2"]);
-    const refused = await ask("POST", "/api/jobs", JSON.stringify({ ...JOB, uid: "j-77" }));
-    assert.deepEqual([refused.status, refused.after], [429, "12"]);
+    const unavailable = await request("GET", "/api/jobs/j-1");
+
+    assert.deepEqual([unavailable.status, unavailable.after], [503, "2"]);
+
+    const throttled = await request("POST", "/api/jobs", JSON.stringify({ ...JOB, uid: "j-77" }));
+    assert.deepEqual([throttled.status, throttled.after], [429, "12"]);
+
     handler.overloaded = true;
-    const before = handler.asked.length;
-    const shed = await ask("POST", "/api/jobs", JSON.stringify(JOB));
+    const submittedBefore = handler.asked.length;
+    const shed = await request("POST", "/api/jobs", JSON.stringify(JOB));
+
     assert.equal(shed.status, 503);
     assert.ok(Number(shed.after) > 0);
-    assert.equal(handler.asked.length, before);
+    assert.equal(handler.asked.length, submittedBefore);
+
     handler.ready = false;
-    assert.equal((await ask("GET", "/ready")).status, 503);
+    assert.equal((await request("GET", "/ready")).status, 503);
   } finally {
     server.close();
     server.closeAllConnections();
