--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -1,3 +1,5 @@
+/** Peers and clients that don't read, or send too much, cost a bounded amount of memory. */
+
 import assert from "node:assert/strict";
 import net, { type AddressInfo } from "node:net";
 import { test } from "node:test";
@@ -14,8 +16,8 @@
 
 const LOOPBACK = "127.0.0.1";
 const MB = 1024 * 1024;
-/** Messages of 13 KB, far more than may be kept for a peer. */
-const MOST_SENT = 4000;
+/** Messages of 13 KB each: far more than may be buffered for a peer. */
+const MAX_SENT_MESSAGES = 4000;
 
 async function listen(server: net.Server): Promise<number> {
   await new Promise<void>((listening) => server.listen(0, LOOPBACK, listening));
@@ -25,27 +27,32 @@
 setFlagsFromString("--expose-gc");
 const collectGarbage = runInNewContext("gc") as () => void;
 
-/** Bytes that are kept, by the heap and outside it. */
-function inUse(): number {
+/** Bytes in use after a garbage collection, on the heap and in array buffers. */
+function bytesInUse(): number {
   collectGarbage();
   const { heapUsed, arrayBuffers } = process.memoryUsage();
   return heapUsed + arrayBuffers;
 }
 
-/** A peer that accepts and never reads; offered far more than may be kept for it. Returns what was kept at the most. */
+/** Sends far more than may be buffered to a peer that accepts the link and never reads. `kept` is the peak in bytes. */
 async function offerToStalledPeer(): Promise<{ kept: number; sent: number; lost: number }> {
   const stalled = net.createServer((socket) => socket.pause());
-  const at = { host: LOOPBACK, port: await listen(stalled) };
+  const address = { host: LOOPBACK, port: await listen(stalled) };
   const base = parseSettings(SETTINGS);
   const links: boolean[] = [];
   const peers = new Peers(
-    { ...base, maxConnections: 256, peerListen: { host: LOOPBACK, port: 0 }, peers: [{ node: "n1", at }] },
+    {
+      ...base,
+      maxConnections: 256,
+      peerListen: { host: LOOPBACK, port: 0 },
+      peers: [{ node: "n1", at: address }],
+    },
     { link: (_node, up) => links.push(up), message: () => {} },
   );
   peers.listen((error) => {
     throw error;
   });
-  const before = inUse();
+  const bytesBefore = bytesInUse();
   let kept = 0;
   let sent = 0;
   while (!links.includes(false)) {
@@ -53,14 +60,14 @@
     const message: PeerMessage = { kind: "forwardedHeartbeats", heartbeats: [{ id: 1, body }] };
     peers.send("n1", message);
     if (links.includes(true)) sent++;
-    if (sent % 100 === 1) kept = Math.max(kept, inUse() - before);
-    if (sent > MOST_SENT) break;
+    if (sent % 100 === 1) kept = Math.max(kept, bytesInUse() - bytesBefore);
+    if (sent > MAX_SENT_MESSAGES) break;
     await new Promise((next) => setImmediate(next));
   }
   return { kept, sent, lost: links.filter((up) => !up).length };
 }
 
-class NoHandler implements RequestHandler {
+class CountingRequestHandler implements RequestHandler {
   readonly ready = true;
   readonly overloaded = false;
   taken = 0;
@@ -79,8 +86,8 @@
   }
 }
 
-/** Sends a body of so many bytes in pieces, without saying how long it will be; the status line of the answer. */
-function stream(port: number, path: string, bytes: number, watch: () => void): Promise<string> {
+/** Sends a chunked body of so many bytes, without a content length; resolves to the status line of the response. */
+function streamBody(port: number, path: string, bytes: number, onPiece: () => void): Promise<string> {
   const piece = Buffer.alloc(64 * 1024, "x");
   return new Promise((then) => {
     const socket = net.connect(port, LOOPBACK);
@@ -91,15 +98,15 @@
       socket.destroy();
     });
     socket.write(`POST ${path} HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n`);
-    let left = bytes;
+    let bytesLeft = bytes;
     const next = () => {
-      watch();
+      onPiece();
       if (socket.destroyed) return;
-      if (left <= 0) {
+      if (bytesLeft <= 0) {
         socket.write("0\r\n\r\n");
         return;
       }
-      left -= piece.length;
+      bytesLeft -= piece.length;
       socket.write(`${piece.length.toString(16)}\r\n`);
       socket.write(piece);
       if (socket.write("\r\n")) setImmediate(next);
@@ -110,7 +117,7 @@
 }
 
 if (isMainThread) {
-  // Guarded against: a peer that stands still while reports are passed on to it costs a controller its memory.
+  // Guarded against: a stalled peer, to which heartbeats are forwarded, makes a controller run out of memory.
   test("a peer that does not read costs a bounded amount of memory, and its link", async () => {
     const worker = new Worker(fileURLToPath(import.meta.url));
     try {
@@ -119,7 +126,7 @@
         worker.once("error", fail);
       });
       assert.equal(result.lost, 1, `the link is given up: ${JSON.stringify(result)}`);
-      // 2 KiB for each of its 256 connections, and what is in the making; the rest lies in the kernel's buffers.
+      // 2 KiB for each of its 256 connections, and the message being encoded; the rest is in the kernel's buffers.
       assert.ok(result.kept < 8 * MB, JSON.stringify(result));
     } finally {
       await worker.terminate();
@@ -127,17 +134,18 @@
   });
 
   test("an oversized body that comes in pieces is refused without being kept, on every path", async () => {
-    const handler = new NoHandler();
+    const handler = new CountingRequestHandler();
     const server = createServer(handler, shareSockets(100));
     const port = await listen(server);
     try {
       for (const path of ["/api/jobs", "/agent/beat"]) {
-        const before = inUse();
+        const bytesBefore = bytesInUse();
         let kept = 0;
         let pieces = 0;
-        const status = await stream(port, path, 64 * MB, () => {
-          if (pieces++ % 64 === 0) kept = Math.max(kept, inUse() - before);
+        const status = await streamBody(port, path, 64 * MB, () => {
+          if (pieces++ % 64 === 0) kept = Math.max(kept, bytesInUse() - bytesBefore);
         });
+
         assert.match(status, /^HTTP\/1\.1 400|^closed/, path);
         assert.ok(kept < 8 * MB, `${path}: ${Math.round(kept / MB)} MB were kept`);
       }
@@ -149,27 +157,29 @@
   });
 
   test("a body that comes byte by byte is read as one; half a request costs its connection alone", async () => {
-    const handler = new NoHandler();
+    const handler = new CountingRequestHandler();
     const server = createServer(handler, shareSockets(100));
     const port = await listen(server);
     try {
-      const half = net.connect(port, LOOPBACK);
-      half.write("POST /agent/beat HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\n{");
+      const halfRequest = net.connect(port, LOOPBACK);
+      halfRequest.write("POST /agent/beat HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\n{");
       const text = '{"host":"i-1"}';
       const status = await new Promise<string>((then) => {
         const socket = net.connect(port, LOOPBACK);
         socket.on("data", (data) => then(data.toString("utf8").split("\r\n")[0] ?? ""));
-        const whole = `POST /agent/beat HTTP/1.1\r\nhost: x\r\ncontent-length: ${text.length}\r\n\r\n${text}`;
+        const wholeRequest = `POST /agent/beat HTTP/1.1\r\nhost: x\r\ncontent-length: ${text.length}\r\n\r\n${text}`;
         const send = (i: number) => {
-          if (i === whole.length) return;
-          socket.write(whole.charAt(i));
+          if (i === wholeRequest.length) return;
+          socket.write(wholeRequest.charAt(i));
           setImmediate(() => send(i + 1));
         };
         send(0);
       });
+
       assert.equal(status, "HTTP/1.1 400 Bad Request");
       assert.equal(handler.taken, 1, "it was read as JSON");
-      half.destroy();
+
+      halfRequest.destroy();
     } finally {
       server.close();
       server.closeAllConnections();
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,3 +1,5 @@
+/** CI's verdict on a run of the tests, given the list of known failures. */
+
 import assert from "node:assert/strict";
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, writeFileSync } from "node:fs";
@@ -9,14 +11,14 @@
 const RED = "ok 1 - keeps, and holds\nnot ok 2 - lets go\n";
 const LINE = "lets go | the cause, as found | issue 13";
 
-/** The verdict of CI on a run of the tests, and what it prints. */
-function judge(output: string, status: number, list: string | null): { passed: boolean; said: string } {
-  const dir = mkdtempSync(join(tmpdir(), "known-red-"));
-  writeFileSync(join(dir, "output"), output);
-  if (list !== null) writeFileSync(join(dir, "list"), list);
-  const args = [".ci/known-red.mjs", join(dir, "list"), join(dir, "output"), String(status)];
+/** CI's verdict on a run of the tests with this output and exit status, and what it prints; `list` null: no list. */
+function judge(output: string, status: number, list: string | null): { passed: boolean; printed: string } {
+  const folder = mkdtempSync(join(tmpdir(), "known-red-"));
+  writeFileSync(join(folder, "output"), output);
+  if (list !== null) writeFileSync(join(folder, "list"), list);
+  const args = [".ci/known-red.mjs", join(folder, "list"), join(folder, "output"), String(status)];
   const { status: code, stdout } = spawnSync(process.execPath, args, { encoding: "utf8" });
-  return { passed: code === 0, said: stdout };
+  return { passed: code === 0, printed: stdout };
 }
 
 test("CI passes over listed failures alone, prints them, and bears no list that is wrong", () => {
@@ -24,9 +26,10 @@
   assert.equal(judge(GREEN, 0, "").passed, true);
   assert.equal(judge(RED, 1, null).passed, false);
   assert.equal(judge(RED, 1, "\n").passed, false);
+
   const known = judge(RED, 1, `${LINE}\n`);
   assert.equal(known.passed, true);
-  assert.match(known.said, /known red: lets go \| the cause/);
+  assert.match(known.printed, /known red: lets go \| the cause/);
   for (const [output, status, list] of [
     ["ok 1 - a\nnot ok 2 - lets go\nnot ok 3 - another\n", 1, LINE],
     [GREEN, 0, LINE],
@@ -38,7 +41,7 @@
       1,
       "abcd"
         .split("")
-        .map((n) => `${n} | x | y`)
+        .map((name) => `${name} | x | y`)
         .join("\n"),
     ],
     [GREEN, 7, null],
--- a/test/server-bundle.test.ts
+++ b/test/server-bundle.test.ts
@@ -1,3 +1,5 @@
+/** The server's code cache: used where it fits, and never a reason not to start. */
+
 import assert from "node:assert/strict";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -6,12 +8,12 @@
 import { loadServer } from "../src/cli/server-bundle.js";
 
 // Guarded against: a code cache that doesn't fit (another Node, other flags, a broken file) ends a start, or is used.
-test("the server starts with its code cache, and without one that is missing or doesn't fit", (t) => {
+test("the server starts with its code cache, and without one that is missing or doesn't fit", (context) => {
   const folder = mkdtempSync(join(tmpdir(), "hillspindle-"));
-  t.after(() => rmSync(folder, { recursive: true }));
+  context.after(() => rmSync(folder, { recursive: true }));
   const source = 'module.exports = { serve: (path) => "serves " + path };';
   writeFileSync(join(folder, "server.cjs"), source);
-  const serves = (cacheProblem: string | null) => {
+  const assertServes = (cacheProblem: string | null) => {
     const loaded = loadServer(folder);
     assert.equal(loaded.cacheProblem, cacheProblem);
     assert.equal(
@@ -20,15 +22,20 @@
     );
     return loaded.codeCache();
   };
-  const cache = serves("missing");
+  const cache = assertServes("missing");
   writeFileSync(join(folder, "server.cache"), cache);
-  serves(null);
-  const foreign = Buffer.from(cache);
-  foreign.fill(0x5a, 0, 24);
-  for (const [i, broken] of [foreign, cache.subarray(0, 40), Buffer.from("x"), Buffer.alloc(0)].entries()) {
-    // Within a process V8 compiles the same source only once, whatever cache it is given.
-    writeFileSync(join(folder, "server.cjs"), `${source} //${i}`);
+  assertServes(null);
+  const foreignCache = Buffer.from(cache);
+  foreignCache.fill(0x5a, 0, 24);
+  for (const [index, broken] of [
+    foreignCache,
+    cache.subarray(0, 40),
+    Buffer.from("x"),
+    Buffer.alloc(0),
+  ].entries()) {
+    // V8 compiles the same source only once in a process, whatever cache it is given.
+    writeFileSync(join(folder, "server.cjs"), `${source} //${index}`);
     writeFileSync(join(folder, "server.cache"), broken);
-    serves("made by another Node or flags");
+    assertServes("made by another Node or flags");
   }
 });
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -1,3 +1,5 @@
+/** How a node's connections are shared out between agents, users, probes and calls of its own. */
+
 import assert from "node:assert/strict";
 import http from "node:http";
 import type { AddressInfo } from "node:net";
@@ -53,21 +55,24 @@
 });
 
 test("when every connection is in use a further call counts as unanswered at once, and none is leaked", async () => {
-  const held: http.ServerResponse[] = [];
-  const slow = http.createServer((_req, res) => held.push(res));
+  const pendingResponses: http.ServerResponse[] = [];
+  const slow = http.createServer((_req, res) => pendingResponses.push(res));
   const quick = http.createServer((_req, res) => res.end("{}"));
   const client = new HttpClient(1, 1);
   try {
-    const [a, b] = [await listen(slow), await listen(quick)];
-    const first = call(client, a);
-    assert.equal(await call(client, b), null);
-    while (held.length === 0) await new Promise((later) => setImmediate(later));
-    held[0]?.end("{}");
-    assert.equal((await first)?.status, 200);
-    assert.equal((await call(client, b))?.status, 200);
-    // A refused connection and one that is reset give their place back.
+    const [slowPort, quickPort] = [await listen(slow), await listen(quick)];
+    const firstCall = call(client, slowPort);
+    assert.equal(await call(client, quickPort), null);
+
+    while (pendingResponses.length === 0) await new Promise((later) => setImmediate(later));
+    pendingResponses[0]?.end("{}");
+    assert.equal((await firstCall)?.status, 200);
+    assert.equal((await call(client, quickPort))?.status, 200);
+
+    // A refused connection and one that is reset free their place.
     stop(quick);
-    for (let i = 0; i < 3; i++) assert.equal(await call(client, b), null);
+    for (let i = 0; i < 3; i++) assert.equal(await call(client, quickPort), null);
+
     for (let i = 0; i < 100 && client.open > 0; i++) await new Promise((later) => setImmediate(later));
     assert.equal(client.open, 0);
   } finally {
@@ -102,28 +107,34 @@
   const probes = new HttpClient(1);
   try {
     const port = await listen(server);
-    const report = async (i: number) => (await call(agents[i] ?? probes, port, "/agent/beat"))?.status;
-    assert.deepEqual([await report(0), await report(1), await report(2)], [200, 200, 200]);
-    assert.equal(await report(0), 200, "the same worker again takes no further place");
-    assert.equal(await report(3), 421);
+    const sendHeartbeat = async (index: number) =>
+      (await call(agents[index] ?? probes, port, "/agent/beat"))?.status;
+    assert.deepEqual(
+      [await sendHeartbeat(0), await sendHeartbeat(1), await sendHeartbeat(2)],
+      [200, 200, 200],
+    );
+    assert.equal(await sendHeartbeat(0), 200, "the same worker again takes no further place");
+    assert.equal(await sendHeartbeat(3), 421);
+
     const ready = await new Promise<HttpAnswer | null>((then) =>
       probes.call({ host: LOOPBACK, port }, { method: "GET", path: "/ready" }, 2000, then),
     );
     assert.equal(ready?.status, 200);
+
     server.closeIdleConnections();
-    while ((await report(3)) !== 200) await new Promise((later) => setImmediate(later));
+    while ((await sendHeartbeat(3)) !== 200) await new Promise((later) => setImmediate(later));
   } finally {
     stop(server);
   }
 });
 
-// Guarded against: with more workers than connections, those beyond the bound were sent away with each report, and where
-// only one node is left their leases ran out.
+// Guarded against: with more agents than connections, those beyond the bound were redirected at each heartbeat, and where
+// only one node was left their leases expired.
 test("one node with fewer sockets than workers answers each report of all of them, and users get through", async () => {
   const shares = { inbound: 12, workersIn: 8, workersKept: 6, workersOut: 1 };
   const server = createServer(new AnyRequestHandler(), shares);
-  const workers = Array.from({ length: 40 }, () => new HttpClient(1));
-  const user = new HttpClient(1);
+  const agents = Array.from({ length: 40 }, () => new HttpClient(1));
+  const userClient = new HttpClient(1);
   let mostOpen = 0;
   server.on("connection", () => {
     server.getConnections((_error, count) => {
@@ -132,25 +143,29 @@
   });
   try {
     const port = await listen(server);
-    const tally = workers.map(() => 0);
+    const answeredOf = agents.map(() => 0);
     for (let round = 0; round < 3; round++) {
-      // Two at a time, as many as may wait for answers beside the connections that are kept.
-      for (let i = 0; i < workers.length; i += 2) {
-        const pair = [i, i + 1];
-        const answers = await Promise.all(pair.map((j) => call(workers[j] ?? user, port, "/agent/beat")));
-        for (const [k, j] of pair.entries()) if (answers[k]?.status === 200) tally[j] = (tally[j] ?? 0) + 1;
+      // Two at a time: as many as may wait for replies beside the connections that are kept alive.
+      for (let index = 0; index < agents.length; index += 2) {
+        const twoAgents = [index, index + 1];
+        const answers = await Promise.all(
+          twoAgents.map((agentIndex) => call(agents[agentIndex] ?? userClient, port, "/agent/beat")),
+        );
+        for (const [position, agentIndex] of twoAgents.entries())
+          if (answers[position]?.status === 200) answeredOf[agentIndex] = (answeredOf[agentIndex] ?? 0) + 1;
       }
       const probe = await new Promise<HttpAnswer | null>((then) =>
-        user.call({ host: LOOPBACK, port }, { method: "GET", path: "/ready" }, 2000, then),
+        userClient.call({ host: LOOPBACK, port }, { method: "GET", path: "/ready" }, 2000, then),
       );
       assert.equal(probe?.status, 200);
     }
+
     assert.deepEqual(
-      tally,
-      workers.map(() => 3),
+      answeredOf,
+      agents.map(() => 3),
     );
     assert.ok(mostOpen <= shares.inbound, `${mostOpen} connections`);
-    assert.ok(workers.filter((worker) => worker.open > 0).length <= shares.workersKept);
+    assert.ok(agents.filter((agent) => agent.open > 0).length <= shares.workersKept);
   } finally {
     stop(server);
   }
