--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -7,6 +7,7 @@
 import { encodeJobStatus } from "../src/protocol/jobs.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 import { leaderWithDependentJob, phaseOf, reportDone, writesFinalRecord } from "./support/dependent-jobs.js";
+import { electNextLeader } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
 test("a job starts once those it needs are on record as done, not when a report says that they are", () => {
@@ -186,10 +187,7 @@
   assert.deepEqual(effectiveOf("j-1"), { priority: 2, dueS: 75 });
 
   // A new leader derives the same.
-  leader.store.expire(leader.now + 60_000);
-  const nextLeader = new ControllerHarness("n1", leader.store);
-  nextLeader.now = leader.now + 60_000;
-  nextLeader.becomeLeader();
+  const nextLeader = electNextLeader(leader);
 
   assert.equal(nextLeader.controller.leaderTerm?.cluster.jobByUid("j-1")?.effectivePriority, 2);
 
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -1,9 +1,9 @@
-/** Election of the leader, fencing tokens, and stepping down or resigning. */
+/** Election of the leader, fencing tokens, and stepping down. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
-import { leaderWithRunningTask } from "./support/leaders.js";
+import { jobSpec } from "./support/controller-harness.js";
+import { electNextLeader, leaderWithRunningTask } from "./support/leaders.js";
 
 test("a leader that the state service refuses launches nothing, answers reports for a time, then no more", () => {
   const { harness, attempt } = leaderWithRunningTask();
@@ -49,10 +49,7 @@
 
   assert.ok(raisedToken > firstToken);
 
-  leader.store.expire(leader.now + 60_000);
-  const nextLeader = new ControllerHarness("n1", leader.store);
-  nextLeader.now = leader.now + 60_000;
-  nextLeader.becomeLeader();
+  const nextLeader = electNextLeader(leader);
 
   assert.ok((nextLeader.controller.election.lease?.fencingToken ?? 0) > raisedToken);
 });
--- a/test/quarantined-keys.test.ts
+++ b/test/quarantined-keys.test.ts
@@ -2,8 +2,8 @@
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
-import { leaderWithRunningTask } from "./support/leaders.js";
+import { jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { electNextLeader, leaderWithRunningTask } from "./support/leaders.js";
 
 test("records that can't be read are told of and kept, and nothing they may speak of is started", () => {
   const { harness: previousLeader, attempt } = leaderWithRunningTask();
@@ -17,10 +17,7 @@
   put("j/j-3", ["?"]);
   put("m/7", 12);
   put("c/settings", "?");
-  previousLeader.store.expire(previousLeader.now + 60_000);
-  const newLeader = new ControllerHarness("n1", previousLeader.store);
-  newLeader.now = previousLeader.now + 60_000;
-  newLeader.becomeLeader();
+  const newLeader = electNextLeader(previousLeader);
 
   assert.ok(newLeader.controller.leaderTerm?.agents.areRecordsLoaded);
   assert.ok(
--- a/test/record-writer.test.ts
+++ b/test/record-writer.test.ts
@@ -5,7 +5,7 @@
 import type { StoreRequest } from "../src/core/messages/store.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 import { FakeStore } from "./support/fake-store.js";
-import { leaderWithRunningTask, onlyElement } from "./support/leaders.js";
+import { electNextLeader, leaderWithRunningTask, onlyElement } from "./support/leaders.js";
 
 test("a transaction of a deposed leader that is applied late changes nothing", () => {
   const store = new FakeStore();
@@ -19,10 +19,7 @@
 
   assert.ok(call.kind === "transaction");
 
-  store.expire(leader.now + 60_000);
-  const nextLeader = new ControllerHarness("n1", store);
-  nextLeader.now = leader.now + 60_000;
-  nextLeader.becomeLeader();
+  const nextLeader = electNextLeader(leader);
 
   assert.ok(nextLeader.controller.leaderTerm);
   assert.equal(store.run(call, nextLeader.now).kind, "conflict");
--- a/test/replica-migration.test.ts
+++ b/test/replica-migration.test.ts
@@ -3,6 +3,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
+import { electNextLeader } from "./support/leaders.js";
 import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
 
 /**
@@ -59,10 +60,7 @@
 
 test("move: a new leader finishes the recorded one first", () => {
   const { harness: leader, tasksByMachine } = leaderWithPendingMigration();
-  leader.store.expire(leader.now + 60_000);
-  const nextLeader = new ControllerHarness("n1", leader.store);
-  nextLeader.now = leader.now + 60_000;
-  nextLeader.becomeLeader();
+  const nextLeader = electNextLeader(leader);
 
   assert.equal(nextLeader.controller.leaderTerm?.migrator.pending?.job, "j-11");
 
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -4,6 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { FakeStore } from "./support/fake-store.js";
+import { electNextLeader } from "./support/leaders.js";
 
 /** Agents that carry out commands at once and send heartbeats every half second; tasks end after about `runMs`. */
 class AgentFleet {
@@ -210,10 +211,7 @@
     `${machineRecords.length} records of machines`,
   );
 
-  leader.store.expire(leader.now + 60_000);
-  const nextLeader = new ControllerHarness("n1", leader.store);
-  nextLeader.now = leader.now + 60_000;
-  nextLeader.becomeLeader();
+  const nextLeader = electNextLeader(leader);
 
   assert.ok(nextLeader.controller.leaderTerm?.agents.areRecordsLoaded, "ready after three reads");
 
--- a/test/store-limits.test.ts
+++ b/test/store-limits.test.ts
@@ -6,6 +6,7 @@
 import type { StoreRequest } from "../src/core/messages/store.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 import { FakeStore } from "./support/fake-store.js";
+import { electNextLeader } from "./support/leaders.js";
 import { receiveFromBothPeers } from "./support/peer-versions.js";
 import { productionStore } from "./support/production-store.js";
 import { countRunning, reportAllRunning, runFor } from "./support/running-agents.js";
@@ -77,10 +78,7 @@
   );
 
   // The next leader restores the newest state from records of both sizes.
-  store.expire(leader.now + 60_000);
-  const nextLeader = new ControllerHarness("n1", store);
-  nextLeader.now = leader.now + 60_000;
-  nextLeader.becomeLeader();
+  const nextLeader = electNextLeader(leader);
   const restoredJob =
     nextLeader.controller.leaderTerm?.cluster.jobByUid("j-000001") ?? assert.fail("not read");
 
@@ -173,10 +171,7 @@
 
   previousLeader.advance(300);
   store.limits = SMALL_LIMITS;
-  store.expire(previousLeader.now + 60_000);
-  const newLeader = new ControllerHarness("n1", store);
-  newLeader.now = previousLeader.now + 60_000;
-  newLeader.becomeLeader();
+  const newLeader = electNextLeader(previousLeader);
 
   assert.match(JSON.stringify(newLeader.submit(jobSpec("j-3", { types }))), /invalid.*too large/);
   assert.equal(newLeader.submit(jobSpec("j-1", { types }))?.kind, "accepted", "a repeat");
--- a/test/support/leaders.ts
+++ b/test/support/leaders.ts
@@ -24,13 +24,18 @@
   return { harness, attempt };
 }
 
+/** The leader's lease expires without a renewal, and node n1 is elected 60 s later, over the same store. */
+export function electNextLeader(leader: ControllerHarness): ControllerHarness {
+  leader.store.expire(leader.now + 60_000);
+  const nextLeader = new ControllerHarness("n1", leader.store);
+  nextLeader.now = leader.now + 60_000;
+  return nextLeader.becomeLeader();
+}
+
 /** A new leader that has restored the records of one that placed task 0 of j-1 on A; A has sent it no heartbeat yet. */
 export function successorOfSilentLeader(): { harness: ControllerHarness; attempt: number } {
   const { harness: previousLeader, attempt } = leaderWithRunningTask();
-  previousLeader.store.expire(previousLeader.now + 60_000);
-  const newLeader = new ControllerHarness("n1", previousLeader.store);
-  newLeader.now = previousLeader.now + 60_000;
-  newLeader.becomeLeader();
+  const newLeader = electNextLeader(previousLeader);
   assert.ok(newLeader.controller.leaderTerm?.agents.areRecordsLoaded);
   newLeader.sendHeartbeat("B", [], { zone: "b" });
   newLeader.advance(300);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -7,6 +7,7 @@
 import { readChunks } from "../src/core/store/stored-chunks.js";
 import { encodePeerMessage } from "../src/protocol/peers.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
+import { electNextLeader } from "./support/leaders.js";
 import { NEW_HEARTBEAT, OLD_HEARTBEAT, receiveFromBothPeers } from "./support/peer-versions.js";
 import { readMessageInProduction, readRecordInProduction } from "./support/production-readers.js";
 import { productionStore } from "./support/production-store.js";
@@ -138,10 +139,7 @@
 
   // Another node knows the gate from its record, even a new leader that has heard no peer; an old heartbeat does not
   // close it.
-  leader.store.expire(leader.now + 60_000);
-  const nextLeader = new ControllerHarness("n1", leader.store);
-  nextLeader.now = leader.now + 60_000;
-  nextLeader.becomeLeader();
+  const nextLeader = electNextLeader(leader);
   nextLeader.handle({ kind: "peerMessage", from: "n0", message: OLD_HEARTBEAT });
   nextLeader.advance(3000);
 
@@ -202,10 +200,7 @@
   for (const call of lateTransactions)
     assert.equal(leader.store.run(call, leader.now).kind, "ok", "nothing that it depends on has changed");
 
-  leader.store.expire(leader.now + 60_000);
-  const nextLeader = new ControllerHarness("n1", leader.store);
-  nextLeader.now = leader.now + 60_000;
-  nextLeader.becomeLeader();
+  const nextLeader = electNextLeader(leader);
   const restoredPlacement = nextLeader.controller.leaderTerm?.cluster.jobByUid("j-1")?.placements.get(0);
 
   assert.deepEqual(
