--- a/test/lease-renewal-policy.test.ts
+++ b/test/lease-renewal-policy.test.ts
@@ -7,6 +7,15 @@
 import { leaderWithRunningTask } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
+/** What a peer that can't reach the store either sends; it knows fencing token 1. */
+const PEER_IN_OUTAGE = {
+  kind: "heartbeat",
+  fencingToken: 1,
+  leader: null,
+  storeHealthy: false,
+  agentsHeard: 0,
+} as const;
+
 test("a leader that may not know of cancellations answers no report beyond what they leave room for", () => {
   // I1: whether keep-alives succeed or not, what counts is the age of the last job watch response. `cancel_s` is 40 s,
   // an agent lease 12 s.
@@ -19,14 +28,7 @@
     let lastRenewedAt = confirmedAt;
     while (harness.now < confirmedAt + 60_000) {
       // In an outage that all nodes share the peers are heard, and the grace period is the longest.
-      const peerHeartbeat = {
-        kind: "heartbeat",
-        fencingToken: 1,
-        leader: null,
-        storeHealthy: false,
-        agentsHeard: 0,
-      } as const;
-      harness.handle({ kind: "peerMessage", from: "n1", message: peerHeartbeat });
+      harness.handle({ kind: "peerMessage", from: "n1", message: PEER_IN_OUTAGE });
       const reply = harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
       if (reply?.kind === "commands") lastRenewedAt = harness.now;
       harness.advance(500);
@@ -67,14 +69,7 @@
   harness.storeRule = (call) => (call.kind === "watch" ? STORE_OUTAGE : null);
   harness.advance(6000);
   harness.now += 21_000;
-  const peerHeartbeat = {
-    kind: "heartbeat",
-    fencingToken: 1,
-    leader: null,
-    storeHealthy: false,
-    agentsHeard: 0,
-  } as const;
-  harness.handle({ kind: "peerMessage", from: "n1", message: peerHeartbeat });
+  harness.handle({ kind: "peerMessage", from: "n1", message: PEER_IN_OUTAGE });
   const reply = harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
 
   assert.notEqual(reply?.kind, "commands");
@@ -89,13 +84,7 @@
           harness.handle({
             kind: "peerMessage",
             from: "n1",
-            message: {
-              kind: "heartbeat",
-              fencingToken: 0,
-              leader: null,
-              storeHealthy: false,
-              agentsHeard: 0,
-            },
+            message: { ...PEER_IN_OUTAGE, fencingToken: 0 },
           });
         harness.advance(1000);
       }
--- a/test/submissions.test.ts
+++ b/test/submissions.test.ts
@@ -6,17 +6,9 @@
 import { decodeJobSubmission } from "../src/protocol/jobs.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 import { phaseOf } from "./support/dependent-jobs.js";
+import { NEW_HEARTBEAT, OLD_HEARTBEAT } from "./support/peer-versions.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-const NEW_PEER_HEARTBEAT = {
-  kind: "heartbeat",
-  fencingToken: 0,
-  leader: null,
-  storeHealthy: true,
-  agentsHeard: 0,
-  protocol: 2,
-} as const;
-
 test("a known job is never turned away, however its repeated submission looks", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
@@ -125,17 +117,16 @@
 test("while a node of the version before is heard, a job that waits for others is refused for now", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
-  const { protocol: _, ...oldHeartbeat } = NEW_PEER_HEARTBEAT;
   const receive = (message: PeerMessage) => harness.handle({ kind: "peerMessage", from: "n1", message });
-  receive(oldHeartbeat);
+  receive(OLD_HEARTBEAT);
 
   assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "unavailable");
   assert.equal(harness.submit(jobSpec("j-3"))?.kind, "accepted", "all else goes on");
 
-  receive(NEW_PEER_HEARTBEAT);
+  receive(NEW_HEARTBEAT);
   assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "accepted");
 
-  receive(oldHeartbeat);
+  receive(OLD_HEARTBEAT);
   assert.equal(
     phaseOf(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))),
     "queued",
