--- a/src/admission/policy.ts
+++ b/src/admission/policy.ts
@@ -42,7 +42,7 @@
     deployment.storeWriteRps,
     deployment.nextStoreLimits?.writeRps ?? Number.POSITIVE_INFINITY,
   );
-  const rate = settings.admission_rate > 0 ? settings.admission_rate : writesPerS / WRITES_PER_JOB;
+  const ratePerS = settings.admission_rate > 0 ? settings.admission_rate : writesPerS / WRITES_PER_JOB;
   const weights = deployment.teams.map(
     ({ name, guarantee }) => settings.admission_weights[name] ?? Math.max(MIN_WEIGHT, guarantee.cpu),
   );
@@ -51,7 +51,12 @@
   const teams = deployment.teams.map(({ name }, index) => {
     const weight = weights[index] ?? 0;
     const share = totalWeight > 0 ? weight / totalWeight : 1 / weights.length;
-    return { name, weight, minimumRatePerS: Math.max(MIN_RATE_PER_S, (rate * share) / nodeCount) };
+    return { name, weight, minimumRatePerS: Math.max(MIN_RATE_PER_S, (ratePerS * share) / nodeCount) };
   });
-  return { rate, burst: Math.max(1, rate * BURST_S), maxOpenJobs: settings.admission_open_jobs, teams };
+  return {
+    rate: ratePerS,
+    burst: Math.max(1, ratePerS * BURST_S),
+    maxOpenJobs: settings.admission_open_jobs,
+    teams,
+  };
 }
--- a/src/standby/cache-feed.ts
+++ b/src/standby/cache-feed.ts
@@ -38,11 +38,13 @@
     this.#reader = new RecordReader(ctx);
   }
 
+  /** Ends all reading; a response that is under way is dropped. */
   stop(): void {
     this.#isStopped = true;
     this.#reader.stop();
   }
 
+  /** Makes the next call to the store if it is due; there is one at a time. */
   tick(): void {
     this.#reader.tick();
     if (this.#isCallInFlight || this.#isStopped || this.#ctx.now < this.#nextCallAt) return;
