--- /dev/null
+++ b/src/core/autoscaling/machine-terminator.ts
@@ -0,0 +1,58 @@
+import type { AgentManager } from "../agents/agent-manager.js";
+import type { Context } from "../context.js";
+import type { ClusterState } from "../model/cluster-state.js";
+import type { Machine } from "../model/machine.js";
+import type { RecordWriter } from "../store/record-writer.js";
+
+const MAX_MACHINES_PER_REQUEST = 100;
+const RETRY_DELAY_MS = 3000;
+
+/** Has the cloud terminate the machines that are marked for termination: one request at a time, repeated until answered. */
+export class MachineTerminator {
+  readonly #ctx: Context;
+  readonly #cluster: ClusterState;
+  readonly #agents: AgentManager;
+  readonly #recordWriter: RecordWriter;
+  #isRequestInFlight = false;
+
+  constructor(ctx: Context, cluster: ClusterState, agents: AgentManager, recordWriter: RecordWriter) {
+    this.#ctx = ctx;
+    this.#cluster = cluster;
+    this.#agents = agents;
+    this.#recordWriter = recordWriter;
+  }
+
+  /** Requests the termination of the next marked machines, unless a request is in flight. */
+  tick(): void {
+    if (this.#isRequestInFlight) return;
+    const due = this.#dueMachines();
+    if (due.length === 0) return;
+    this.#isRequestInFlight = true;
+    this.#ctx.callCloud({ kind: "delete", machines: due.map(({ name }) => name) }, (response) => {
+      this.#isRequestInFlight = false;
+      for (const machine of due) {
+        if (response.kind === "deleted") this.#onTerminated(machine);
+        else machine.terminationRetryAt = this.#ctx.now + RETRY_DELAY_MS;
+      }
+    });
+  }
+
+  #dueMachines(): Machine[] {
+    const { now } = this.#ctx;
+    const due: Machine[] = [];
+    for (const machine of this.#cluster.machines.values()) {
+      if (due.length === MAX_MACHINES_PER_REQUEST) break;
+      if (machine.phase === "releasing" && now >= machine.terminationRetryAt) due.push(machine);
+    }
+    return due;
+  }
+
+  /** The cloud's confirmation proves that every task on the machine has ended (I3). */
+  #onTerminated(machine: Machine): void {
+    this.#ctx.log("info", "machine released", { machine: machine.name, why: machine.terminationReason });
+    this.#agents.expireMachine(machine, "released");
+    this.#cluster.terminatedMachines.set(machine.name, this.#ctx.now);
+    this.#recordWriter.machineRecords.gone(machine);
+    this.#cluster.removeMachine(machine);
+  }
+}
