--- a/src/core/agents/agent-manager.ts
+++ b/src/core/agents/agent-manager.ts
@@ -206,7 +206,7 @@
     for (const machine of this.#cluster.machines.values()) {
       if (machine.phase === "booting" || machine.isLeaseExpired) continue;
       if (now >= leaseExpiresAt(machine, this.#lease, deployment.leaseS))
-        this.expireMachine(machine, "its lease is over");
+        this.expireMachine(machine, "lease expired");
     }
   }
 
--- a/src/core/agents/heartbeat-intake.ts
+++ b/src/core/agents/heartbeat-intake.ts
@@ -95,7 +95,7 @@
     machine.incarnationSince = now;
     const wasAnswered = now - machine.repliedAt < deployment.leaseS * 1000;
     if (machine.incarnation > 0 && wasAnswered)
-      this.#reachability.markUnreachable(machine, "its lease expired although heartbeats were answered");
+      this.#reachability.markUnreachable(machine, "lease expired although heartbeats were answered");
   }
 
   /** The reply to a direct command is no contact: an agent that reaches no controller gets no work, and expires (I7). */
--- a/src/core/agents/machine-modes.ts
+++ b/src/core/agents/machine-modes.ts
@@ -8,7 +8,7 @@
 
 /** A service replica is evicted no sooner than this after its start was sent. */
 const REPLICA_MIN_AGE_MS = 30_000;
-const EVICTION_REASON = "its machine is going";
+const EVICTION_REASON = "its machine is drained or reclaimed";
 
 /** Applies the machine modes that operators and failures have set, and evicts the tasks of machines that go. */
 export class MachineModes {
--- a/src/core/agents/reachability-tracker.ts
+++ b/src/core/agents/reachability-tracker.ts
@@ -56,7 +56,7 @@
       deployment.heartbeatIntervalS * ACKNOWLEDGEMENT_TIMEOUT_INTERVALS * 1000,
     );
     if (now - machine.acknowledgementOverdueSince > timeoutMs)
-      this.markUnreachable(machine, "nothing sent to it shows");
+      this.markUnreachable(machine, "nothing sent to it has an effect");
   }
 
   /** Something that was sent to the agent has had an effect. */
--- a/src/core/autoscaling/gpu-headroom.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -225,7 +225,7 @@
     for (const placement of [...machine.placements]) {
       const { job, stop } = placement;
       if (job.spec.checkpointS > 0 && !stop && !hasCompletionObjective(this.#ctx, job))
-        this.#scheduler.preemption.stopGracefully(placement, "its machine is not needed");
+        this.#scheduler.preemption.stopGracefully(placement, "its machine is scaled in");
     }
   }
 }
--- a/src/core/autoscaling/machine-reaper.ts
+++ b/src/core/autoscaling/machine-reaper.ts
@@ -63,7 +63,7 @@
     const { now, settings } = this.#ctx;
     const bootS = machine.type?.bootS ?? UNKNOWN_BOOT_S;
     if (now - machine.bootingSince > bootS * settings.boot_factor * 1000)
-      this.markForTermination(machine, "it never came up");
+      this.markForTermination(machine, "boot timed out");
   }
 
   #trackIdleness(machine: Machine): void {
--- a/src/core/autoscaling/machine-terminator.ts
+++ b/src/core/autoscaling/machine-terminator.ts
@@ -50,7 +50,7 @@
   /** The cloud's confirmation proves that every task on the machine has ended (I3). */
   #onTerminated(machine: Machine): void {
     this.#ctx.log("info", "machine released", { machine: machine.name, why: machine.terminationReason });
-    this.#agents.expireMachine(machine, "released");
+    this.#agents.expireMachine(machine, "terminated");
     this.#cluster.terminatedMachines.set(machine.name, this.#ctx.now);
     this.#recordWriter.machineRecords.gone(machine);
     this.#cluster.removeMachine(machine);
--- a/src/core/autoscaling/provisioner.ts
+++ b/src/core/autoscaling/provisioner.ts
@@ -56,7 +56,7 @@
     this.#creationRequests = new CreationRequests(ctx, lease, cluster);
     this.#inventory = new CloudInventory(ctx, cluster, {
       onMachineTypes,
-      onMachineFailed: (machine) => this.#reaper.markForTermination(machine, "it failed"),
+      onMachineFailed: (machine) => this.#reaper.markForTermination(machine, "failed"),
     });
   }
 
--- a/src/core/autoscaling/termination-rules.ts
+++ b/src/core/autoscaling/termination-rules.ts
@@ -33,9 +33,9 @@
 
 /** Why a machine that is up is terminated; the first rule that applies gives the reason. */
 const TERMINATION_RULES: readonly TerminationRule[] = [
-  { reason: "it can't be reached", applies: isUnreachableForLong },
+  { reason: "unreachable", applies: isUnreachableForLong },
   { reason: "silent", applies: isExpiredForLong },
-  { reason: "taken back", applies: isReclaimed },
+  { reason: "reclaimed", applies: isReclaimed },
   { reason: "drained", applies: isDrained },
   { reason: "not needed", applies: isSurplus },
   { reason: "idle", applies: isIdleWithoutDemand },
--- a/src/core/model/cluster-state.ts
+++ b/src/core/model/cluster-state.ts
@@ -30,6 +30,20 @@
     this.names = names;
   }
 
+  /** The machine of this name, which is added if it is not known; one that is known gets the address, if there is one. */
+  machine(name: string, origin: MachineOrigin, createdAt: number): Machine {
+    const index = this.names.machines.intern(name);
+    const known = this.machines.get(index);
+    if (known) {
+      if (origin.address !== "") known.address = origin.address;
+      return known;
+    }
+    const machine = new Machine(index, name, origin, createdAt);
+    machine.type = this.machineTypes.get(origin.type) ?? null;
+    this.machines.set(index, machine);
+    return machine;
+  }
+
   /** Takes in the cloud's catalogue; types that it no longer lists stay known. */
   setMachineTypes(types: readonly MachineType[]): void {
     for (const type of types) this.machineTypes.set(type.name, type);
@@ -50,20 +64,6 @@
     return job;
   }
 
-  /** The machine of this name, which is added if it is not known; one that is known gets the address, if there is one. */
-  machine(name: string, origin: MachineOrigin, createdAt: number): Machine {
-    const index = this.names.machines.intern(name);
-    const known = this.machines.get(index);
-    if (known) {
-      if (origin.address !== "") known.address = origin.address;
-      return known;
-    }
-    const machine = new Machine(index, name, origin, createdAt);
-    machine.type = this.machineTypes.get(origin.type) ?? null;
-    this.machines.set(index, machine);
-    return machine;
-  }
-
   /** Removes a machine whose placements have been removed before. */
   removeMachine(machine: Machine): void {
     this.machines.delete(machine.index);
--- a/src/core/model/interner.ts
+++ b/src/core/model/interner.ts
@@ -13,6 +13,13 @@
   #reclaimedInPreviousBatch: number[] = [];
   #reclaimedInThisBatch: number[] = [];
 
+  /** The name of an index; throws a RangeError for an index that stands for none. */
+  name(index: number): string {
+    const name = this.#names[index];
+    if (name === undefined) throw new RangeError(`no name has index ${index}`);
+    return name;
+  }
+
   /** The index of a name, which gets one if it has none. */
   intern(name: string): number {
     const known = this.#index.get(name);
@@ -32,13 +39,6 @@
     return this.#index.get(name);
   }
 
-  /** The name of an index; throws a RangeError for an index that stands for none. */
-  name(index: number): string {
-    const name = this.#names[index];
-    if (name === undefined) throw new RangeError(`no name has index ${index}`);
-    return name;
-  }
-
   /**
    * Reclaims every index that is not in use, save those that commands of this batch may carry: only when the commands
    * have been processed is it known whether these are in use.
