--- a/src/core/autoscaling/provisioner.ts
+++ b/src/core/autoscaling/provisioner.ts
@@ -80,8 +80,8 @@
     this.#countsByType = this.#countMachinesByType();
     const plan = this.#planIncoming();
     for (const blocked of this.#scheduler.blocked) {
-      const { state, pending } = blocked.job;
-      if (state === "active" && pending !== 0) this.#planFor(blocked, plan);
+      const { job } = blocked;
+      if (job.state === "active" && job.pending !== 0) this.#planFor(blocked, plan);
     }
     for (const { offer, count } of plan.planned())
       this.#creationRequests.create(offer, Math.min(MAX_MACHINES_PER_REQUEST, count));
--- a/src/core/autoscaling/termination-rules.ts
+++ b/src/core/autoscaling/termination-rules.ts
@@ -84,12 +84,9 @@
 }
 
 /** A silent machine is taken for reclaimed if it is a spot machine, or if its interruption notice has run out. */
-function isReclaimed(
-  { spot, reclaimedAt }: Machine,
-  { now, silentAfterMs }: ClusterHealth,
-  quietMs: number,
-): boolean {
-  return isSilent(quietMs, silentAfterMs) && (spot || (reclaimedAt !== null && now > reclaimedAt));
+function isReclaimed(machine: Machine, { now, silentAfterMs }: ClusterHealth, quietMs: number): boolean {
+  if (!isSilent(quietMs, silentAfterMs)) return false;
+  return machine.spot || (machine.reclaimedAt !== null && now > machine.reclaimedAt);
 }
 
 function isDrained({ mode, placements }: Machine): boolean {
@@ -97,21 +94,20 @@
 }
 
 /** A GPU machine beyond those in use and the headroom. */
-function isSurplus(
-  { isMarkedForScaleIn, idleSince, bootingSince }: Machine,
-  { now }: ClusterHealth,
-): boolean {
-  return isMarkedForScaleIn && idleSince !== null && now - bootingSince > MIN_CHARGE_MS;
+function isSurplus(machine: Machine, { now }: ClusterHealth): boolean {
+  return (
+    machine.isMarkedForScaleIn && machine.idleSince !== null && now - machine.bootingSince > MIN_CHARGE_MS
+  );
 }
 
 /** GPU machines are not judged by this: the GPU headroom decides how many are kept. */
 function isIdleWithoutDemand(machine: Machine, { now, maxIdleMs, demandedKinds }: ClusterHealth): boolean {
-  const { idleSince, bootingSince, type } = machine;
+  const { idleSince, type } = machine;
   return (
     idleSince !== null &&
     type?.size.gpu === 0 &&
     now - idleSince > maxIdleMs &&
-    now - bootingSince > MIN_CHARGE_MS &&
+    now - machine.bootingSince > MIN_CHARGE_MS &&
     !demandedKinds.has(machineKindOf(machine))
   );
 }
