--- a/tools/loopback/cluster.ts
+++ b/tools/loopback/cluster.ts
@@ -1,32 +1,33 @@
+import { AgentFleet } from "./agent-fleet.js";
 import { CloudServer } from "./cloud-server.js";
-import { CLOUD_PORT, NODES, type NodeOptions, Nodes, STATE_PORT } from "./nodes.js";
-import { StateServer } from "./state-server.js";
-import { WorkerFleet } from "./worker-fleet.js";
+import { CLOUD_PORT, NODES, type NodeOptions, Nodes, STORE_PORT } from "./nodes.js";
+import { StoreServer } from "./store-server.js";
 
+/** How a cluster on loopback is made up. */
 export interface ClusterOptions extends NodeOptions {
-  readonly workers: number;
+  readonly machines: number;
   /** How long the tasks of a job run. */
   readonly runMs: (uid: string) => number;
 }
 
-/** Everything on loopback: three controllers by a run line, and stand-ins for state service, cloud and workers. */
+/** Everything on loopback: three controllers by a run line, and stand-ins for key-value store, cloud and agents. */
 export interface Cluster {
-  readonly state: StateServer;
-  readonly fleet: WorkerFleet;
+  readonly store: StoreServer;
+  readonly fleet: AgentFleet;
   readonly nodes: Nodes;
   readonly deployFile: string;
 }
 
-/** Starts the stand-ins; nodes and workers wait to be started. The run line is that of DEPLOY_FILE. */
-export function openCluster({ workers, runMs, ...options }: ClusterOptions): Cluster {
+/** Starts store and cloud; the caller starts nodes and agents. The run line is that of DEPLOY_FILE. */
+export function openCluster({ machines, runMs, ...options }: ClusterOptions): Cluster {
   const deployFile = process.env.DEPLOY_FILE ?? "deploy/service.toml";
-  const state = new StateServer();
-  state.listen(STATE_PORT);
-  const { reportS, leaseS } = options;
-  const fleet = new WorkerFleet(
-    { nodes: NODES, reportMs: reportS * 1000, leaseMs: leaseS * 1000, runMs },
-    workers,
+  const store = new StoreServer();
+  store.listen(STORE_PORT);
+  const { heartbeatS, leaseS } = options;
+  const fleet = new AgentFleet(
+    { nodes: NODES, heartbeatMs: heartbeatS * 1000, leaseMs: leaseS * 1000, runMs },
+    machines,
   );
   new CloudServer(fleet).listen(CLOUD_PORT);
-  return { state, fleet, nodes: new Nodes(options, deployFile), deployFile };
+  return { store, fleet, nodes: new Nodes(options, deployFile), deployFile };
 }
--- a/tools/loopback/nodes.ts
+++ b/tools/loopback/nodes.ts
@@ -6,69 +6,75 @@
 
 /** Several measurements run beside each other with a base each. */
 const PORT_BASE = Number(process.env.PORT_BASE ?? 18_000);
-export const STATE_PORT = PORT_BASE + 1;
+/** Where the stand-in key-value store listens. */
+export const STORE_PORT = PORT_BASE + 1;
+/** Where the stand-in cloud listens. */
 export const CLOUD_PORT = PORT_BASE + 2;
 const CLIENT_PORT = PORT_BASE + 3;
 const PEER_PORT = PORT_BASE + 4;
-export const WORKER_PORT = PORT_BASE + 5;
-const COUNT = 3;
+/** Where the stand-in agents listen, each at an address of its own. */
+export const AGENT_PORT = PORT_BASE + 5;
+const NODE_COUNT = 3;
 
+/** A team's quotas. */
 export interface TeamOptions {
   readonly name: string;
   readonly cpus: number;
   readonly cpusMax: number;
 }
 
+/** What the nodes' settings say. */
 export interface NodeOptions {
   readonly maxConnections: number;
-  readonly reportS: number;
+  readonly heartbeatS: number;
   readonly leaseS: number;
   readonly logLevel: string;
   /** One large team where there are none. */
   readonly teams?: readonly TeamOptions[];
-  /** What the state service takes a second. */
-  readonly stateRps?: number;
-  readonly stateWriteRps?: number;
+  /** The key-value store's limits. */
+  readonly storeRps?: number;
+  readonly storeWriteRps?: number;
 }
 
 const ONE_TEAM: readonly TeamOptions[] = [{ name: "red", cpus: 50_000, cpusMax: 100_000 }];
 
 /** Where the nodes listen for users and workers. */
-export const NODES = Array.from({ length: COUNT }, (_, i) => ({
+export const NODES = Array.from({ length: NODE_COUNT }, (_, i) => ({
   name: `n${i}`,
   host: `127.0.1.${i + 1}`,
   port: CLIENT_PORT,
 }));
 
-function settings(i: number, options: NodeOptions): string {
-  const known = NODES.flatMap(({ name, host }, j) =>
-    i === j ? [] : [`[[known]]\nnode = "${name}"\nsite = "a"\nendpoint = "${host}:${PEER_PORT}"`],
+/** The settings file of one node. */
+function renderSettings(node: number, options: NodeOptions): string {
+  const known = NODES.flatMap(({ name, host }, peer) =>
+    node === peer ? [] : [`[[known]]\nnode = "${name}"\nsite = "a"\nendpoint = "${host}:${PEER_PORT}"`],
   );
   const teams = (options.teams ?? ONE_TEAM).map(
     ({ name, cpus, cpusMax }) =>
       `[[deployment.teams]]\nname = "${name}"\ncpus = ${cpus}\ncpus_max = ${cpusMax}`,
   );
-  const host = NODES[i]?.host;
-  return `node = "n${i}"
+  const host = NODES[node]?.host;
+  return `node = "n${node}"
 site = "a"
 client_listen = "${host}:${CLIENT_PORT}"
 peer_bind = "${host}:${PEER_PORT}"
 ${known.join("\n")}
 [endpoints]
 cloud = "127.0.0.1:${CLOUD_PORT}"
-state = "127.0.0.1:${STATE_PORT}"
+state = "127.0.0.1:${STORE_PORT}"
 [deployment]
 zones = ["a"]
 ${teams.join("\n")}
 [deployment.workers]
-report_s = ${options.reportS}
+report_s = ${options.heartbeatS}
 lease_s = ${options.leaseS}
 gang_wait_s = 50.0
 gang_peer_s = 5.0
 cancel_s = ${options.leaseS * 3}
 [deployment.state]
-rps = ${options.stateRps ?? 1000}
-write_rps = ${options.stateWriteRps ?? 400}
+rps = ${options.storeRps ?? 1000}
+write_rps = ${options.storeWriteRps ?? 400}
 value_kb = 8.0
 txn_ops = 32
 [deployment.cloud]
@@ -79,108 +85,128 @@
 `;
 }
 
-/** What a process has used, by the system's account. */
+/** Processor time and memory of a process, as the system accounts them. */
 export interface Usage {
   readonly cpuMs: number;
   readonly residentMb: number;
   readonly peakMb: number;
 }
 
+const CLOCK_TICK_MS = 10;
+const KB_PER_MB = 1024;
+/** Fields of /proc/PID/stat, counted from the one after the process's name. */
+const USER_TICKS_FIELD = 11;
+const SYSTEM_TICKS_FIELD = 12;
+
 /** The real program, three times, by the run line of a deploy file. */
 export class Nodes {
   readonly #options: NodeOptions;
   readonly #folder = mkdtempSync(join(tmpdir(), "hillspindle-loopback-"));
   readonly #children: (ChildProcess | null)[] = NODES.map(() => null);
-  readonly #run: string[];
+  readonly #runLine: string[];
+  /** The folder of the nodes' logs. */
   readonly logs = join(this.#folder, "logs");
 
   constructor(options: NodeOptions, deployFile: string) {
     this.#options = options;
     mkdirSync(this.logs);
-    const { run } = parse(readFileSync(deployFile, "utf8")) as { run: string };
-    this.#run = run.split(" ");
+    const { run } = parse(readFileSync(deployFile, "utf8"));
+    if (typeof run !== "string") throw new TypeError(`${deployFile}: run: must be a run line`);
+    this.#runLine = run.split(" ");
   }
 
-  start(i: number): void {
-    const path = join(this.#folder, `n${i}.toml`);
-    writeFileSync(path, settings(i, this.#options));
-    const [command = "node", ...args] = this.#run;
+  /** Starts a node; its log is appended to what its earlier processes wrote. */
+  start(node: number): void {
+    const path = join(this.#folder, `n${node}.toml`);
+    writeFileSync(path, renderSettings(node, this.#options));
+    const [command = "node", ...args] = this.#runLine;
     const child = spawn(command, [...args, path], {
       env: { ...process.env, LOG_LEVEL: this.#options.logLevel },
       stdio: ["ignore", "ignore", "pipe"],
     });
-    child.stderr.pipe(createWriteStream(join(this.logs, `n${i}.log`), { flags: "a" }));
+    child.stderr.pipe(createWriteStream(join(this.logs, `n${node}.log`), { flags: "a" }));
     child.once("exit", () => {
-      if (this.#children[i] === child) this.#children[i] = null;
+      if (this.#children[node] === child) this.#children[node] = null;
     });
-    this.#children[i] = child;
+    this.#children[node] = child;
   }
 
+  /** Starts every node. */
   startAll(): void {
-    for (const i of NODES.keys()) this.start(i);
+    for (const node of NODES.keys()) this.start(node);
   }
 
-  kill(i: number): void {
-    this.#children[i]?.kill("SIGKILL");
-    this.#children[i] = null;
+  /** Kills a node, without time to clean up. */
+  kill(node: number): void {
+    this.#children[node]?.kill("SIGKILL");
+    this.#children[node] = null;
   }
 
+  /** Kills every node. */
   killAll(): void {
-    for (const i of NODES.keys()) this.kill(i);
-  }
-
-  isRunning(i: number): boolean {
-    return this.#children[i] !== null;
-  }
-
-  pid(i: number): number | undefined {
-    return this.#children[i]?.pid;
+    for (const node of NODES.keys()) this.kill(node);
   }
 
-  usage(i: number): Usage {
-    const pid = this.pid(i);
+  /** What a node's process has used so far; nothing if it does not run. */
+  usage(node: number): Usage {
+    const pid = this.#children[node]?.pid;
     if (pid === undefined) return { cpuMs: 0, residentMb: 0, peakMb: 0 };
-    const fields = readFileSync(`/proc/${pid}/stat`, "utf8").split(") ")[1]?.split(" ") ?? [];
+    const stat = readFileSync(`/proc/${pid}/stat`, "utf8").split(") ")[1]?.split(" ") ?? [];
     const status = readFileSync(`/proc/${pid}/status`, "utf8");
     const kb = (name: string) => Number(new RegExp(`^${name}:\\s+(\\d+)`, "m").exec(status)?.[1] ?? 0);
     return {
-      cpuMs: (Number(fields[11]) + Number(fields[12])) * 10,
-      residentMb: Math.round(kb("VmRSS") / 1024),
-      peakMb: Math.round(kb("VmHWM") / 1024),
+      cpuMs: (Number(stat[USER_TICKS_FIELD]) + Number(stat[SYSTEM_TICKS_FIELD])) * CLOCK_TICK_MS,
+      residentMb: Math.round(kb("VmRSS") / KB_PER_MB),
+      peakMb: Math.round(kb("VmHWM") / KB_PER_MB),
     };
   }
 }
 
-/** Asks a node; null if it does not answer. */
-export async function ask(i: number, path: string, body?: unknown): Promise<Record<string, unknown> | null> {
-  const node = NODES[i];
+const ASK_TIMEOUT_MS = 2000;
+
+/** Asks a node; null if it refuses, or does not answer in time. */
+export async function ask(
+  index: number,
+  path: string,
+  body?: unknown,
+): Promise<Record<string, unknown> | null> {
+  const node = NODES[index];
   if (!node) return null;
   try {
     const init = body === undefined ? {} : { method: "POST", body: JSON.stringify(body) };
-    const res = await fetch(`http://${node.host}:${node.port}${path}`, {
+    const response = await fetch(`http://${node.host}:${node.port}${path}`, {
       ...init,
-      signal: AbortSignal.timeout(2000),
+      signal: AbortSignal.timeout(ASK_TIMEOUT_MS),
     });
-    return res.ok ? ((await res.json()) as Record<string, unknown>) : null;
+    return response.ok ? ((await response.json()) as Record<string, unknown>) : null;
   } catch {
     return null;
   }
 }
 
-/** The node that leads and has read the records; null if none does. */
-export async function leader(): Promise<number | null> {
-  for (const i of NODES.keys()) {
-    const status = await ask(i, "/admin/status");
-    if (status?.leading === true && status.confirmed === true) return i;
+/** Changes operators' settings at the first node. */
+export async function changeSettings(changes: Record<string, unknown>): Promise<void> {
+  const [node] = NODES;
+  const init = { method: "PATCH", body: JSON.stringify(changes) };
+  await fetch(`http://${node?.host}:${node?.port}/admin/settings`, init);
+}
+
+/** The node that leads under a valid leader lease; null if none does. */
+export async function findLeader(): Promise<number | null> {
+  for (const node of NODES.keys()) {
+    const status = await ask(node, "/admin/status");
+    if (status?.leading === true && status.confirmed === true) return node;
   }
   return null;
 }
 
+/** Resolves after a time. */
 export function sleep(ms: number): Promise<void> {
-  return new Promise((done) => setTimeout(done, ms));
+  return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-export function jobBody(uid: string, tasks: number, cpus: number, more: object = {}): object {
+/** A submission in the words of the wire: an array of small tasks, unless `overrides` says otherwise. */
+export function jobBody(uid: string, tasks: number, cpus: number, overrides: object = {}): object {
   return {
     uid,
     jobclass: "load",
@@ -202,6 +228,6 @@
     snapshot_s: 0,
     stow_s: 0,
     due_s: null,
-    ...more,
+    ...overrides,
   };
 }
--- a/tools/measure-admission.ts
+++ b/tools/measure-admission.ts
@@ -1,27 +1,31 @@
 import { openCluster } from "./loopback/cluster.js";
-import { jobBody, leader, NODES, sleep } from "./loopback/nodes.js";
+import { changeSettings, findLeader, jobBody, NODES, sleep } from "./loopback/nodes.js";
 import { cancel, pollUntilOver, type Submission, submit } from "./loopback/user.js";
 
 /**
  * Three real controllers on loopback; one team submits ten times what all submit together in quiet. What each team's users
- * see before, in and after that: answers, acceptance, starts, progress.
- *   DEPLOY_FILE=deploy/admission.toml node target/test/tools/measure-admission.js [WORKERS] [BURST_S]
+ * see before, in and after that burst: answers, acceptance, starts, progress.
+ *   DEPLOY_FILE=deploy/admission.toml node target/test/tools/measure-admission.js [MACHINES] [BURST_S]
  */
-const workers = Number(process.argv[2] ?? 60);
+const machines = Number(process.argv[2] ?? 60);
 const burstS = Number(process.argv[3] ?? 60);
 const QUIET_S = 20;
 const AFTER_S = 30;
 const DRAIN_S = 20;
-const REPORT_S = 2;
+const HEARTBEAT_S = 2;
 const LEASE_S = 14;
 const TASK_MS = 4000;
+const SERVICE_TASK_MS = 3_600_000;
+/** A service's users cancel it after this. */
 const SERVICE_MS = 15_000;
-const TIMES = 10;
-const STATE_RPS = 150;
-const STATE_WRITE_RPS = 40;
+const BURST_FACTOR = 10;
+const STORE_RPS = 150;
+const STORE_WRITE_RPS = 40;
 const VALUE_BYTES = 8192;
 const TXN_OPS = 32;
 const DONE_AFTER_MS = 60_000;
+const SETTLE_MS = 8000;
+const SUBMIT_TICK_MS = 10;
 
 /** A team's users: what they submit, and how often. */
 interface Users {
@@ -36,39 +40,41 @@
   { team: "maps", everyMs: 1000, tasks: 4, isService: false },
   { team: "flood", everyMs: 1000, tasks: 1, isService: false },
 ];
-const FLOOD_MS = 1000 / (TIMES * USERS.reduce((sum, { everyMs }) => sum + 1000 / everyMs, 0));
+const BURST_EVERY_MS = 1000 / (BURST_FACTOR * USERS.reduce((sum, { everyMs }) => sum + 1000 / everyMs, 0));
 
 const submissions = new Map<string, Submission>();
-const progress = new Map<string, number[]>();
-const { state, fleet, nodes, deployFile } = openCluster({
-  workers,
-  runMs: (uid) => (submissions.get(uid)?.team === "web" ? 3_600_000 : TASK_MS),
+/** When tasks of each team started. */
+const startsByTeam = new Map<string, number[]>();
+const { store, fleet, nodes, deployFile } = openCluster({
+  machines,
+  runMs: (uid) => (submissions.get(uid)?.team === "web" ? SERVICE_TASK_MS : TASK_MS),
   maxConnections: 1200,
-  reportS: REPORT_S,
+  heartbeatS: HEARTBEAT_S,
   leaseS: LEASE_S,
   logLevel: "info",
-  teams: USERS.map(({ team }) => ({ name: team, cpus: workers * 4, cpusMax: workers * 16 })),
-  stateRps: STATE_RPS,
-  stateWriteRps: STATE_WRITE_RPS,
+  teams: USERS.map(({ team }) => ({ name: team, cpus: machines * 4, cpusMax: machines * 16 })),
+  storeRps: STORE_RPS,
+  storeWriteRps: STORE_WRITE_RPS,
 });
-state.rps = STATE_RPS;
-state.store.limits = { valueBytes: VALUE_BYTES, txnOps: TXN_OPS, writeRps: STATE_WRITE_RPS };
+store.rps = STORE_RPS;
+store.store.limits = { valueBytes: VALUE_BYTES, txnOps: TXN_OPS, writeRps: STORE_WRITE_RPS };
 
-let begin = 0;
-const secondOf = (at: number) => Math.floor((at - begin) / 1000);
-fleet.began = (piece) => {
-  const submission = submissions.get(piece.slice(0, piece.lastIndexOf("/")));
+let beganAt = 0;
+const secondOf = (at: number) => Math.floor((at - beganAt) / 1000);
+fleet.onTaskStart = (task) => {
+  const submission = submissions.get(task.slice(0, task.lastIndexOf("/")));
   if (!submission) return;
   submission.startedAt ??= performance.now();
-  const starts = progress.get(submission.team) ?? [];
+  const starts = startsByTeam.get(submission.team) ?? [];
   starts.push(performance.now());
-  progress.set(submission.team, starts);
+  startsByTeam.set(submission.team, starts);
 };
 
-let turn = 0;
-const anyNode = () => NODES[turn++ % NODES.length] ?? NODES[0] ?? fail();
-function fail(): never {
-  throw new RangeError("no nodes");
+let nodeRotation = 0;
+function anyNode(): (typeof NODES)[number] {
+  const node = NODES[nodeRotation++ % NODES.length];
+  if (!node) throw new RangeError("no nodes");
+  return node;
 }
 
 let submitted = 0;
@@ -80,18 +86,18 @@
     askedAt: performance.now(),
     firstAnswerAt: null,
     acceptedAt: null,
-    refused: 0,
-    keptTimes: 0,
-    brokenTimes: 0,
+    throttled: 0,
+    keptReservations: 0,
+    brokenReservations: 0,
     failed: 0,
     startedAt: null,
     doneAt: null,
   };
   submissions.set(uid, submission);
-  const more = isService
+  const overrides = isService
     ? { crew: team, jobclass: team, shape: "daemon", rank: "prod", guess_s: 0 }
     : { crew: team, jobclass: team };
-  if (!(await submit(submission, jobBody(uid, tasks, 1, more), anyNode))) return;
+  if (!(await submit(submission, jobBody(uid, tasks, 1, overrides), anyNode))) return;
   if (isService) {
     await sleep(SERVICE_MS);
     await cancel(uid, anyNode);
@@ -101,19 +107,20 @@
   }
 }
 
-/** Users who submit one job after another until some second of the run. */
+/** Users who submit one job after another, from one second of the run until another. */
 function keepSubmitting(users: Users, fromS: number, untilS: number, everyMs: number): void {
-  let due = begin + fromS * 1000;
+  let dueAt = beganAt + fromS * 1000;
   const timer = setInterval(() => {
     if (secondOf(performance.now()) >= untilS) clearInterval(timer);
     else
-      for (; due <= performance.now(); due += everyMs) {
+      for (; dueAt <= performance.now(); dueAt += everyMs) {
         void submitOne(users);
       }
-  }, 10);
+  }, SUBMIT_TICK_MS);
 }
 
-function spread(values: readonly number[]): string {
+/** Median, 95th percentile and worst, in milliseconds. */
+function describeSpread(values: readonly number[]): string {
   if (values.length === 0) return "-";
   const sorted = [...values].sort((a, b) => a - b);
   const at = (part: number) =>
@@ -121,69 +128,74 @@
   return `${at(0.5)}/${at(0.95)}/${at(1)}`;
 }
 
-/** The longest time in a phase in which nothing of a team began. */
+/** The longest time in a phase in which no task of a team started. */
 function longestGapS(team: string, fromS: number, untilS: number): number {
-  const [from, until] = [begin + fromS * 1000, begin + untilS * 1000];
-  const starts = (progress.get(team) ?? []).filter((at) => at >= from && at < until);
-  let last = from;
-  let longest = 0;
+  const from = beganAt + fromS * 1000;
+  const until = beganAt + untilS * 1000;
+  const starts = (startsByTeam.get(team) ?? []).filter((at) => at >= from && at < until);
+  let previous = from;
+  let longestMs = 0;
   for (const at of [...starts, until]) {
-    longest = Math.max(longest, at - last);
-    last = at;
+    longestMs = Math.max(longestMs, at - previous);
+    previous = at;
   }
-  return Math.round(longest / 100) / 10;
+  return Math.round(longestMs / 100) / 10;
 }
 
-function reportPhase(name: string, fromS: number, untilS: number): void {
-  console.log(`${name} (${fromS} to ${untilS} s); times are median/95%/worst in ms`);
-  for (const { team } of USERS) {
-    const all = [...submissions.values()].filter(({ team: of, askedAt }) => {
-      const second = secondOf(askedAt);
-      return of === team && second >= fromS && second < untilS;
+/** What a team's users saw of the jobs that they first submitted within a phase. */
+function describeTeam(team: string, fromS: number, untilS: number): string {
+  const isInPhase = (at: number) => secondOf(at) >= fromS && secondOf(at) < untilS;
+  const own = [...submissions.values()].filter(
+    (submission) => submission.team === team && isInPhase(submission.askedAt),
+  );
+  const sum = (countOf: (submission: Submission) => number) =>
+    own.reduce((total, submission) => total + countOf(submission), 0);
+  const latenciesMs = (timeOf: (submission: Submission) => number | null) =>
+    own.flatMap((submission) => {
+      const at = timeOf(submission);
+      return at === null ? [] : [at - submission.askedAt];
     });
-    const sum = (of: (submission: Submission) => number) => all.reduce((n, one) => n + of(one), 0);
-    const since = (of: (submission: Submission) => number | null) =>
-      all.flatMap((one) => {
-        const at = of(one);
-        return at === null ? [] : [at - one.askedAt];
-      });
-    const accepted = since(({ acceptedAt }) => acceptedAt);
-    const starts = (progress.get(team) ?? []).filter(
-      (at) => secondOf(at) >= fromS && secondOf(at) < untilS,
-    ).length;
-    console.log(
-      `  ${team}: ${all.length} submitted, ${accepted.length} accepted, first answer ${spread(since(({ firstAnswerAt }) => firstAnswerAt))}, ` +
-        `accepted ${spread(accepted)}, started ${spread(since(({ startedAt }) => startedAt))}, done ${spread(since(({ doneAt }) => doneAt))}, ` +
-        `429 ${sum(({ refused }) => refused)} (back at the time promised: ${sum(({ keptTimes }) => keptTimes)} taken, ${sum(({ brokenTimes }) => brokenTimes)} not), ` +
-        `503 or none ${sum(({ failed }) => failed)}, ${starts} tasks began, longest gap ${longestGapS(team, fromS, untilS)} s`,
-    );
-  }
+  const acceptedMs = latenciesMs(({ acceptedAt }) => acceptedAt);
+  const firstAnswer = describeSpread(latenciesMs(({ firstAnswerAt }) => firstAnswerAt));
+  const started = describeSpread(latenciesMs(({ startedAt }) => startedAt));
+  const done = describeSpread(latenciesMs(({ doneAt }) => doneAt));
+  const kept = sum(({ keptReservations }) => keptReservations);
+  const broken = sum(({ brokenReservations }) => brokenReservations);
+  const starts = (startsByTeam.get(team) ?? []).filter(isInPhase).length;
+  return (
+    `${team}: ${own.length} submitted, ${acceptedMs.length} accepted, first answer ${firstAnswer}, ` +
+    `accepted ${describeSpread(acceptedMs)}, started ${started}, done ${done}, ` +
+    `429 ${sum(({ throttled }) => throttled)} (back at the time promised: ${kept} taken, ${broken} not), ` +
+    `503 or none ${sum(({ failed }) => failed)}, ${starts} tasks began, longest gap ${longestGapS(team, fromS, untilS)} s`
+  );
+}
+
+function printPhase(name: string, fromS: number, untilS: number): void {
+  console.log(`${name} (${fromS} to ${untilS} s); times are median/95%/worst in ms`);
+  for (const { team } of USERS) console.log(`  ${describeTeam(team, fromS, untilS)}`);
 }
 
 try {
   nodes.startAll();
-  while ((await leader()) === null) await sleep(500);
+  while ((await findLeader()) === null) await sleep(500);
   fleet.start();
-  // The stand-in workers go on when their machines are returned: none is.
-  await fetch(`http://${NODES[0]?.host}:${NODES[0]?.port}/admin/settings`, {
-    method: "PATCH",
-    body: JSON.stringify({ idle_s: 86_400 }),
-  });
-  await sleep(8000);
-  begin = performance.now();
-  const burstEnds = QUIET_S + burstS;
-  const end = burstEnds + AFTER_S;
-  for (const users of USERS) keepSubmitting(users, 0, end, users.everyMs);
-  const flood = USERS.at(-1) ?? fail();
-  keepSubmitting(flood, QUIET_S, burstEnds, FLOOD_MS);
-  await sleep((end + DRAIN_S) * 1000 + DONE_AFTER_MS / 2);
-  console.log(`${deployFile}, ${workers} workers, ${STATE_WRITE_RPS} changes a second`);
-  reportPhase("before", 0, QUIET_S);
-  reportPhase("burst", QUIET_S, burstEnds);
-  reportPhase("after", burstEnds, end);
+  // A stand-in agent goes on after its machine is terminated: so none is.
+  await changeSettings({ idle_s: 86_400 });
+  await sleep(SETTLE_MS);
+  beganAt = performance.now();
+  const burstEndS = QUIET_S + burstS;
+  const endS = burstEndS + AFTER_S;
+  for (const users of USERS) keepSubmitting(users, 0, endS, users.everyMs);
+  const flood = USERS.filter(({ team }) => team === "flood");
+  for (const users of flood) keepSubmitting(users, QUIET_S, burstEndS, BURST_EVERY_MS);
+  await sleep((endS + DRAIN_S) * 1000 + DONE_AFTER_MS / 2);
+  console.log(`${deployFile}, ${machines} workers, ${STORE_WRITE_RPS} changes a second`);
+  printPhase("before", 0, QUIET_S);
+  printPhase("burst", QUIET_S, burstEndS);
+  printPhase("after", burstEndS, endS);
   console.log(
-    `state service: ${state.refused} requests and ${state.store.throttled} transactions refused for their rate; ` +
-      `duplicated placements ${fleet.history.duplicates().length}, leases lost ${fleet.leasesLost}`,
+    `state service: ${store.throttled} requests and ${store.store.throttled} transactions refused for their rate; ` +
+      `duplicated placements ${fleet.history.duplicates().length}, leases lost ${fleet.expiredLeases}`,
   );
 } finally {
   nodes.killAll();
--- a/tools/measure-takeover.ts
+++ b/tools/measure-takeover.ts
@@ -1,33 +1,40 @@
 import { build as buildHistogram, type Histogram } from "hdr-histogram-js";
 import { openCluster } from "./loopback/cluster.js";
-import { ask, jobBody, leader, NODES, sleep } from "./loopback/nodes.js";
+import { ask, changeSettings, findLeader, jobBody, NODES, sleep } from "./loopback/nodes.js";
 
 /**
- * Three real controllers on loopback under load; the one that leads is killed again and again. Takeover from the kill and
- * from the end of the grant, by phase, and duplicated placements over the whole history of every stand-in worker.
- *   DEPLOY_FILE=deploy/standby.toml node target/test/tools/measure-takeover.js [KILLS] [MACHINES] [GRANT_MS]
+ * Three real controllers on loopback under load; the leader is killed again and again. Failover times from the kill and
+ * from the end of the leader's key, by phase, and duplicated placements over the whole history of every stand-in agent.
+ *   DEPLOY_FILE=deploy/standby.toml node target/test/tools/measure-takeover.js [KILLS] [MACHINES] [LEASE_TTL_MS]
  */
 const kills = Number(process.argv[2] ?? 50);
 const machines = Number(process.argv[3] ?? 300);
-const grantMs = Number(process.argv[4] ?? 3000);
-const REPORT_S = 2;
+const leaderLeaseMs = Number(process.argv[4] ?? 3000);
+const DEFAULT_LEADER_LEASE_MS = 3000;
+const HEARTBEAT_S = 2;
 const LEASE_S = 14;
-const LONG_TASKS = 6;
-const JOBS_A_SECOND = 4;
-/** Longer than a takeover: what runs when the leader dies still runs when the next one places. */
-const SHORT_MS = 12_000;
-const HOUR_MS = 3_600_000;
-const LED_AGAIN_MS = 20_000;
+const LONG_JOBS = 10;
+const LONG_TASKS_PER_MACHINE = 6;
+const JOBS_PER_SECOND = 4;
+const SUBMIT_TRIES = 30;
+const SUBMIT_PAUSE_MS = 500;
+/** Longer than a failover: what runs when the leader dies still runs when the next one places. */
+const SHORT_TASK_MS = 12_000;
+const LONG_TASK_MS = 3_600_000;
+const START_TIMEOUT_MS = 20_000;
 /** A killed node comes back after this; then all is left alone until the next kill. */
-const BACK_MS = 4000;
-const QUIET_MS = 6000;
+const RESTART_DELAY_MS = 4000;
+const SETTLE_MS = 6000;
 const POLL_MS = 20;
+/** An attempt's number is that of its leader's fencing token, times this, and a count. */
+const ATTEMPTS_PER_TOKEN = 2 ** 20;
+const LEADER_KEY = "c/leader";
 
-const { state, fleet, nodes, deployFile } = openCluster({
-  workers: machines,
-  runMs: (uid) => (uid.startsWith("j-9") ? HOUR_MS : SHORT_MS),
+const { store, fleet, nodes, deployFile } = openCluster({
+  machines,
+  runMs: (uid) => (uid.startsWith("j-9") ? LONG_TASK_MS : SHORT_TASK_MS),
   maxConnections: 1200,
-  reportS: REPORT_S,
+  heartbeatS: HEARTBEAT_S,
   leaseS: LEASE_S,
   logLevel: "info",
 });
@@ -42,64 +49,83 @@
   histogram.recordValue(Math.max(0, Math.round(ms)));
 }
 
-/** Short jobs, one after the other, at nodes in turn: a start is always due. */
-let submitted = 0;
+/** Submits one job, at the nodes in rotation until one accepts it. */
+async function submitUntilAccepted(index: number): Promise<void> {
+  for (let tries = 0; tries < SUBMIT_TRIES; tries++) {
+    const node = (index + tries) % NODES.length;
+    if (await ask(node, "/api/jobs", jobBody(`j-${index}`, 2, 0.5))) return;
+    await sleep(SUBMIT_PAUSE_MS);
+  }
+}
+
+/** Short jobs, one after the other, until the process ends: a start is always due. */
 function keepSubmitting(): void {
-  setInterval(async () => {
-    const uid = `j-${++submitted}`;
-    for (let tries = 0; tries < 30; tries++) {
-      if (await ask((submitted + tries) % NODES.length, "/api/jobs", jobBody(uid, 2, 0.5))) return;
-      await sleep(500);
-    }
-  }, 1000 / JOBS_A_SECOND);
+  let submitted = 0;
+  setInterval(() => void submitUntilAccepted(++submitted), 1000 / JOBS_PER_SECOND);
 }
 
-/** The status of a node that leads by a token higher than this one; null if none does yet. */
-async function leaderAfter(token: number, killed: number): Promise<Record<string, unknown> | null> {
-  for (const i of NODES.keys()) {
-    if (i === killed) continue;
-    const status = await ask(i, "/admin/status");
-    if (status?.leading === true && Number(status.token) > token) return status;
+/** The status of a node that leads under a higher fencing token than this one; null if none does yet. */
+async function leaderAfter(fencingToken: number, killed: number): Promise<Record<string, unknown> | null> {
+  for (const node of NODES.keys()) {
+    if (node === killed) continue;
+    const status = await ask(node, "/admin/status");
+    if (status?.leading === true && Number(status.token) > fencingToken) return status;
   }
   return null;
 }
 
-async function killOnce(): Promise<void> {
-  const killed = await leader();
-  if (killed === null) return;
-  const token = Number((await ask(killed, "/admin/status"))?.token);
-  let startedAt: number | null = null;
-  const held = state.store.entries.get("c/leader")?.version;
-  const killedAt = performance.now();
-  let goneAt: number | null = null;
-  // Only a start under a later token is the new leader's.
-  fleet.began = (_piece, attempt) => {
-    if (Math.floor(attempt / 2 ** 20) > token) startedAt ??= performance.now();
+/** What is seen from outside of one failover; null for what did not come in time. */
+interface Failover {
+  readonly killedAt: number;
+  keyGoneAt: number | null;
+  startedAt: number | null;
+}
+
+/** Kills the leader and waits for the first start under a later fencing token: an earlier one is not the new leader's. */
+async function killAndWatch(killed: number, fencingToken: number): Promise<Failover> {
+  const leaderKeyVersion = store.store.entries.get(LEADER_KEY)?.version;
+  const failover: Failover = { killedAt: performance.now(), keyGoneAt: null, startedAt: null };
+  fleet.onTaskStart = (_task, attempt) => {
+    if (Math.floor(attempt / ATTEMPTS_PER_TOKEN) > fencingToken) failover.startedAt ??= performance.now();
   };
   nodes.kill(killed);
-  while (performance.now() - killedAt < LED_AGAIN_MS) {
+  while (performance.now() - failover.killedAt < START_TIMEOUT_MS) {
     // The next leader's key may be there before this looks again.
-    if (state.store.entries.get("c/leader")?.version !== held) goneAt ??= performance.now();
-    if (startedAt !== null) break;
+    if (store.store.entries.get(LEADER_KEY)?.version !== leaderKeyVersion) {
+      failover.keyGoneAt ??= performance.now();
+    }
+    if (failover.startedAt !== null) break;
     await sleep(POLL_MS);
   }
-  const status = await leaderAfter(token, killed);
-  const takeover = (status?.takeover ?? {}) as Record<string, unknown>;
-  const source = String(takeover.source);
-  if (startedAt === null || goneAt === null) record(`${source}: no start within ${LED_AGAIN_MS} ms`, 1);
+  return failover;
+}
+
+function recordFailover({ killedAt, keyGoneAt, startedAt }: Failover, phases: Record<string, unknown>): void {
+  const source = String(phases.source);
+  if (startedAt === null || keyGoneAt === null)
+    record(`${source}: no start within ${START_TIMEOUT_MS} ms`, 1);
   else {
-    record(`${source}: kill to end of grant`, goneAt - killedAt);
+    record(`${source}: kill to end of grant`, keyGoneAt - killedAt);
     record(`${source}: kill to first start`, startedAt - killedAt);
-    record(`${source}: end of grant to first start`, startedAt - goneAt);
+    record(`${source}: end of grant to first start`, startedAt - keyGoneAt);
   }
-  for (const [phase, ms] of Object.entries(takeover))
+  for (const [phase, ms] of Object.entries(phases))
     if (typeof ms === "number") record(`${source}: ${phase} (from the end of the grant, by the node)`, ms);
-  await sleep(BACK_MS);
+}
+
+async function measureFailover(): Promise<void> {
+  const killed = await findLeader();
+  if (killed === null) return;
+  const fencingToken = Number((await ask(killed, "/admin/status"))?.token);
+  const failover = await killAndWatch(killed, fencingToken);
+  const status = await leaderAfter(fencingToken, killed);
+  recordFailover(failover, (status?.takeover ?? {}) as Record<string, unknown>);
+  await sleep(RESTART_DELAY_MS);
   nodes.start(killed);
-  await sleep(QUIET_MS);
+  await sleep(SETTLE_MS);
 }
 
-function report(): void {
+function printReport(): void {
   for (const [name, histogram] of [...histograms].sort(([a], [b]) => (a < b ? -1 : 1))) {
     const at = (percent: number) => histogram.getValueAtPercentile(percent);
     console.log(
@@ -108,30 +134,31 @@
   }
   const duplicates = fleet.history.duplicates();
   console.log(
-    `starts ${fleet.history.begun}, duplicated placements ${duplicates.length}, leases lost ${fleet.leasesLost}`,
+    `starts ${fleet.history.begun}, duplicated placements ${duplicates.length}, leases lost ${fleet.expiredLeases}`,
   );
   for (const duplicate of duplicates.slice(0, 5)) console.log(JSON.stringify(duplicate));
 }
 
+async function submitLongJobs(): Promise<void> {
+  const tasks = (machines * LONG_TASKS_PER_MACHINE) / LONG_JOBS;
+  for (let i = 0; i < LONG_JOBS; i++) {
+    while (!(await ask(i % NODES.length, "/api/jobs", jobBody(`j-9${i}`, tasks, 1.5)))) await sleep(500);
+  }
+}
+
 try {
   nodes.startAll();
-  while ((await leader()) === null) await sleep(500);
-  if (grantMs !== 3000) {
-    const node = NODES[0];
-    const init = { method: "PATCH", body: JSON.stringify({ leader_grant_ms: grantMs }) };
-    await fetch(`http://${node?.host}:${node?.port}/admin/settings`, init);
-  }
+  while ((await findLeader()) === null) await sleep(500);
+  if (leaderLeaseMs !== DEFAULT_LEADER_LEASE_MS) await changeSettings({ leader_grant_ms: leaderLeaseMs });
   fleet.start();
-  for (let i = 0; i < 10; i++)
-    while (!(await ask(i % 3, "/api/jobs", jobBody(`j-9${i}`, (machines * LONG_TASKS) / 10, 1.5))))
-      await sleep(500);
+  await submitLongJobs();
   await sleep(15_000);
   keepSubmitting();
   await sleep(5000);
-  console.log(`${deployFile}, ${kills} kills, ${machines} machines, grant ${grantMs} ms`);
-  for (let i = 0; i < kills; i++) await killOnce();
+  console.log(`${deployFile}, ${kills} kills, ${machines} machines, grant ${leaderLeaseMs} ms`);
+  for (let i = 0; i < kills; i++) await measureFailover();
   await sleep(5000);
-  report();
+  printReport();
 } finally {
   nodes.killAll();
   console.log(`logs: ${nodes.logs}`);
