--- a/src/protocol/agents.ts
+++ b/src/protocol/agents.ts
@@ -6,6 +6,8 @@
 
 /** Agents' heartbeats and the commands to them. Names become indices here, words of the wire the terms of the domain. */
 
+/** Where agents post their heartbeats. */
+export const HEARTBEAT_PATH = "/agent/beat";
 const COMMAND_PATH = "/do";
 const EXECUTED = 200;
 /** The batch was refused for its fencing token or its incarnation: nothing of it was executed. */
--- a/src/shell/heartbeat-endpoint.ts
+++ b/src/shell/heartbeat-endpoint.ts
@@ -1,12 +1,11 @@
 import type http from "node:http";
+import { HEARTBEAT_PATH } from "../protocol/agents.js";
 import { notAHeartbeat, tryNextNode } from "../protocol/responses.js";
 import type { AgentConnections } from "./agent-connections.js";
 import { parseJson } from "./parse-json.js";
 import type { RequestHandler } from "./request-handler.js";
 import { writeJson, writeResponse } from "./write-response.js";
 
-const HEARTBEAT_PATH = "/agent/beat";
-
 /** Whether a request is an agent's heartbeat. */
 export function isHeartbeatRequest(req: http.IncomingMessage): boolean {
   return req.method === "POST" && req.url === HEARTBEAT_PATH;
