--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -280,6 +280,6 @@
   readonly refused: number;
   /** Retry reservations that stand. */
   readonly waiting: number;
-  /** The last Retry-After that was told, in seconds; 0 before the first. */
+  /** The last Retry-After that was sent, in seconds; 0 before the first. */
   readonly lastWaitS: number;
 }
--- a/src/admission/retry-reservations.ts
+++ b/src/admission/retry-reservations.ts
@@ -1,6 +1,6 @@
 import type { ReservationNotice } from "./messages.js";
 
-/** The longest Retry-After: where it is told, nothing is reserved. */
+/** The longest Retry-After: with it nothing is reserved. */
 export const MAX_RETRY_AFTER_S = 30;
 /** How far ahead reservations are made; beyond it the queue is full. */
 export const MAX_RESERVATION_S = MAX_RETRY_AFTER_S - 1;
@@ -96,7 +96,7 @@
     return toRetryAfterS(dueAt - now);
   }
 
-  /** Takes the reservations made here that the peers have not been told of yet. */
+  /** Takes the reservations made here that have not been announced to the peers yet. */
   takeUnannounced(now: number): ReservationNotice[] {
     return this.#unannounced.splice(0, MAX_NOTICES).flatMap((uid): ReservationNotice[] => {
       const reservation = this.#byUid.get(uid);
@@ -104,7 +104,7 @@
     });
   }
 
-  /** Adds reservations of a peer. Their team is not told, as their permits are kept at the peer. */
+  /** Adds reservations of a peer. Their team is not announced, as their permits are kept at the peer. */
   addOfPeer(notices: readonly ReservationNotice[], now: number): void {
     for (const { uid, inMs } of notices) {
       if (this.#byUid.size >= MAX_RESERVATIONS || this.#byUid.has(uid)) continue;
--- a/src/core/jobs/polling.ts
+++ b/src/core/jobs/polling.ts
@@ -19,7 +19,7 @@
   readonly conditions: readonly VersionCondition[];
 }
 
-/** Answers polls of a job's status, on every node, never with an older state than any node has told of (I8). */
+/** Answers polls of a job's status, on every node, never with an older state than any node has reported (I8). */
 export class PollHandler {
   readonly #ctx: Context;
   readonly #lookup: JobLookup;
@@ -64,7 +64,7 @@
 
   /**
    * Answers the pending polls by transactions without changes: while a job and its dependencies still have the versions
-   * that this node has read, no node can have told of a newer state. This costs the store one request for many polls in
+   * that this node has read, no node can have reported a newer state. This costs the store one request for many polls in
    * place of one or two reads for each.
    */
   flush(): void {
--- a/src/core/jobs/submissions.ts
+++ b/src/core/jobs/submissions.ts
@@ -25,8 +25,8 @@
 
 /**
  * Users' requests about jobs. Every node serves them, whether it leads or not: each response rests on the store alone.
- * Accepted, done and cancelled are on record before they are told, and no state that is told is older than one that
- * any node told before (I8).
+ * Accepted, done and cancelled are on record before a user learns of them, and no state that is reported is older than
+ * one that any node has reported before (I8).
  */
 export class JobRequests {
   readonly #submissions: SubmissionHandler;
--- a/src/standby/standby.ts
+++ b/src/standby/standby.ts
@@ -13,7 +13,7 @@
 /** A cache that has outgrown its bound is filled again after this. */
 const TOO_LARGE_RETRY_MS = 300_000;
 
-/** What is told of a failover. */
+/** What a {@link Standby} reports of a failover. */
 export interface FailoverEvents {
   /** Where the records of the term come from, and why not from the cache; null if they do. */
   onSourceChosen(source: "warm" | "cold", reason: string | null): void;
