--- a/src/core/scheduling/feasible-machines.ts
+++ b/src/core/scheduling/feasible-machines.ts
@@ -21,8 +21,8 @@
   /** Those with capacity for the least demand of any job of the round: in a loaded cluster, few. */
   #withCapacityByType = new Map<string, Machine[]>();
   /**
-   * True if the last search was narrowed by what belongs to its job alone (shape, image, failures): other jobs of the same
-   * demand may find machines where it found none.
+   * True if the last search was narrowed by what belongs to its job alone (shape, image, failures): other
+   * jobs of the same demand may find machines where it found none.
    */
   isJobSpecific = false;
   /** Counts the machines examined for some job: the work of the rounds. */
@@ -34,7 +34,10 @@
     this.#gpuHeadroom = gpuHeadroom;
   }
 
-  /** Lists the schedulable machines for a round, and those of them with capacity for the least demand of these jobs. */
+  /**
+   * Lists the schedulable machines for a round, and those of them with capacity for the least demand of these
+   * jobs.
+   */
   beginRound(jobs: readonly Job[]): void {
     this.#schedulableByType = new Map();
     this.#withCapacityByType = new Map();
@@ -62,7 +65,7 @@
     );
   }
 
-  /** May new tasks be placed on this machine? Only while it sends heartbeats and shows that commands reach it (I7). */
+  /** May tasks be placed on this machine? Only while it sends heartbeats and shows that commands reach it (I7). */
   isSchedulable(machine: Machine): boolean {
     const { now, deployment } = this.#ctx;
     return (
@@ -70,7 +73,7 @@
       !machine.isLeaseExpired &&
       machine.mode === "open" &&
       machine.type !== null &&
-      // A heartbeat without this term's fencing token may be a late copy: a hint of presence, no sign of life (I4).
+      // A heartbeat without this term's fencing token may be a late copy, so it is a hint of presence only (I4).
       machine.fencedAt !== null &&
       machine.unreachableSince === null &&
       machine.reclaimedAt === null &&
@@ -80,31 +83,34 @@
   }
 
   /**
-   * The machines with capacity for a task of the job, by type, in the order of the cluster state. What tasks of a priority
-   * lower than `below` use counts as free capacity, for preemption. Drops reservations that have expired.
+   * The machines with capacity for a task of the job, by type, in the order of the cluster state. What tasks
+   * of a priority lower than `below` use counts as free capacity, for preemption. Drops reservations that
+   * have expired.
    */
   findFor(job: Job, below = 0): Machine[] {
     const found: Machine[] = [];
     this.isJobSpecific = job.spec.shape === "service";
-    // Within a round free capacity only shrinks, but for preemption: without that few machines need to be examined.
+    // Within a round free capacity only shrinks, but for preemption: without that few machines are examined.
     for (const machines of (below === 0 ? this.#withCapacityByType : this.#schedulableByType).values()) {
       const type = machines[0]?.type;
       if (!type || !fitsMachineType(job.spec, type)) continue;
       this.machinesExamined += machines.length;
-      for (const machine of machines) {
-        if (!machine.hasCapacityFor(job.spec.need, below) || !this.mayRunOn(job, machine)) continue;
-        if (this.#isReservedForOther(job, machine) || this.wouldWasteGpus(job, machine)) continue;
-        if (this.#hasFailedOn(job, machine) || this.#wouldSlowFetch(job, machine)) {
-          this.isJobSpecific = true;
-          continue;
-        }
-        found.push(machine);
-      }
+      this.#collect(job, below, machines, found);
     }
     return found;
   }
 
-  /** Keeps so many machines of a type with capacity for a GPU task of this demand; see {@link GpuHeadroomGuard}. */
+  /** Adds the feasible ones of these machines, all of a type that the job fits, to those found. */
+  #collect(job: Job, below: number, machines: readonly Machine[], found: Machine[]): void {
+    for (const machine of machines) {
+      if (!machine.hasCapacityFor(job.spec.need, below) || !this.mayRunOn(job, machine)) continue;
+      if (this.#isReservedForOther(job, machine) || this.wouldWasteGpus(job, machine)) continue;
+      if (this.#hasFailedOn(job, machine) || this.#wouldSlowFetch(job, machine)) this.isJobSpecific = true;
+      else found.push(machine);
+    }
+  }
+
+  /** Keeps so many machines of a type with capacity for such a GPU task; see {@link GpuHeadroomGuard}. */
   setGpuHeadroom(type: string, need: Resources | null, machines: number): void {
     this.#gpuHeadroom.setHeadroom(type, need, machines);
   }
@@ -114,7 +120,7 @@
     return this.#gpuHeadroom.wouldWasteGpus(job, machine);
   }
 
-  /** Is the machine reserved for another job that this one must not overtake? Drops a reservation that has expired. */
+  /** Is the machine reserved for a job that this one must not overtake? Drops an expired reservation. */
   #isReservedForOther(job: Job, machine: Machine): boolean {
     const { reservation } = machine;
     if (reservation === null) return false;
@@ -128,14 +134,14 @@
     );
   }
 
-  /** Has the job failed here? Not counted once it has failed on half of all machines: then the fault is its own. */
+  /** Has the job failed here? False once it has failed on half of all machines: then the fault is its own. */
   #hasFailedOn(job: Job, machine: Machine): boolean {
     return (
       job.failedMachines.has(machine.index) && job.failedMachines.size < this.#clusterState.machines.size / 2
     );
   }
 
-  /** Fetches share a machine's bandwidth: would this job's slow the one that a gang of higher priority waits for? */
+  /** Would this job's image fetch share the bandwidth with one that a gang of higher priority waits for? */
   #wouldSlowFetch(job: Job, machine: Machine): boolean {
     if (machine.images.has(job.spec.image)) return false;
     for (const { job: other, observedState } of machine.placements) {
--- a/src/core/scheduling/gang-scheduling.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -17,8 +17,8 @@
 const FREE_MACHINE_WEIGHT_S = 0.5;
 
 /**
- * What became of a gang in a round: all tasks placed; pending until preemption has freed machines that have its image in
- * time; or no feasible set of machines.
+ * What became of a gang in a round: all tasks placed; pending until preemption has freed machines that have
+ * its image in time; or no feasible set of machines.
  */
 export type GangOutcome = "placed" | "awaitingPreemption" | "noCapacity";
 
@@ -48,10 +48,11 @@
   }
 
   /**
-   * Places a gang none of whose tasks has a placement and whose whole demand is within its team's quota limit.
+   * Places a gang that has no placement and whose whole demand is within its team's quota limit.
    *
-   * Images of gangs are large: fetching one can take longer than the start objective allows. While the objective can
-   * still be met, machines that have the image in time come first, by preemption if need be; only then any machine.
+   * Images of gangs are large: fetching one can take longer than the start objective allows. While the
+   * objective can still be met, machines that have the image in time come first, by preemption if need be;
+   * only then any machine.
    */
   schedule(job: Job, isWithinGuarantee: boolean): GangOutcome {
     const objectiveS = startObjectiveS(this.#ctx, job);
@@ -133,7 +134,8 @@
       for (let i = 0; i < slots; i++) machines.push(machine);
     }
     if (machines.length < tasks) return null;
-    // Among equals the zone with the fewest feasible machines: the others stay free for gangs that need more of one zone.
+    // Among equals the zone with the fewest feasible machines: the others stay free for gangs that need more
+    // of one zone.
     if (zone !== null) cost += feasibleInZone * FREE_MACHINE_WEIGHT_S;
     return { machines, cost };
   }
--- a/src/core/scheduling/gpu-headroom-guard.ts
+++ b/src/core/scheduling/gpu-headroom-guard.ts
@@ -43,7 +43,7 @@
     this.#schedulableByType = schedulableByType;
   }
 
-  /** Sets how many machines of a type are to keep capacity for a GPU task of this demand; a null demand lifts that. */
+  /** Sets how many machines of a type are to keep capacity for such a GPU task; none if the demand is null. */
   setHeadroom(type: string, need: Resources | null, machines: number): void {
     this.#headroomByType.set(type, { need, machines });
   }
@@ -58,15 +58,16 @@
   }
 
   /**
-   * Must a job that needs no GPU stay off this machine? It may take the capacity of a GPU task only if it can checkpoint and
-   * be preempted, or while more machines than the headroom are free.
+   * Must a job that needs no GPU stay off this machine? It may take the capacity of a GPU task only if it can
+   * checkpoint and be preempted, or while more machines than the headroom are free.
    */
   wouldWasteGpus(job: Job, machine: Machine): boolean {
     if (job.spec.need.gpu > 0) return false;
     if (machine.isMarkedForScaleIn) return true;
     if (this.#isServiceAwaitingCpuMachine(job, machine)) return true;
     if (!this.wouldBlockGpuTask(job, machine)) return false;
-    // A starving job is protected from preemption for a while, so it can't make way for a GPU task, checkpoints or not.
+    // A starving job is protected from preemption for a while, so it can't make way for a GPU task,
+    // checkpoints or not.
     if (job.spec.checkpointS > 0 && !isStarving(this.#ctx, job)) return false;
     const headroom = this.#headroomByType.get(machine.typeName);
     if (!headroom?.need) return false;
@@ -74,8 +75,8 @@
   }
 
   /**
-   * A service never ends, so it would keep a GPU machine for good: it waits for as long as a machine without GPUs takes to
-   * boot.
+   * A service never ends, so it would keep a GPU machine for good: it waits for as long as a machine without
+   * GPUs takes to boot.
    */
   #isServiceAwaitingCpuMachine(job: Job, machine: Machine): boolean {
     if (job.spec.shape !== "service" || (machine.type?.size.gpu ?? 0) === 0) return false;
@@ -94,7 +95,7 @@
     return shortestS;
   }
 
-  /** How many machines of a type have capacity for a GPU task; counted anew only after placements have changed. */
+  /** How many machines of a type have capacity for a GPU task; counted anew only once placements change. */
   #countFree(type: string, need: Resources): number {
     const machines = this.#schedulableByType.get(type) ?? [];
     const { placementChanges } = this.#clusterState;
--- a/src/core/scheduling/guaranteed-quota.ts
+++ b/src/core/scheduling/guaranteed-quota.ts
@@ -2,8 +2,9 @@
 import type { Job } from "../model/job.js";
 
 /**
- * The jobs that are within the guaranteed quotas of their teams: those whose unfinished tasks fit there along with all of
- * the team's jobs before them. `jobs` are the unfinished jobs in the order in which they were queued; the result keeps it.
+ * The jobs that are within the guaranteed quotas of their teams: those whose unfinished tasks fit there along
+ * with all of the team's jobs before them. `jobs` are the unfinished jobs in the order in which they were
+ * queued; the result keeps it.
  */
 export function findGuaranteedJobs(teams: readonly Team[], jobs: readonly Job[]): Set<Job> {
   const demandByTeam = new Map<string, { cpu: number; gpu: number }>();
--- a/src/core/scheduling/machine-scoring.ts
+++ b/src/core/scheduling/machine-scoring.ts
@@ -24,11 +24,11 @@
     this.#gpuHeadroom = gpuHeadroom;
   }
 
-  /** The cost of placing a task of the job here, lower is better: failures, wait for the image, bin packing, GPUs wasted. */
+  /** The cost of placing a task here, lower is better: failures, image wait, bin packing, GPUs wasted. */
   score(job: Job, machine: Machine): number {
     let seconds = machine.failures * FAILURE_WEIGHT_S + this.imageWaitS(job, machine);
-    // A service that must fetch its image anyway brings it where its further replicas will find capacity: on machines full
-    // of production work the image would serve no other.
+    // A service that must fetch its image anyway brings it where its further replicas will find capacity: on
+    // machines full of production work the image would serve no other.
     if (job.spec.shape === "service" && !machine.images.has(job.spec.image))
       seconds += BIN_PACKING_WEIGHT_S * machine.bookedShareOf(PRODUCTION_PRIORITY);
     else seconds -= BIN_PACKING_WEIGHT_S * machine.bookedShare();
@@ -46,7 +46,7 @@
       .map(({ machine }) => machine);
   }
 
-  /** Seconds until the job's image is in the machine's cache: 0 if it is there, else by the catalogue's fetch rate. */
+  /** Seconds until the job's image is on the machine: 0 if it is cached, else by the catalogue's fetch rate. */
   imageWaitS(job: Job, machine: Machine): number {
     const image = machine.images.get(job.spec.image);
     if (image) return Math.max(0, image.readyAt - this.#ctx.now) / 1000;
--- a/src/core/scheduling/negative-fit-cache.ts
+++ b/src/core/scheduling/negative-fit-cache.ts
@@ -9,8 +9,8 @@
 }
 
 /**
- * Negative-result cache of a round: within it free capacity only shrinks, so a job that asks for as much as one that did not
- * fit, or for more, need not be tried.
+ * Negative-result cache of a round: within it free capacity only shrinks, so a job that asks for as much as
+ * one that did not fit, or for more, need not be tried.
  */
 export class NegativeFitCache {
   readonly #ctx: Context;
--- a/src/core/scheduling/objectives.ts
+++ b/src/core/scheduling/objectives.ts
@@ -2,12 +2,12 @@
 import type { Job } from "../model/job.js";
 
 /**
- * The part of the time to an objective after which it is at risk. A job that has missed one objective is pursued again only
- * from then on.
+ * The part of the time to an objective after which it is at risk. A job that has missed one objective is
+ * pursued again only from then on.
  */
 const AT_RISK_PART = 0.6;
 
-/** How a job stands to its service-level objectives. The numbers are a sort key: what can still be met comes first. */
+/** How a job stands to its service-level objectives. The numbers are a sort key: the lowest is served first. */
 export const OBJECTIVE_STANDING = {
   /** None is missed, or one is and the next is at risk. */
   pursued: 0,
@@ -25,7 +25,7 @@
   return (ctx.wallMs - job.queuedSince) / 1000;
 }
 
-/** The shortest time, in seconds from queueing, within which tasks of this job's class are to start; null without one. */
+/** The shortest start objective of this job's class, in seconds from queueing; null if there is none. */
 export function startObjectiveS(ctx: Context, job: Job): number | null {
   let shortestS: number | null = null;
   for (const { kind, jobClass, withinS } of ctx.deployment.objectives) {
@@ -43,7 +43,7 @@
   );
 }
 
-/** The time, in seconds from queueing, within which jobs within their guaranteed quota are to start; null without one. */
+/** The start objective of jobs within their guaranteed quota, in seconds from queueing; null if there is none. */
 export function guaranteedStartObjectiveS(ctx: Context): number | null {
   const objective = ctx.deployment.objectives.find(({ kind }) => kind === "guarantee");
   return objective ? (objective.withinS ?? 0) : null;
@@ -56,17 +56,12 @@
   const hasStarted = spec.shape === "array" ? job.pending === 0 : job.countRunning() > 0;
   // However many machines a job gets, it takes at least the time of one task.
   const taskS = ctx.estimates.estimateS(spec);
-  let nextDueS = Number.POSITIVE_INFINITY;
-  let hasMissed = false;
-  if (job.effectiveDeadlineAt !== null) {
-    const dueS = (job.effectiveDeadlineAt - job.queuedSince) / 1000 - taskS;
-    if (dueS <= ageS) hasMissed = true;
-    else nextDueS = dueS;
-  }
+  const deadlineS = deadlineDueS(job, taskS);
+  let hasMissed = deadlineS <= ageS;
+  let nextDueS = hasMissed ? Number.POSITIVE_INFINITY : deadlineS;
   for (const { kind, jobClass, withinS } of ctx.deployment.objectives) {
     if (jobClass !== spec.jobClass || withinS === null) continue;
-    if (kind !== "finished" && (kind !== "wait" || hasStarted)) continue;
-    const dueS = kind === "finished" ? withinS - taskS : withinS;
+    const dueS = objectiveDueS(kind, withinS, taskS, hasStarted);
     if (dueS <= ageS) hasMissed = true;
     else if (dueS < nextDueS) nextDueS = dueS;
   }
@@ -75,6 +70,18 @@
   return ageS > nextDueS * AT_RISK_PART ? OBJECTIVE_STANDING.pursued : OBJECTIVE_STANDING.deferrable;
 }
 
+/** The age in seconds at which the job must start for its deadline; infinite without one. */
+function deadlineDueS({ effectiveDeadlineAt, queuedSince }: Job, taskS: number): number {
+  if (effectiveDeadlineAt === null) return Number.POSITIVE_INFINITY;
+  return (effectiveDeadlineAt - queuedSince) / 1000 - taskS;
+}
+
+/** The age in seconds at which a job must start for an objective of its class; infinite where that is settled. */
+function objectiveDueS(kind: string, withinS: number, taskS: number, hasStarted: boolean): number {
+  if (kind === "finished") return withinS - taskS;
+  return kind === "wait" && !hasStarted ? withinS : Number.POSITIVE_INFINITY;
+}
+
 /** Is the next objective of the job at risk, though it can still be met? */
 export function isDeadlineAtRisk(ctx: Context, job: Job): boolean {
   const ageS = jobAgeS(ctx, job);
--- a/src/core/scheduling/pending-reasons.ts
+++ b/src/core/scheduling/pending-reasons.ts
@@ -3,8 +3,8 @@
 import { isStarving } from "./queue-order.js";
 
 /**
- * Why tasks of a job are pending, in the words that the status shows to operators. The texts are an interface of the
- * operators: none may be reworded.
+ * Why tasks of a job are pending, in the words that the status shows to operators. The texts are an interface
+ * of the operators: none may be reworded.
  */
 export const PENDING_REASONS = {
   recordUnreadable: "a record of it can't be read",
@@ -19,8 +19,8 @@
 export type PendingReason = (typeof PENDING_REASONS)[keyof typeof PENDING_REASONS];
 
 /**
- * Sets a job's pending reason for the status. A starving job is logged as well, once for each reason: reasons alternate
- * from round to round, and a line for each change would fill the log.
+ * Sets a job's pending reason for the status. A starving job is logged as well, once for each reason: reasons
+ * alternate from round to round, and a line for each change would fill the log.
  */
 export function recordPendingReason(ctx: Context, job: Job, reason: PendingReason): void {
   if (isStarving(ctx, job) && !job.loggedReasons.has(reason)) {
--- a/src/core/scheduling/preemption-planner.ts
+++ b/src/core/scheduling/preemption-planner.ts
@@ -7,11 +7,11 @@
 import { guaranteedStartObjectiveS, startObjectiveS } from "./objectives.js";
 import { preemptionPriority } from "./preemption-policy.js";
 
-/** Only work of this priority preempts protected jobs, and work of it is never preempted for a guaranteed quota. */
+/** Jobs of this priority preempt protected ones, too, and aren't preempted for a guaranteed quota. */
 const TOP_PRIORITY = 3;
-/** A task without checkpoints that has run for longer is not preempted for another team's guaranteed quota. */
+/** A task without checkpoints that has run for longer is not preempted for a guaranteed quota. */
 const RECLAIM_WITHOUT_CHECKPOINT_MS = 5000;
-/** A start only counts towards a start objective once the task has run this long (PROTOCOL, "How aims are counted"). */
+/** A start counts for an objective once the task has run this long (PROTOCOL, "How aims are counted"). */
 const START_COUNTS_AFTER_S = 30;
 /** What a GPU weighs against a CPU in lost work, a pure number. */
 const GPU_WEIGHT = 10;
@@ -33,7 +33,7 @@
   readonly lostWork: number;
 }
 
-/** Decides which tasks a job may preempt, and chooses the victims on a machine by least priority and least lost work. */
+/** Decides which tasks a job may preempt, and chooses victims by least priority, then least lost work. */
 export class PreemptionPlanner {
   readonly #ctx: Context;
   readonly #clusterState: ClusterState;
@@ -94,16 +94,16 @@
   }
 
   /**
-   * May a job within its team's guaranteed quota preempt this task of equal priority, which uses quota beyond the guarantee
-   * of another team? The rules of the protocol would allow victims of higher priority, too; but a small guaranteed job must
-   * not break up a gang of higher priority.
+   * May a job within its team's guaranteed quota preempt this task of equal priority, which uses quota beyond
+   * the guarantee of another team? The rules of the protocol would allow victims of higher priority, too; but
+   * a small guaranteed job must not break up a gang of higher priority.
    */
   #mayReclaimFrom(victim: Placement, job: Job): boolean {
     const { team, shape } = job.spec;
     if (victim.job.spec.team === team) return false;
-    // What is within its own team's guarantee has borrowed nothing; else two teams would preempt each other in turns.
+    // Within its own team's guarantee it has borrowed nothing; else two teams would preempt each other in turns.
     if (this.#guaranteedJobs.has(victim.job)) return false;
-    // A gang that has run before has had its start; else the same few machines would change hands again and again.
+    // A gang that has run before has had its start; else a few machines would change hands again and again.
     if (shape === "gang" && Number.isFinite(job.lastRanAt)) return false;
     const ranMs = victim.runningSince === null ? 0 : this.#ctx.now - victim.runningSince;
     if (victim.job.spec.checkpointS === 0 && ranMs > RECLAIM_WITHOUT_CHECKPOINT_MS) return false;
@@ -121,7 +121,7 @@
     );
   }
 
-  /** The work, in CPU seconds, that is lost if this task is preempted; of a gang's task, that of the whole gang. */
+  /** The work, in CPU seconds, that is lost if this task is preempted: for a gang's task, the whole gang's. */
   #lostWork({ job, runningSince }: Placement): number {
     const { spec } = job;
     const ranS = runningSince === null ? 0 : (this.#ctx.now - runningSince) / 1000;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -12,7 +12,7 @@
 const RESERVATION_MS = 15_000;
 /** How soon a job that has looked for victims may look again. */
 const RETRY_MS = 500;
-/** What passes between the stop command to a victim and the start command on its capacity, its checkpoint aside. */
+/** What passes between stopping a victim and starting a task on its capacity, the checkpoint aside. */
 const HANDOVER_S = 1;
 
 /** For what tasks are to be preempted. */
@@ -23,7 +23,10 @@
   /** Lets a job within its guaranteed quota preempt tasks of its own priority of teams beyond theirs. */
   readonly isWithinGuarantee: boolean;
   readonly isSuitable: MachineFilter;
-  /** Seconds within which capacity is needed: victims whose checkpoint takes longer aren't given the time. Null: no limit. */
+  /**
+   * Seconds within which capacity is needed: victims whose checkpoint takes longer aren't given the time.
+   * Null: no limit.
+   */
   readonly maxSaveS: number | null;
 }
 
@@ -58,14 +61,15 @@
   }
 
   /**
-   * Stops tasks so that up to `count` tasks of the job fit, and reserves the machines for it; returns for how many tasks.
-   * For a gang that is all or none. Nothing is preempted for a job while an earlier preemption for it is under way.
+   * Stops tasks so that up to `count` tasks of the job fit, and reserves the machines for it; returns for how
+   * many tasks. For a gang that is all or none. Nothing is preempted for a job while an earlier preemption
+   * for it is under way.
    */
   preemptFor(request: PreemptionRequest): number {
     const { now } = this.#ctx;
     const { job } = request;
     if (job.preemptionUntil > now) return 0;
-    // Victims that can't be found now can hardly be in the next round, and the search costs more than the rest of a round.
+    // Victims not found now can hardly be found in the next round, and the search costs more than its rest.
     const sinceLastTryMs = now - job.preemptionTriedAt;
     if (sinceLastTryMs > 0 && sinceLastTryMs < RETRY_MS) return 0;
     job.preemptionTriedAt = now;
--- a/src/core/scheduling/queue-order.ts
+++ b/src/core/scheduling/queue-order.ts
@@ -7,14 +7,14 @@
 /** A job none of whose tasks has had a machine for longer than this is starving. */
 const STARVING_AFTER_S = 160;
 /**
- * A job is to start within 240 s of its acceptance. One that has waited for this long hardly can, as its image is still to
- * be fetched.
+ * A job is to start within 240 s of its acceptance. One that has waited for this long hardly can, as its
+ * image is still to be fetched.
  */
 const START_HOPELESS_AFTER_S = 200;
 /** From here on a job that has missed its start goes before later ones again: it must not wait for ever. */
 const START_RESCUED_AFTER_S = 420;
 
-/** The rank of a starving job: above all but guaranteed work of the highest priority. */
+/** The rank of a starving job: above all but new guaranteed work of the highest priority. */
 const STARVING_RANK = 8;
 /** What one step of priority adds to a job's rank. */
 const RANKS_PER_PRIORITY = 2;
@@ -32,14 +32,14 @@
   readonly rank: number;
   /** An `ObjectiveStanding`. Of a starving job: 1 if it can't start in time any more, else 0. */
   readonly standing: number;
-  /** Remaining work in seconds of task time. Of a starving job: its place among those of its class and team. */
+  /** Remaining seconds of task time. Of a starving job: its place among those of its class and team. */
   readonly length: number;
 }
 
 /**
- * Has the job waited for too long? Ageing bounds the wait under constant overload, where an order of the shortest first and
- * of missed objectives last would never start the largest jobs. The wait counts from times on record, so that it survives
- * a failover.
+ * Has the job waited for too long? Ageing bounds the wait under constant overload, where an order of the
+ * shortest first and of missed objectives last would never start the largest jobs. The wait counts from times
+ * on record, so that it survives a failover.
  */
 export function isStarving(ctx: Context, job: Job): boolean {
   return job.hasRoundRobinTurn || waitedS(ctx, job) > STARVING_AFTER_S;
@@ -52,8 +52,8 @@
 }
 
 /**
- * Has a starving job missed its start? It goes behind those that can still start in time: with more starving jobs than
- * capacity, first come first served would start every one of them too late.
+ * Has a starving job missed its start? It goes behind those that can still start in time: with more starving
+ * jobs than capacity, first come first served would start every one of them too late.
  */
 export function hasMissedStartDeadline(ctx: Context, job: Job): boolean {
   const seconds = waitedS(ctx, job);
@@ -61,8 +61,8 @@
 }
 
 /**
- * What being within the guaranteed quota adds to a job's rank: a new job goes before work of the next higher priority,
- * an older one only before its equals.
+ * What being within the guaranteed quota adds to a job's rank: a new job goes before work of the next higher
+ * priority, an older one only before its equals.
  */
 function guaranteedBoost(ctx: Context, ageS: number): number {
   const objectiveS = guaranteedStartObjectiveS(ctx) ?? 0;
@@ -108,10 +108,11 @@
 }
 
 /**
- * The order in which pending jobs are served: by priority, guaranteed quota and ageing; then what can still meet an
- * objective; then the shortest first, which gets the most jobs done in time; then the oldest.
+ * The order in which pending jobs are served: by priority, guaranteed quota and ageing; then what can still
+ * meet an objective; then the shortest first, which gets the most jobs done in time; then the oldest.
  *
- * `turnPositions` holds each job's place among those of its class and team; it is empty where fair admission is off.
+ * `turnPositions` holds each job's place among those of its class and team; it is empty where fair admission
+ * is off.
  */
 export function sortQueue(
   ctx: Context,
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -5,7 +5,7 @@
 import { add, NO_RESOURCES, type Resources } from "../model/resources.js";
 import { hasMissedStartDeadline } from "./queue-order.js";
 
-/** Reservations are renewed in each round for as long as the gang is pending, and expire this long after the last. */
+/** A reservation expires after this long; each round renews it while the gang is pending. */
 const RESERVATION_MS = 2000;
 
 /** The remaining quota of a team, reserved for one gang. */
@@ -25,11 +25,12 @@
   }
 
   /**
-   * Reserves feasible machines for a gang in the zones it can use: for one bound to a single zone, in that with the most of
-   * them. Otherwise smaller jobs would take each machine as it gets free, and the gang would never have enough at once.
+   * Reserves feasible machines for a gang in the zones it can use: for one bound to a single zone, in that
+   * with the most of them. Otherwise smaller jobs would take each machine as it gets free, and the gang would
+   * never have enough at once.
    *
-   * A firm reservation keeps out work of any priority; starving gangs get one. Of the other gangs only one at a time has
-   * reservations: two that each held part of the cluster would leave both parts idle.
+   * A firm reservation keeps out work of any priority; starving gangs get one. Of the other gangs only one at
+   * a time has reservations: two that each held part of the cluster would leave both parts idle.
    */
   reserveZone(job: Job, isFirm: boolean, feasible: readonly Machine[]): void {
     if (!isFirm && this.#hasReservationOfOther(job)) return;
@@ -41,7 +42,7 @@
     }
   }
 
-  /** Reserves what is left of its team's quota for a starving gang, unless another gang of the team has it. */
+  /** Reserves what is left of its team's quota for a starving gang, unless another gang has reserved it. */
   reserveQuota(job: Job): void {
     const reservation = this.#quotaByTeam.get(job.spec.team);
     if (reservation && this.#isHeldAgainst(reservation, job)) return;
@@ -93,8 +94,8 @@
   }
 
   /**
-   * Is the reservation held against this job? Not if it has expired, or is for a job that can't start in time any more while
-   * this one can.
+   * Is the reservation held against this job? Not if it has expired, or is for a job that can't start in time
+   * any more while this one can.
    */
   #isHeldAgainst(reservation: { readonly job: Job; readonly until: number }, job: Job): boolean {
     const { job: holder, until } = reservation;
--- a/src/core/scheduling/runtime-estimates.ts
+++ b/src/core/scheduling/runtime-estimates.ts
@@ -2,7 +2,7 @@
 
 /** The least weight of a new observation in the mean, a pure number; the first few of a class weigh more. */
 const MIN_OBSERVATION_WEIGHT = 0.05;
-/** The most by which an observation may exceed its estimate, or fall below it, so that one odd task can't skew a class. */
+/** The largest factor between run time and estimate that counts, so that one odd task can't skew a class. */
 const MAX_RATIO = 4;
 
 interface ClassCorrection {
@@ -12,8 +12,9 @@
 }
 
 /**
- * Corrects the run time estimates of job owners, class by class. They are often wrong by half, and on some days mostly in
- * one direction; the mean of the logarithms treats a factor too much and the same factor too little alike.
+ * Corrects the run time estimates of job owners, class by class. They are often wrong by half, and on some
+ * days mostly in one direction; the mean of the logarithms treats a factor too much and the same factor too
+ * little alike.
  */
 export class RuntimeEstimates {
   readonly #correctionByClass = new Map<string, ClassCorrection>();
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -26,26 +26,30 @@
 /** A starving array gets one part in so many of its pending tasks placed in a round. */
 const STARVING_ARRAY_PARTS = 4;
 
-/** A job with pending tasks: of the queue, or of those for which there was no capacity. */
-export interface BlockedJob {
+/** A job with pending tasks, in the queue of a round. */
+interface QueuedJob {
   readonly job: Job;
-  /** How many tasks. */
-  readonly count: number;
   /** Is the job within its team's guaranteed quota? */
   readonly isWithinGuarantee: boolean;
 }
 
+/** A job that was served, with tasks for which there was no capacity. */
+export interface BlockedJob extends QueuedJob {
+  /** The number of these tasks. */
+  readonly count: number;
+}
+
 /** A round that ran out of time. */
 interface InterruptedRound {
-  readonly queue: readonly BlockedJob[];
+  readonly queue: readonly QueuedJob[];
   /** The first entry of the queue that was not served. */
   readonly nextIndex: number;
 }
 
 /**
- * Decides which task runs on which machine, in rounds over the queue of pending jobs. A round stops when its time budget is
- * spent, and the next call resumes it. This module owns the round and the quota limit; gangs are placed by
- * {@link GangScheduler}, arrays and services by {@link TaskScheduler}.
+ * Decides which task runs on which machine, in rounds over the queue of pending jobs. A round stops when its
+ * time budget is spent, and the next call resumes it. This module owns the round and the quota limit; gangs
+ * are placed by {@link GangScheduler}, arrays and services by {@link TaskScheduler}.
  */
 export class Scheduler {
   readonly #ctx: Context;
@@ -96,8 +100,8 @@
   }
 
   /**
-   * Serves the queue, or what an interrupted round has left of it. False when the budget was spent before the end: call
-   * again. At least one job is served in each call.
+   * Serves the queue, or what an interrupted round has left of it. False when the budget was spent before the
+   * end: call again. At least one job is served in each call.
    */
   runRound(budget: TimeBudget): boolean {
     const { queue, nextIndex } = this.#interrupted ?? { queue: this.#buildQueue(), nextIndex: 0 };
@@ -140,7 +144,7 @@
   }
 
   /** The jobs with pending tasks that may be placed, in queue order. */
-  #buildQueue(): BlockedJob[] {
+  #buildQueue(): QueuedJob[] {
     const unfinished = [...this.#clusterState.jobs.values()]
       .filter((job) => job.state === "active" && job.dependenciesSatisfied && !job.isComplete)
       .sort((a, b) => a.queuedSince - b.queuedSince || (a.uid < b.uid ? -1 : 1));
@@ -150,7 +154,6 @@
     const turnPositions = this.#assignTurns(pending);
     return sortQueue(this.#ctx, pending, guaranteed, turnPositions).map((job) => ({
       job,
-      count: job.pending,
       isWithinGuarantee: guaranteed.has(job),
     }));
   }
@@ -170,7 +173,7 @@
     return true;
   }
 
-  /** Marks the jobs that have the round-robin turn; returns each job's place among those of its class and team. */
+  /** Marks the jobs that have the round-robin turn; returns each job's place in its class and team. */
   #assignTurns(pending: readonly Job[]): ReadonlyMap<Job, number> {
     if (!this.turns) return new Map();
     const { settings, wallMs } = this.#ctx;
@@ -179,7 +182,7 @@
     return this.turns.places(pending);
   }
 
-  #serve(entry: BlockedJob): void {
+  #serve(entry: QueuedJob): void {
     const { job } = entry;
     if (job.state !== "active" || job.pending === 0) return;
     job.pendingReason = null;
@@ -188,9 +191,9 @@
   }
 
   /** Serves an array or a service: as many tasks as quota and capacity allow. */
-  #serveTasks(entry: BlockedJob): void {
+  #serveTasks(entry: QueuedJob): void {
     const { job } = entry;
-    // An array that goes first only because it is starving gets a part of its tasks placed: it must not block all others.
+    // An array that goes first only as it is starving gets a part of its tasks placed, so as not to block others.
     const isPartial = job.spec.shape === "array" && isStarving(this.#ctx, job);
     const wanted = isPartial ? Math.ceil(job.pending / STARVING_ARRAY_PARTS) : job.pending;
     const allowed = Math.min(wanted, this.tasksWithinQuota(job));
@@ -203,7 +206,7 @@
   }
 
   /** Serves a gang: all of its tasks or none, and only once nothing of its previous attempt is left (I3). */
-  #serveGang(entry: BlockedJob): void {
+  #serveGang(entry: QueuedJob): void {
     const { job, isWithinGuarantee } = entry;
     if (job.placements.size > 0) {
       recordPendingReason(this.#ctx, job, PENDING_REASONS.previousAttemptActive);
@@ -221,7 +224,7 @@
   }
 
   /** Lists a job as blocked, and preempts for it if it may. */
-  #onNoCapacity({ job, isWithinGuarantee }: BlockedJob, count: number): void {
+  #onNoCapacity({ job, isWithinGuarantee }: QueuedJob, count: number): void {
     const { now } = this.#ctx;
     job.blockedSince ??= now;
     const isPreempting = job.preemptionUntil > now;
--- a/src/core/scheduling/task-placer.ts
+++ b/src/core/scheduling/task-placer.ts
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Is an attempt number left under the present fencing token? The counter starts anew under each token, so that a long
-   * term never runs out of numbers.
+   * Is an attempt number left under the present fencing token? The counter starts anew under each token, so
+   * that a long term never runs out of numbers.
    */
   hasAttempts(): boolean {
     if (this.#counterFencingToken !== this.#leaderLease.fencingToken) {
@@ -54,7 +54,7 @@
     return isValidCounter(this.#attemptCounter + 1);
   }
 
-  /** The next attempt number; the tasks of a gang share one. Throws a RangeError where {@link hasAttempts} is false. */
+  /** The next attempt number; a gang's tasks share one. Throws a RangeError where none is left. */
   nextAttempt(): number {
     if (!this.hasAttempts()) throw new RangeError("no attempts are left under this token");
     this.#attemptCounter++;
@@ -62,12 +62,13 @@
   }
 
   /**
-   * Binds a task to a machine in the cluster state and queues the placement for its record. The start command is sent
-   * only once the placement is recorded (I2); from now on the placement holds its task, zone, capacity and quota (I3).
+   * Binds a task to a machine in the cluster state and queues the placement for its record. The start command
+   * is sent only once the placement is recorded (I2); from now on the placement holds its task, zone,
+   * capacity and quota (I3).
    */
   place(job: Job, task: number, machine: Machine, attempt = this.nextAttempt()): Placement {
     const { now } = this.#ctx;
-    // A job that started because it was starving would make no progress if what it overtook preempted it at once.
+    // A job that starts as it is starving would make no progress if what it overtook preempted it at once.
     if (isStarving(this.#ctx, job)) job.protectedUntil = now + STARVED_PROTECTION_MS;
     const placement: Placement = {
       job,
--- a/src/core/scheduling/task-scheduling.ts
+++ b/src/core/scheduling/task-scheduling.ts
@@ -12,8 +12,8 @@
 import type { TaskPlacer } from "./task-placer.js";
 import { maxTasksPerZone } from "./zone-spread.js";
 
-/** The replicas of a service are split over this many machines at least, as far as these don't have its image yet. */
-const MIN_MACHINES_FETCHING = 4;
+/** A machine that must fetch a service's image gets at most one part in so many of its replicas at a time. */
+const FETCHING_MACHINE_PARTS = 4;
 
 /** Places the tasks of job arrays and the replicas of services: each by itself, as many as fit. */
 export class TaskScheduler {
@@ -33,7 +33,7 @@
     this.#placer = dependencies.placer;
   }
 
-  /** Places up to `count` tasks; returns for how many there is a machine, now or as soon as preemption has freed it. */
+  /** Places up to `count` tasks; returns for how many there is a machine, now or once preemption has freed it. */
   schedule(job: Job, count: number): number {
     const objectiveS = startObjectiveS(this.#ctx, job);
     if (objectiveS === null) return this.#placeOnAny(job, count);
@@ -69,7 +69,7 @@
     for (const machine of machines) {
       if (placed >= count) break;
       if (zone !== null && machine.zone !== zone) continue;
-      // The machines were found before the first of these tasks was placed: the GPU headroom may be used up by now.
+      // The machines were found before the first task was placed: the GPU headroom may be used up by now.
       if (placed > 0 && this.#feasibleMachines.wouldWasteGpus(job, machine)) continue;
       for (let slots = slotsOn(machine, job, count - placed); slots > 0; slots--) {
         const task = job.nextPending();
@@ -82,7 +82,7 @@
   }
 }
 
-/** The zone of a job that must stay within one: that of its placements or, without any, of the best machine. */
+/** The zone of a job that must stay within one: that of its placements or, without any, the best machine's. */
 function zoneOf(job: Job, ranked: readonly Machine[]): string | null {
   for (const placement of job.placements.values()) return placement.machine.zone;
   return ranked[0]?.zone ?? null;
@@ -95,7 +95,7 @@
   if (spread) slots = Math.min(slots, maxTasksPerZone(job.spec) - job.countInZone(machine.zone));
   if (shape === "service" && !machine.images.has(image)) {
     // Several machines fetch the image at the same time, so that not all replicas depend on the fetch of one.
-    slots = Math.min(slots, Math.ceil(tasks / MIN_MACHINES_FETCHING));
+    slots = Math.min(slots, Math.ceil(tasks / FETCHING_MACHINE_PARTS));
   }
   return slots;
 }
--- a/src/core/scheduling/team-load.ts
+++ b/src/core/scheduling/team-load.ts
@@ -9,8 +9,8 @@
 }
 
 /**
- * For each team, the longest time in milliseconds for which some class of its jobs has had pending tasks and no start; 0
- * where nothing is pending.
+ * For each team, the longest time in milliseconds for which some class of its jobs has had pending tasks and
+ * no start; 0 where nothing is pending.
  */
 export function longestWaits(
   turns: RoundRobinTurns,
