--- a/src/core/administration.ts
+++ b/src/core/administration.ts
@@ -1,6 +1,6 @@
 import { changeOperator, readOperator } from "../config/operator.js";
 import type { Context } from "./context.js";
-import { unavailable } from "./jobs/submissions.js";
+import { unavailable } from "./jobs/responses.js";
 import type { AdminRequest, AdminResponse } from "./messages/administration.js";
 import type { StoreResponse } from "./messages/store.js";
 import type { MachineMode } from "./model/machine.js";
--- a/src/core/jobs/submissions.ts
+++ b/src/core/jobs/submissions.ts
@@ -11,8 +11,6 @@
 import { SubmissionHandler } from "./submission.js";
 import { SubmissionValidator } from "./submission-validator.js";
 
-export { unavailable } from "./responses.js";
-
 /** What {@link JobRequests} reports to, and asks of, its node. */
 export interface JobRequestEvents {
   /** This node has written a job's record: accepted it, or cancelled it. */
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -1,5 +1,6 @@
 import * as v from "valibot";
 import type { PeerMessage } from "../core/messages/peers.js";
+import { admissionSchema, decodeAdmission, encodeAdmission } from "./admission.js";
 
 /**
  * The frames that controllers exchange: internal messages in, wire form out, and back. The words of the wire are older
@@ -8,28 +9,6 @@
  */
 
 const count = v.pipe(v.number(), v.minValue(0));
-const admissionSchema = v.object({
-  report: v.object({
-    process: v.string(),
-    sequence: count,
-    slice: count,
-    sliceToken: count,
-    teams: v.array(
-      v.object({ team: v.string(), asked: count, held: v.number(), promised: count, spent: v.number() }),
-    ),
-    promises: v.array(v.object({ uid: v.string(), inMs: count })),
-    kept: v.array(v.string()),
-  }),
-  slice: v.optional(
-    v.object({
-      token: count,
-      id: count,
-      answers: count,
-      lifeMs: count,
-      permits: v.array(v.object({ team: v.string(), count, ratePerS: count })),
-    }),
-  ),
-});
 const helloSchema = v.object({ t: v.literal("hello"), node: v.string() });
 const messageSchema = v.variant("t", [
   v.object({
@@ -80,7 +59,7 @@
         workersHeard: message.agentsHeard,
         protocol: message.protocol,
         standby: message.standby,
-        admission: message.admission,
+        admission: message.admission && encodeAdmission(message.admission),
       };
     case "jobRecord":
       return { t: "job", item: message.entry };
@@ -110,7 +89,7 @@
         agentsHeard: message.workersHeard,
         protocol: message.protocol,
         standby: message.standby,
-        admission: message.admission,
+        admission: message.admission && decodeAdmission(message.admission),
       };
     case "job":
       return { kind: "jobRecord", entry: message.item };
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -184,7 +184,7 @@
   assert.ok(read);
   assert.deepEqual(JSON.parse(JSON.stringify(encodePeerMessage(read))), asSent);
 
-  const { report } = heartbeat.admission;
+  const { report } = asSent.admission;
   const malformed = [
     "yes",
     { report: { ...report, sequence: -1 } },
@@ -195,7 +195,7 @@
     const decoded = decodePeerMessage({ ...asSent, admission });
     assert.ok(decoded?.kind === "heartbeat" && decoded.admission === undefined, JSON.stringify(admission));
   }
-  const laterVersion = decodePeerMessage({ ...asSent, admission: { ...heartbeat.admission, more: 1 } });
+  const laterVersion = decodePeerMessage({ ...asSent, admission: { ...asSent.admission, more: 1 } });
 
   assert.ok(
     laterVersion?.kind === "heartbeat" && laterVersion.admission,
