--- a/test/command-planner.test.ts
+++ b/test/command-planner.test.ts
@@ -6,7 +6,7 @@
 import { onlyElement } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a start is sent only after its placement is on record", () => {
+test("a start command is sent only after its placement is stored", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.storeRule = (call) =>
@@ -23,7 +23,7 @@
   assert.equal(harness.startCommands("j-1").length, 1);
 });
 
-test("a start is not sent, nor repeated, on old knowledge that its job is not cancelled", () => {
+test("a start command is neither sent nor repeated while the leader's knowledge of cancellations is stale", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
@@ -45,7 +45,7 @@
   assert.equal(harness.startCommands("j-1").length, startsBefore);
 });
 
-test("what is cancelled before its start was sent is never started", () => {
+test("a task cancelled before its start command was sent is never started", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-0"));
@@ -72,7 +72,7 @@
   assert.ok(harness.store.entries.has("f/j-1"));
 });
 
-test("an unanswered start is repeated: same attempt, same machine, until it is seen", () => {
+test("an unanswered start command is repeated only with the same attempt on the same machine", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
@@ -92,7 +92,7 @@
   assert.ok(reply?.kind === "commands");
 });
 
-test("a cancelled task whose start may be on its way is started and stopped, so that the start can't come later", () => {
+test("a cancelled task whose start command may be in flight is started and stopped, so that no late start can follow", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
--- a/test/controller.test.ts
+++ b/test/controller.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("a fault in the core costs the office, not the process", () => {
+test("an exception in the core makes the leader step down and leaves the process running", () => {
   const { harness } = leaderWithRunningTask();
   // The fault: a machine index that the interner does not know. The poll behind it in the same batch is answered all
   // the same.
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -5,7 +5,7 @@
 import { jobSpec } from "./support/controller-harness.js";
 import { electNextLeader, leaderWithRunningTask } from "./support/leaders.js";
 
-test("a leader that the state service refuses launches nothing, answers reports for a time, then no more", () => {
+test("a leader whose lease has expired launches nothing and replies to heartbeats within the grace period only", () => {
   const { harness, attempt } = leaderWithRunningTask();
   const token = harness.controller.election.lease?.fencingToken;
   harness.storeRule = () => ({ kind: "unavailable", reason: "outage" });
@@ -22,7 +22,7 @@
   assert.notEqual(harness.sendHeartbeat("A")?.kind, "commands");
 });
 
-test("a leader whose grant is gone, or that sees a higher token, steps down at once", () => {
+test("a leader whose lease is not found, or that sees a higher fencing token, steps down at once", () => {
   for (const evidence of ["grant", "token"]) {
     const { harness } = leaderWithRunningTask();
     if (evidence === "grant")
@@ -38,7 +38,7 @@
   }
 });
 
-test("tokens never repeat: each leader's is higher than all before, also after raises", () => {
+test("each leader's fencing token is higher than all before it, also after a leader has raised its own", () => {
   const { harness: leader } = leaderWithRunningTask();
   const firstToken = leader.controller.election.lease?.fencingToken ?? 0;
   for (let i = 0; i < 32; i++) {
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -17,7 +17,7 @@
   return harness.now - electedAt;
 }
 
-test("an unadopted machine is waited out for the former leader's hold and the lease, not less", () => {
+test("a new leader waits for the previous leader's grace period and the agent lease before it restarts tasks of a silent machine", () => {
   const { harness } = successorOfSilentLeader();
   harness.cloudRule = () => ({ kind: "unavailable", reason: "down" });
   const electedAt = harness.controller.leaderTerm?.lease.electedAt ?? 0;
@@ -36,7 +36,7 @@
   assert.equal(harness.startCommands("j-1").length, 1);
 });
 
-test("once every peer has shown this leaderTerm's token no former leader's hold is waited out; one of two is not enough", () => {
+test("a new leader skips the previous leader's grace period only once every peer has shown the new fencing token", () => {
   for (const peers of [["n0", "n2"], ["n2"], ["n0"]]) {
     const { harness } = successorOfSilentLeader();
     const token = harness.controller.leaderTerm?.lease.fencingToken ?? 0;
@@ -62,7 +62,7 @@
   }
 });
 
-test("a leader that follows itself, nobody between, knows until when it answered; after anyone else it does not", () => {
+test("a node re-elected with no other leader between waits only from its own last reply, and in full after any other leader", () => {
   for (const anotherLedBetween of [false, true]) {
     const { harness } = leaderWithRunningTask();
     harness.storeRule = () => ({ kind: "unavailable", reason: "cut off" });
@@ -99,7 +99,7 @@
   }
 });
 
-test("a node back at once waits out the leader before its former self, too", () => {
+test("a node that restarts and is re-elected at once also waits for the grace period of the leader before its own previous term", () => {
   // n0 led, then n1, which restarted within a fraction of a second: n0 may still be in its grace period, renewing A's
   // lease (I3).
   const { harness: previousLeader } = leaderWithRunningTask();
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("proofs that a task is gone: a later session, the release, the lease; absence alone is none", () => {
+test("a later agent incarnation, a terminated machine or an expired lease proves that a task has ended, absence from a heartbeat does not", () => {
   const absent = leaderWithRunningTask();
   absent.harness.sendHeartbeat("B", [], { zone: "b" });
   // A heartbeat without the task, under the fencing token that the task was started with, proves nothing (I3).
@@ -50,7 +50,7 @@
   assert.equal(expired.harness.startCommands("j-1").length, 2, "the lease is over");
 });
 
-test("a worker back with a new session gets work once it reports, not by direct answers alone, and has its full lease", () => {
+test("an agent with a new incarnation gets tasks and a full lease once it sends a heartbeat, not by replies to direct commands alone", () => {
   // Found by the property test (rule ran_twice): the agent was declared dead by the lease of its previous incarnation.
   const { harness } = leaderWithRunningTask();
   harness.cloudRule = () => ({ kind: "unavailable", reason: "" });
--- a/test/heartbeat-router.test.ts
+++ b/test/heartbeat-router.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness } from "./support/controller-harness.js";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("a follower passes reports on to a leader it hears, sends workers to one it does not, and never answers itself", () => {
+test("a follower forwards heartbeats to a leader it hears, redirects agents to one it does not hear, and never replies itself", () => {
   const { harness: leader } = leaderWithRunningTask();
   const follower = new ControllerHarness("n1", leader.store);
   follower.now = leader.now;
@@ -37,7 +37,7 @@
   assert.deepEqual(follower.sendHeartbeat("C"), { kind: "redirect", node: "n0" }, "it is heard no more");
 });
 
-test("a follower without a leader holds a report for a while, then sends the worker to the next node", () => {
+test("a follower that knows no leader delays a heartbeat for a while, then redirects the agent to the next node", () => {
   const harness = new ControllerHarness("n1");
   harness.storeRule = () => ({ kind: "unavailable", reason: "" });
   harness.handle({ kind: "heartbeat", requestId: 77, heartbeat: harness.makeHeartbeat("C"), body: null });
@@ -49,7 +49,7 @@
   assert.deepEqual(harness.agentReply(77), { kind: "redirect", node: null });
 });
 
-test("a copy that comes late to a follower does not make it a worker's way to the leader", () => {
+test("a duplicate heartbeat at a follower is answered as unavailable and not forwarded to the leader", () => {
   const { harness: leader } = leaderWithRunningTask();
   const follower = new ControllerHarness("n1", leader.store);
   follower.now = leader.now;
--- a/test/interner.test.ts
+++ b/test/interner.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { Interner } from "../src/core/model/interner.js";
 
-test("a freed index is not given out while commands mapped earlier may still carry it", () => {
+test("a reclaimed index is not reused while earlier batches may still carry it", () => {
   const names = new Interner();
   const indexOfA = names.intern("a");
   names.beginBatch();
@@ -25,7 +25,7 @@
 // Guarded against: a heartbeat brings a name that nothing else uses, and in the same batch, before the heartbeat is
 // handled, names are reclaimed. What was kept of the heartbeat then carried an index without a name, and the reply to it
 // ended the process.
-test("a name that a command of this batch brings is not swept before the command is worked off", () => {
+test("a name interned in the current batch is not reclaimed before that batch is handled", () => {
   const names = new Interner();
   names.beginBatch();
   const indexOfA = names.intern("a");
--- a/test/lease-renewal-policy.test.ts
+++ b/test/lease-renewal-policy.test.ts
@@ -16,7 +16,7 @@
   agentsHeard: 0,
 } as const;
 
-test("a leader that may not know of cancellations answers no report beyond what they leave room for", () => {
+test("a leader whose knowledge of cancellations is stale renews agent leases only while they expire within the cancellation deadline", () => {
   // I1: whether keep-alives succeed or not, what counts is the age of the last job watch response. `cancel_s` is 40 s,
   // an agent lease 12 s.
   for (const renewals of [true, false]) {
@@ -45,7 +45,7 @@
   }
 });
 
-test("a quiet leader keeps its office and its workers, however short a cancellation's time is beside a lease", () => {
+test("an idle leader keeps its leadership and renews agent leases, however short the cancellation deadline is against the lease", () => {
   // Found in a run against real processes: between two responses of a watch the watermark of known cancellations grew
   // older than the staleness bound allows.
   for (const cancelS of [40, 10, 8, 5]) {
@@ -62,7 +62,7 @@
   }
 });
 
-test("a leader that has stood still answers nothing it finds waiting, if it may not know of cancellations by then", () => {
+test("a leader resumed after a pause does not reply to queued heartbeats if its knowledge of cancellations is stale by then", () => {
   const { harness, attempt } = leaderWithRunningTask();
   // Keep-alives are answered to the last, the job watch is not; then the process is paused for 21 s, and finds a peer's
   // heartbeat and an agent's in its queue (I1).
@@ -75,7 +75,7 @@
   assert.notEqual(reply?.kind, "commands");
 });
 
-test("a leader without state service and peers lets its workers go after two grants, and is not ready", () => {
+test("a leader cut off from store and peers stops renewing agent leases after two lease periods, and is not ready", () => {
   for (const isIsolated of [true, false]) {
     const { harness } = leaderWithRunningTask();
     const advanceSeconds = (seconds: number) => {
--- a/test/reachability.test.ts
+++ b/test/reachability.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { leaderWithRunningTask, onlyElement } from "./support/leaders.js";
 
-test("a leader that hears no worker while a peer does hands over and stays out of the race", () => {
+test("a leader that hears no agent while a peer hears some resigns and does not campaign for a while", () => {
   const harness = new ControllerHarness().becomeLeader();
   for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name);
   const receivePeerHeartbeat = (agentsHeard: number) =>
@@ -39,7 +39,7 @@
   assert.equal(harness.controller.election.lease, null);
 });
 
-test("a worker that reports but hears nothing gets no more work, is replaced if it lasts, and is used again", () => {
+test("an agent in a one-way partition gets no more tasks, its machine is replaced if that persists and used again if it ends", () => {
   for (const persists of [true, false]) {
     const harness = new ControllerHarness().becomeLeader();
     const terminatedMachines: string[] = [];
@@ -102,7 +102,7 @@
   }
 });
 
-test("a lease that runs out under answers shows that they don't arrive; one that ran out in silence does not", () => {
+test("a lease that expires although replies are sent shows a one-way partition, and one that expires in silence does not", () => {
   for (const silentMs of [0, 13_000]) {
     const { harness } = leaderWithRunningTask();
     harness.cloudRule = () => ({ kind: "unavailable", reason: "" });
@@ -119,7 +119,7 @@
   }
 });
 
-test("where most workers don't hear the leader, it hands over", () => {
+test("a leader that most agents don't hear resigns", () => {
   const harness = new ControllerHarness().becomeLeader();
   for (let second = 0; second < 8; second++) {
     for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name, [], { fencingToken: 0 });
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -6,7 +6,7 @@
 import { leaderWithRunningTask, successorOfSilentLeader } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a leader that has not read the records yet renews no lease: it knows of no cancellation", () => {
+test("a leader that has not read the records yet renews no agent lease, as it knows of no cancellation", () => {
   const { harness: previousLeader, attempt } = leaderWithRunningTask();
   previousLeader.store.expire(previousLeader.now + 60_000);
   const newLeader = new ControllerHarness("n1", previousLeader.store);
@@ -23,7 +23,7 @@
   assert.equal(newLeader.sendHeartbeat("A", running)?.kind, "commands");
 });
 
-test("a new leader starts a recorded task nowhere else until its machine carries the new token without it", () => {
+test("a new leader restarts a recorded task only after its machine reports without it under the new fencing token", () => {
   const { harness, attempt } = successorOfSilentLeader();
   assert.deepEqual(harness.startCommands("j-1"), [], "nothing is known of A yet");
 
@@ -43,7 +43,7 @@
   assert.equal(harness.startCommands("j-1").length, 1);
 });
 
-test("a new leader adopts what it finds running", () => {
+test("a new leader adopts the tasks that it finds running", () => {
   const { harness, attempt } = successorOfSilentLeader();
   harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
   harness.advance(2000);
@@ -55,7 +55,7 @@
   });
 });
 
-test("reports that are late, repeated or from an earlier session change nothing", () => {
+test("heartbeats that are late, duplicated or from an earlier incarnation change nothing", () => {
   const { harness, attempt } = leaderWithRunningTask();
   const staleHeartbeat = harness.makeHeartbeat("A", [
     { uid: "j-1", task: 0, attempt, state: "ended", cause: "done" },
--- a/test/task-outcome.test.ts
+++ b/test/task-outcome.test.ts
@@ -6,7 +6,7 @@
 import { jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("an ended attempt is not cleared while its done mark is still being written", () => {
+test("an ended attempt is not acknowledged while its done mark is still being written", () => {
   const { harness, attempt } = leaderWithRunningTask();
   for (let i = 0; i < 33; i++) {
     harness.advance(1000);
@@ -39,7 +39,7 @@
   assert.deepEqual(acknowledged, []);
 });
 
-test("an ended attempt is cleared only when its worker carries a higher token than it was started under", () => {
+test("an ended attempt is acknowledged only when its agent carries a higher fencing token than it was started under", () => {
   const { harness, attempt } = leaderWithRunningTask();
   const ended = { uid: "j-1", task: 0, attempt, state: "ended", cause: "done" } as const;
   const early = harness.sendHeartbeat("A", [ended]);
@@ -56,7 +56,7 @@
   assert.ok(late?.kind === "commands" && late.commands.some((command) => command.kind === "acknowledge"));
 });
 
-test("of cancelling and completing just one wins, and it stays", () => {
+test("of a cancellation and a completion exactly one wins, and the outcome is final", () => {
   const { harness, attempt } = leaderWithRunningTask();
   harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "ended", cause: "done" }]);
   harness.advance(500);
