--- a/test/dependency-cancellation.test.ts
+++ b/test/dependency-cancellation.test.ts
@@ -7,7 +7,7 @@
 import { leaderWithDependentJob, phaseOf, reportDone, writesFinalRecord } from "./support/dependent-jobs.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a cancellation at the moment of the last task's end: one write decides, for the job and for what waits for it", () => {
+test("when a cancellation races with completion, one write decides for the job and its dependents", () => {
   for (const cancelledFirst of [true, false]) {
     const { harness, runningTask } = leaderWithDependentJob();
     if (cancelledFirst) {
@@ -35,7 +35,7 @@
   }
 });
 
-test("every node says cancelled of all that needs a cancelled job, with the leader refused, ended or never told", () => {
+test("every node reports the dependents of a cancelled job as cancelled, though the leader can't reach the store, has ended or has not seen it", () => {
   const { harness } = leaderWithDependentJob();
   harness.submit(jobSpec("j-3", { awaits: ["j-2"] }));
   harness.advance(300);
@@ -74,7 +74,7 @@
   assert.equal(phaseOf(harness.submit(jobSpec("j-5", { awaits: ["j-2"] }))), "cancelled", "long after");
 });
 
-test("a job accepted in the very moment in which what it names is cancelled is cancelled, too, also with the leader gone", () => {
+test("a job accepted while a dependency is being cancelled is cancelled too, even after the leader is lost", () => {
   const { harness } = leaderWithDependentJob();
   const otherNode = new ControllerHarness("n1", harness.store);
   otherNode.advance(300);
@@ -100,7 +100,7 @@
   assert.equal(phaseOf(new ControllerHarness("n2", harness.store).becomeLeader().poll("j-9")), "cancelled");
 });
 
-test("a job cancelled by its user while the leader ends it for the sake of another is over all the same", () => {
+test("a job cancelled by its user while the leader cancels it for a dependency ends as cancelled", () => {
   const { harness } = leaderWithDependentJob();
   const otherNode = new ControllerHarness("n1", harness.store);
   otherNode.advance(300);
@@ -120,7 +120,7 @@
   assert.ok(!harness.store.entries.has("j/j-2"));
 });
 
-test("in an outage a cancellation that a node knows of is said of all that needs the job", () => {
+test("during a store outage a node reports the dependents of a job it knows to be cancelled as cancelled", () => {
   const { harness } = leaderWithDependentJob();
   harness.cancel("j-1");
   harness.storeRule = () => STORE_OUTAGE;
--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -10,7 +10,7 @@
 import { electNextLeader } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a job starts once those it needs are on record as done, not when a report says that they are", () => {
+test("a job starts once its dependencies are stored as done, not when a heartbeat reports them done", () => {
   const { harness, runningTask } = leaderWithDependentJob();
   harness.advance(5000);
   assert.deepEqual(harness.startCommands("j-2"), []);
@@ -36,7 +36,7 @@
   assert.equal(harness.startCommands("j-2").length, 1);
 });
 
-test("a final record whose answer is lost releases what waits for it once that is known, not before", () => {
+test("a final record whose store response is lost satisfies dependencies only once its outcome is known", () => {
   const { harness, runningTask } = leaderWithDependentJob();
   let lostResponses = 0;
   harness.storeRule = (call) => {
@@ -55,7 +55,7 @@
   assert.equal(harness.startCommands("j-2").length, 1);
 });
 
-test("a new leader that has not read the final records starts nothing that may wait for them", () => {
+test("a new leader that has not read the final records starts no job that may depend on them", () => {
   const { harness: previousLeader, runningTask } = leaderWithDependentJob();
   previousLeader.submit(jobSpec("j-3", { awaits: ["j-2", "j-1"] }));
   reportDone(previousLeader, runningTask);
@@ -88,7 +88,7 @@
   );
 });
 
-test("deadlines count from the submission, other times from the release, also to the next leader", () => {
+test("deadlines count from acceptance and queue times from when dependencies are satisfied, also under the next leader", () => {
   const { harness: leader, runningTask } = leaderWithDependentJob();
   leader.submit(jobSpec("j-3", { awaits: ["j-1"], deadlineS: 100 }));
   for (let i = 0; i < 30; i++) {
@@ -114,7 +114,7 @@
   );
 });
 
-test("while it waits a job is queued and counts for nothing; from its release on for all", () => {
+test("a job with unsatisfied dependencies is queued without using quota, ageing or scaling out, and counts in full once they are satisfied", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
@@ -166,7 +166,7 @@
   assert.ok(!harness.logLines.includes("job still waits"), "not aged by the wait for others");
 });
 
-test("priority and deadline of the last job reach those before it, and go when it is cancelled", () => {
+test("jobs inherit the priority and deadline of their dependents until those are cancelled", () => {
   const leader = new ControllerHarness().becomeLeader();
   leader.submit(jobSpec("j-1", { priority: 0, tasks: 8 }));
   leader.submit(jobSpec("j-2", { priority: 0, tasks: 8, estimateS: 20, awaits: ["j-1"] }));
@@ -197,7 +197,7 @@
   assert.equal(nextLeader.controller.leaderTerm.cluster.jobByUid("j-1")?.effectiveDeadlineAt, null);
 });
 
-test("what is important only because of what waits for it stops lesser work only when the time to that deadline is short", () => {
+test("a job with an inherited priority preempts only when the deadline of its dependent is at risk", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   // Fills the machine, and can't save checkpoints.
--- a/test/failure-tracking.test.ts
+++ b/test/failure-tracking.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 
-test("a machine on which different jobs fail is set aside; a job that fails everywhere is held back", () => {
+test("a machine on which different jobs fail is drained", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   for (const uid of ["j-1", "j-2"]) {
--- a/test/feasible-machines.test.ts
+++ b/test/feasible-machines.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("a spread service has at most half of its tasks, rounded up, in one zone", () => {
+test("a spread service has at most half of its replicas, rounded up, in one zone", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -15,7 +15,7 @@
   assert.equal(liveTasks(tasksByMachine, "A").length, 2);
 });
 
-test("a service without its image anywhere brings it to several machines, those first that hold the fewest others", () => {
+test("a service whose image is cached nowhere is placed on several machines, those with the fewest cached images first", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>();
   const service = {
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -7,7 +7,7 @@
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
-test("a gang starts whole, in one zone, under one attempt, or not at all", () => {
+test("a gang starts whole, in one zone and under one attempt, or not at all", () => {
   const harness = new ControllerHarness().becomeLeader();
   const spec = { shape: "gang", priority: 2, tasks: 2, types: ["gpu"], oneZone: true } as const;
   const tasksByMachine = new Map<string, TaskStatus[]>([
@@ -31,7 +31,7 @@
   assert.ok(fencingTokenOf(starts[0]?.attempt ?? 0) > 0);
 });
 
-test("the rest of a broken gang is stopped, and nothing of it starts before all is gone", () => {
+test("when a task of a gang fails the others are stopped, and the gang restarts only after all of them have ended", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineFields = { A: GPU_MACHINE, B: GPU_MACHINE };
   for (const name of ["A", "B"]) harness.sendHeartbeat(name, [], GPU_MACHINE);
--- a/test/job-lookup.test.ts
+++ b/test/job-lookup.test.ts
@@ -6,14 +6,14 @@
 import { leaderWithDependentJob, phaseOf, reportDone } from "./support/dependent-jobs.js";
 import { FakeStore } from "./support/fake-store.js";
 
-test("404 needs proof: without the state service nothing is said to be unknown", () => {
+test("a job is reported as not found only with proof from the store, and as unavailable without it", () => {
   const harness = new ControllerHarness().becomeLeader();
   assert.equal(harness.poll("j-5")?.kind, "notFound");
   harness.storeRule = () => ({ kind: "timeout" });
   assert.equal(harness.poll("j-5")?.kind, "unavailable");
 });
 
-test("polls are answered together by one comparison, and never with what another node has outdated", () => {
+test("polls in a batch are confirmed by one compare-only transaction, and never answered with state that another node has changed", () => {
   const store = new FakeStore();
   const harness = new ControllerHarness("n0", store).becomeLeader();
   const otherNode = new ControllerHarness("n1", store);
@@ -48,7 +48,7 @@
   );
 });
 
-test("a poll that waits to be compared while its job is read as over is answered with that, never with less", () => {
+test("a poll awaiting comparison while its job is read as ended is answered with the ended state", () => {
   // Found on the bench: the comparing transaction had no conditions left, succeeded, and a job that was done was reported
   // as running.
   const { harness, runningTask } = leaderWithDependentJob();
@@ -73,7 +73,7 @@
   assert.equal(phaseOf(otherNode.userResponse(902)), "queued");
 });
 
-test("polls of pipelines compare within the operations limit, and re-read only what failed", () => {
+test("polls of dependent jobs compare within the operations limit and re-read only the keys that failed", () => {
   const harness = new ControllerHarness("n0", new FakeStore(), "n0-1", {
     txnOps: 4,
     nextStoreLimits: null,
--- a/test/negative-fit-cache.test.ts
+++ b/test/negative-fit-cache.test.ts
@@ -6,7 +6,7 @@
 import { NegativeFitCache } from "../src/core/scheduling/negative-fit-cache.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 
-test("what found no place is not looked for again by as much or more, unless places are kept for it", () => {
+test("a gang as large as one that found no feasible machines is not tried again, unless it has a reservation or failed machines of its own", () => {
   const { ctx } = new ControllerHarness().controller;
   const cache = new NegativeFitCache(ctx);
   const gangOf = (uid: string, cpu: number, tasks = 1) =>
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -8,7 +8,7 @@
 
 const GUARANTEE_OBJECTIVE = { kind: "guarantee", jobClass: null, withinS: 10, share: 0.9 } as const;
 
-test("lesser work makes room for production, saving first if it can; equals do not", () => {
+test("production preempts lower-priority work, with time for a checkpoint where supported, and equal priorities do not preempt", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -30,7 +30,7 @@
   assert.ok(stop?.kind === "stop" && stop.graceS >= 2);
 });
 
-test("what began because of its age is not stopped at once, save for production work", () => {
+test("work that started because of ageing is preemption-protected for a while, except from production work", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -53,7 +53,7 @@
   assert.equal(liveTasks(tasksByMachine, "A", "j-4").length, 1);
 });
 
-test("a guaranteed array waits for places that come free before lesser work is stopped for it, but not for long", () => {
+test("preemption for an array within quota is deferred briefly for capacity that may become free", () => {
   const harness = ControllerHarness.withObjectives([GUARANTEE_OBJECTIVE]);
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -78,7 +78,7 @@
   assert.equal(harness.commandedTasks("stop", "j-1").length, 1);
 });
 
-test("room is made where starts have counted, not where they would have to be made again", () => {
+test("preemption prefers tasks whose start objective is already met over those that would have to meet it again", () => {
   const harness = ControllerHarness.withObjectives([{ ...WAIT_OBJECTIVE, jobClass: "counted" }]);
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -109,7 +109,7 @@
 
 // Found on a simulated day with faults: work that can't save a checkpoint was preempted late in its run, to avoid
 // restarts that no objective counts.
-test("where no aim counts starts, what can save makes room before work that would be thrown away", () => {
+test("where no objective counts starts, work with checkpoints is preempted before work that would be lost", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -132,7 +132,7 @@
   assert.deepEqual(harness.commandedTasks("stop", "j-1"), []);
 });
 
-test("work that could not save before the aim is missed is stopped at once, as its checkpoints are kept", () => {
+test("work that could not save a checkpoint before the objective is missed is preempted without a grace period", () => {
   for (const [saveS, graceful] of [
     [2, true],
     [4.5, false],
--- a/test/queue-order.test.ts
+++ b/test/queue-order.test.ts
@@ -9,7 +9,7 @@
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
-test("tasks of an array that have missed their start go behind those that can still make theirs", () => {
+test("tasks of an array that have missed their start objective are queued behind those that can still meet it", () => {
   const noGuarantee = { cpu: 0, gpu: 0, ram: 0 };
   const limit = { cpu: 20_000, gpu: 0, ram: 0 };
   const harness = ControllerHarness.withObjectives([{ ...WAIT_OBJECTIVE, withinS: 100 }], {
@@ -40,7 +40,7 @@
   );
 });
 
-test("to a new leader, work that has begun is not aged; what has never begun is, from its acceptance", () => {
+test("under a new leader a job that has started is not starving, and one that never started ages from its acceptance", () => {
   const leader = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   leader.sendHeartbeat("A");
@@ -68,7 +68,7 @@
   assert.deepEqual([isStarvingUnplaced("j-1"), isStarvingUnplaced("j-2")], [false, true]);
 });
 
-test("aged gangs that can still begin within four minutes go before those that can't, which wait no more than some minutes", () => {
+test("starving gangs that can still start within four minutes go before those that can't, which go first again some minutes later", () => {
   const gang = { shape: "gang", priority: 2, types: ["gpu"], tasks: 2, oneZone: true } as const;
   const gangSpec = { ...gang, need: { cpu: 6000, gpu: 2000, ram: 8000 }, team: "red" };
   // The other gang can't meet the four minutes any more when machines become free; after 440 s it goes first again,
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -7,7 +7,7 @@
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
-test("a team's tasks never hold more than its limit", () => {
+test("the tasks of a team never use more than its quota limit", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>();
   for (const name of ["A", "B", "C", "D", "E", "F", "G"]) {
@@ -24,7 +24,7 @@
   assert.equal(running, 16, "blue may use 16 CPUs of the 28");
 });
 
-test("a team's guarantee takes nothing from work within another team's: no two gangs take turns stopping each other", () => {
+test("work within one team's guaranteed quota is not preempted for another team's, so that two gangs never preempt each other in turn", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["G", []]]);
   harness.sendHeartbeat("G", [], GPU_MACHINE);
--- a/test/replica-migration.test.ts
+++ b/test/replica-migration.test.ts
@@ -33,7 +33,7 @@
   return { harness, tasksByMachine };
 }
 
-test("move: a replica leaves a cold machine after the drain, and starts on proof that the old copy is gone", () => {
+test("migration: a replica drains on an underused machine and starts elsewhere on proof that the old copy has ended", () => {
   const { harness, tasksByMachine } = leaderWithPendingMigration();
   assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 1, "the old copy drains");
   assert.equal(liveTasks(tasksByMachine, "B", "j-11").length, 0, "and no second copy runs meanwhile");
@@ -44,7 +44,7 @@
   assert.deepEqual(harness.store.entries.get("c/move")?.value, {}, "the record is cleared");
 });
 
-test("move: none without a target that is not cold, nor before the window has passed", () => {
+test("migration: none starts while every target machine is underused", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([
     ["A", []],
@@ -58,7 +58,7 @@
   assert.equal(harness.controller.leaderTerm?.migrator.startedMigrations, 0, "B is as cold as A");
 });
 
-test("move: a new leader finishes the recorded one first", () => {
+test("migration: a new leader completes the pending one before it starts another", () => {
   const { harness: leader, tasksByMachine } = leaderWithPendingMigration();
   const nextLeader = electNextLeader(leader);
 
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -9,7 +9,7 @@
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
-test("a gang that has waited too long has places in a zone, and what is left of its team's limit, kept for it", () => {
+test("a starving gang has machines in a zone and the rest of its team's quota limit reserved for it", () => {
   const gangSpec = {
     shape: "gang",
     priority: 2,
@@ -47,7 +47,7 @@
   }
 });
 
-test("an aged array does not settle on machines that gangs wait for, as it would be spared there", () => {
+test("a starving array is not placed on machines that gangs wait for, where it would be preemption-protected", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineFields = { G: GPU_MACHINE };
   const tasksByMachine = new Map<string, TaskStatus[]>([
@@ -86,7 +86,7 @@
   );
 });
 
-test("places gathered for an aged gang that is too late go to one that is not", () => {
+test("a reservation for a starving gang that is too late passes to one that can still meet its time", () => {
   const gangSpec = {
     shape: "gang",
     priority: 2,
--- a/test/round-robin-turns.test.ts
+++ b/test/round-robin-turns.test.ts
@@ -21,7 +21,7 @@
   return { uid, spec: { team, jobClass }, queuedSince };
 }
 
-test("property: no more than one job of each other line goes before a line's oldest, whatever the lines are made of", () => {
+test("property: at most one job of each other line precedes a line's oldest job that is due, whatever the lines contain", () => {
   const line = fc.record({
     team: fc.constantFrom("a", "b", "c"),
     jobClass: fc.constantFrom("x", "y"),
@@ -66,7 +66,7 @@
   );
 });
 
-test("a line's turn comes once nothing of it has begun for so long, and goes when something has", () => {
+test("a line is due for a round-robin turn once no job of it has started for the turn period, until one does", () => {
   const turns = new RoundRobinTurns();
   const smallJobs = Array.from({ length: 1000 }, (_, i) => waitingJob(i, "a", "x", i));
   const hugeJob = waitingJob(9999, "b", "y", 500);
@@ -80,7 +80,7 @@
   assert.equal(turns.longestWaitMs("b", [hugeJob], 100_000), 39_000);
 });
 
-test("under a flood of small jobs a huge array of another team has its turn, also under a new leader", () => {
+test("under a flood of small jobs a huge array of another team gets its round-robin turn, also under a new leader", () => {
   const store = new FakeStore();
   const settings = { admission_rate: 10_000, admission_turn_s: 30 };
   store.run({ kind: "transaction", conditions: [], changes: [{ put: "c/settings", value: settings }] }, 0);
--- a/test/runtime-estimates.test.ts
+++ b/test/runtime-estimates.test.ts
@@ -6,7 +6,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("estimates are corrected by class from what was observed", () => {
+test("runtime estimates are corrected for each job class from observed runtimes", () => {
   const estimates = new RuntimeEstimates();
   const spec = jobSpec("j-1", { estimateS: 100, jobClass: "work" });
   assert.equal(estimates.estimateS(spec), 100);
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("a job that waits says why", () => {
+test("a queued job shows its pending reason, which is logged once", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { types: ["gpu"], need: { cpu: 1000, gpu: 1000, ram: 1000 } }));
@@ -22,7 +22,7 @@
   assert.equal(harness.logLines.filter((text) => text === "job still waits").length, 1);
 });
 
-test("a round that has used its time goes on where it stopped", () => {
+test("a scheduling round that exceeds its time budget resumes where it stopped", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([
     ["A", []],
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -110,7 +110,7 @@
   return count;
 }
 
-test("under constant overload the largest and least of every kind begins within four minutes", () => {
+test("under constant overload the largest and lowest-priority job of every kind starts within four minutes", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineFields: Record<string, object> = {};
   const names: string[] = [];
@@ -164,7 +164,7 @@
   }
 });
 
-test("a fleet of a thousand machines with 100,000 tasks: quiet rounds and unchanged reports cost next to nothing", () => {
+test("idle scheduling rounds and unchanged heartbeats of a thousand machines cost next to nothing with 100,000 tasks submitted", () => {
   const harness = new ControllerHarness().becomeLeader();
   const names = Array.from({ length: 1000 }, (_, i) => `M${i}`);
   const fleet = new AgentFleet(harness, names);
@@ -198,7 +198,7 @@
   assert.ok(harness.store.revision - revisionBefore <= 5, "and next to nothing is written");
 });
 
-test("a fleet's machines are recorded many to a key, and a new leader of the largest fleet is soon ready", () => {
+test("machines are stored many to a key, and a new leader of a thousand machines is soon ready", () => {
   const leader = new ControllerHarness().becomeLeader();
   const names = Array.from({ length: 1000 }, (_, i) => `M${i}`);
   const fleet = new AgentFleet(leader, names);
@@ -228,7 +228,7 @@
   assert.ok(mostPerTick > 0 && mostPerTick <= 10, `${mostPerTick} at once`);
 });
 
-test("100,000 tasks on a thousand machines: placed, taken over by a new leader, a third of them lost in one tick", () => {
+test("100,000 tasks on a thousand machines are placed, adopted after failover, and placed again when a third of the machines expire in one tick", () => {
   const { harness: leader, fleet } = leaderOfHugeFleet();
   assert.equal(countPlacements(leader), MACHINE_COUNT * TASKS_PER_MACHINE);
   assert.deepEqual(leader.errorLines, []);
--- a/test/spot-interruption.test.ts
+++ b/test/spot-interruption.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("on a notice what can save is stopped in time to do so, and nothing new is given to the machine", () => {
+test("on an interruption notice tasks with checkpoints are stopped in time to save one, and the machine gets no new tasks", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   const machineFields = { A: { spot: true } };
--- a/test/submissions.test.ts
+++ b/test/submissions.test.ts
@@ -9,7 +9,7 @@
 import { NEW_HEARTBEAT, OLD_HEARTBEAT } from "./support/peer-versions.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a known job is never turned away, however its repeated submission looks", () => {
+test("a repeated submission of a known job is accepted, whatever its content", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   assert.equal(harness.submit(jobSpec("j-1", { team: "nobody" }))?.kind, "accepted");
@@ -32,7 +32,7 @@
   );
 });
 
-test("what a submission may name: accepted jobs that are no services; repeats count once", () => {
+test("a submission may depend only on accepted jobs that are not services, and is idempotent", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   harness.submit(jobSpec("j-2", { shape: "service" }));
@@ -77,7 +77,7 @@
   );
 });
 
-test("awaits: null, absent or empty is none; anything but a list of a hundred well-formed ids is refused", () => {
+test("awaits: null, absent or empty means no dependencies, and anything but a list of at most a hundred well-formed ids is refused", () => {
   const body = {
     uid: "j-1",
     jobclass: "work",
@@ -114,7 +114,7 @@
     assert.match(String(parse(invalid)), /^awaits/, JSON.stringify(invalid));
 });
 
-test("while a node of the version before is heard, a job that waits for others is refused for now", () => {
+test("while a node of the previous version is heard, a job with dependencies is refused as unavailable", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   const receive = (message: PeerMessage) => harness.handle({ kind: "peerMessage", from: "n1", message });
