--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -7,7 +7,7 @@
 import { MachineRecords } from "../src/core/store/machine-records.js";
 import { SMALL_LIMITS } from "./support/small-limits.js";
 
-test("a record of machines that has become too large is split, what it gives away written first", () => {
+test("a machine record that exceeds the value limit is split, the moved part written first", () => {
   const cluster = new ClusterState(new NameRegistry());
   let valueBytes = 8192;
   const records = new MachineRecords(cluster, () => valueBytes);
@@ -42,7 +42,7 @@
   );
 });
 
-test("records of machines fit their limit however long the names are", () => {
+test("machine records fit the value limit however long the machine names are", () => {
   const cluster = new ClusterState(new NameRegistry());
   const records = new MachineRecords(cluster, () => SMALL_LIMITS.valueBytes);
   for (let i = 0; i < 30; i++) {
--- a/test/quarantined-keys.test.ts
+++ b/test/quarantined-keys.test.ts
@@ -5,7 +5,7 @@
 import { jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { electNextLeader, leaderWithRunningTask } from "./support/leaders.js";
 
-test("records that can't be read are told of and kept, and nothing they may speak of is started", () => {
+test("records that can't be decoded are logged and kept, and no task they may concern is started", () => {
   const { harness: previousLeader, attempt } = leaderWithRunningTask();
   previousLeader.submit(jobSpec("j-2"));
   const put = (key: string, value: unknown) =>
--- a/test/record-cache.test.ts
+++ b/test/record-cache.test.ts
@@ -108,7 +108,7 @@
   return results[0].records;
 }
 
-test("property: whatever the history and its delivery, a warm start has the records of a cold one, or is refused", () => {
+test("property: whatever the history and its delivery, the record cache equals a cold read or is refused", () => {
   let warmStarts = 0;
   fc.assert(
     fc.property(
--- a/test/record-writer.test.ts
+++ b/test/record-writer.test.ts
@@ -7,7 +7,7 @@
 import { FakeStore } from "./support/fake-store.js";
 import { electNextLeader, leaderWithRunningTask, onlyElement } from "./support/leaders.js";
 
-test("a transaction of a deposed leader that is applied late changes nothing", () => {
+test("a transaction of a previous leader that is applied late changes nothing", () => {
   const store = new FakeStore();
   const leader = new ControllerHarness("n0", store).becomeLeader();
   leader.sendHeartbeat("A");
@@ -26,7 +26,7 @@
   assert.equal(store.entries.has("p/j-1/0"), false);
 });
 
-test("a machine is on record no later than the first placement on it", () => {
+test("a machine is stored no later than the first placement on it", () => {
   const { harness } = leaderWithRunningTask();
   const machinesRecord = harness.store.entries.get("m/0");
   assert.ok(JSON.stringify(machinesRecord?.value).includes('"A"'));
@@ -37,7 +37,7 @@
   );
 });
 
-test("every write of a leader depends on what it replaces: none that is carried out late undoes a newer one", () => {
+test("every write of a leader is conditional on the version it replaces, so that a late one undoes no newer one", () => {
   const harness = new ControllerHarness().becomeLeader();
   const transactions: StoreRequest[] = [];
   harness.storeRule = (call) => {
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -93,7 +93,7 @@
   };
 }
 
-test("a warm follower leads without reading the records again, and with the tables of a cold one", () => {
+test("a warm standby leads without reading the records again, with the same cluster state as a cold one", () => {
   const { follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   assert.equal(standbyStatusOf(follower).state, "warm");
@@ -122,7 +122,7 @@
   return copy;
 }
 
-test("what was written between the last follow and the election is in the tables: a cancellation, a placement", () => {
+test("a cancellation and a placement written between the last watch response and the election are in the cluster state", () => {
   const { leader, follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   // From here on the follower's watches hang, while a third node confirms a cancellation and the leader places a job.
@@ -145,7 +145,7 @@
   assert.equal(cluster.jobByUid("j-3")?.placements.size, 1, "its placement is known");
 });
 
-test("the gate opens between the last follow and the election: records of both layouts are in the tables", () => {
+test("records of both layouts are in the cluster state if the feature gate opens between the last watch response and the election", () => {
   const { leader, follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   const keysBefore = [...leader.store.entries.keys()].filter((key) => key.startsWith("p/"));
@@ -176,15 +176,15 @@
 
 // Guarded against: a leader that acts on a copy of the records that it can't prove to be the latest (I1).
 for (const [what, answer, why] of [
-  ["the changes since are no longer kept", { kind: "compacted" }, "changes no longer kept"],
+  ["the store has compacted the changes since", { kind: "compacted" }, "changes no longer kept"],
   [
-    "the state service has gone back",
+    "the store's revision has gone back",
     { kind: "events", events: [], revision: 1 },
     "the state service went back",
   ],
-  ["no answer comes", { kind: "timeout" }, "no answer"],
+  ["the store does not respond", { kind: "timeout" }, "no answer"],
 ] as readonly [string, StoreResponse, string][]) {
-  test(`a cache is refused, and the records are read, if ${what}`, () => {
+  test(`the record cache is refused, and the records are read, if ${what}`, () => {
     const { leader, follower, advanceBoth } = leaderAndStandby();
     advanceBoth(6000);
     assert.equal(standbyStatusOf(follower).state, "warm");
@@ -202,7 +202,7 @@
   });
 }
 
-test("a feed that hangs makes the standby cold, and says why; it catches up without a new list", () => {
+test("a watch that times out makes the standby cold with a reason, and the standby catches up without a new range read", () => {
   const { leader, follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   // The open watches respond with the next change; those after them time out.
@@ -225,7 +225,7 @@
   );
 });
 
-test("changes that are no longer kept make it cold until all is read again", () => {
+test("compacted changes make the standby cold until all records are read again", () => {
   const { leader, follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   follower.listedPrefixes.length = 0;
@@ -240,7 +240,7 @@
   assert.ok(follower.listedPrefixes.includes("j/"));
 });
 
-test("records beyond the bound make the standby cold, give the memory back, and end nothing", () => {
+test("records beyond the memory bound make the standby cold, free the cache, and do not prevent a cold failover", () => {
   const { follower, advanceBoth } = leaderAndStandby(500);
   advanceBoth(6000);
   const { state, why, bytes } = standbyStatusOf(follower);
@@ -255,7 +255,7 @@
 });
 
 // Guarded against: the bound was checked only once a list was complete, so the first read of a large store exceeded it.
-test("reading stops at the page with which the records outgrow the bound", () => {
+test("a range read stops at the page that exceeds the memory bound", () => {
   const store = new FakeStore();
   store.pageSize = 5;
   for (let i = 0; i < 50; i++)
@@ -281,7 +281,7 @@
   assert.ok(pages >= 1 && pages <= 4, `${pages} of 10 pages`);
 });
 
-test("a record that can't be read is told of as in a cold read, and stays", () => {
+test("a record that can't be decoded is logged by a warm standby as in a cold read, and kept", () => {
   const { follower, advanceBoth } = leaderAndStandby();
   follower.store.run(
     { kind: "transaction", conditions: [], changes: [{ put: "m/7", value: { machines: "?" } }] },
@@ -295,7 +295,7 @@
   assert.ok(follower.store.entries.has("m/7"));
 });
 
-test("a standby that stands still follows no more until it keeps up; a slow node is no standby", () => {
+test("a standby on a node that falls behind with its work gives that as its reason in the status", () => {
   const { follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   follower.now += 5000;
@@ -304,7 +304,7 @@
   assert.equal(standbyStatusOf(follower).why, "this node is behind with its work");
 });
 
-test("the first by name of those that are heard and don't lead stands by; an older version is passed over", () => {
+test("the standby is the first node by name that is heard and does not lead, nodes of the previous version excepted", () => {
   const peer = (node: string, isHeard: boolean, warmth: "cold" | "warm" | undefined) => ({
     node,
     isHeard,
@@ -317,7 +317,7 @@
   assert.equal(standsBy("n0", "n0", []), false, "it leads");
 });
 
-test("while a peer is warm, the others leave it the election for a moment, and no longer", () => {
+test("while a peer is a warm standby the others defer their campaign for a moment, and no longer", () => {
   const store = new FakeStore();
   const leader = new ControllerHarness("n0", store).becomeLeader();
   const otherNode = new ControllerHarness("n2", store, "n2-1", {}, MAX_STANDBY_BYTES);
@@ -346,7 +346,7 @@
   assert.ok(deferredMs >= 600 && deferredMs <= 1200, `${deferredMs} ms`);
 });
 
-test("the metrics tell whether the cache is warm, how far it is behind, and the steps of the last takeover", async () => {
+test("the metrics show whether the record cache is warm, how far it lags, and the steps of the last failover", async () => {
   const { follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   const loop = { batches: 1, lagMs: 0, waiting: 0 };
--- a/test/store-limits.test.ts
+++ b/test/store-limits.test.ts
@@ -37,7 +37,7 @@
   return { harness, refused };
 }
 
-test("after the fall of the limits, with production's large records on file, everything goes on within them", () => {
+test("after the store limits are lowered, with production's large records stored, all operations go on within them", () => {
   const store = productionStore();
   const leader = new ControllerHarness("n0", store).becomeLeader();
   receiveFromBothPeers(leader);
@@ -107,7 +107,7 @@
   );
 });
 
-test("the limits fall before all nodes are heard: a 400 is never repeated as it was, and opens the gate", () => {
+test("if the store limits are lowered before all nodes are heard, a 400 opens the feature gate and its write is never repeated unchanged", () => {
   const { harness, refused } = leaderWithoutPeers(true);
   harness.store.limits = SMALL_LIMITS;
   harness.submit(jobSpec("j-1", { tasks: 150, need: { cpu: 100, gpu: 0, ram: 100 } }));
@@ -120,7 +120,7 @@
   assert.equal(harness.controller.election.hasValidLease, true);
 });
 
-test("one record that can't be written holds up no other, nor renewals", () => {
+test("a record that can't be written delays neither other records nor lease keep-alives", () => {
   const { harness, refused } = leaderWithoutPeers(true);
   const name = `i-${"x".repeat(290)}`;
   harness.sendHeartbeat(name, [], { zone: "b" });
@@ -137,7 +137,7 @@
   assert.ok(harness.errorLines.includes("a record can't be written"));
 });
 
-test("429 is met by a slower rate, not by asking again at once", () => {
+test("a 429 of the store lowers the write rate and is not retried at once", () => {
   const { harness } = leaderWithoutPeers(true);
   receiveFromBothPeers(harness);
   harness.advance(1000);
@@ -160,7 +160,7 @@
   assert.equal(started, accepted, "what was accepted is started");
 });
 
-test("a job with long lists: refused under the smaller limit; one stored before can be cancelled, and completed", () => {
+test("a job with long lists is refused under the smaller value limit, and one stored before can be cancelled and completed", () => {
   const types = ["small", ...Array.from({ length: 300 }, (_, i) => `another-type-${i}`)];
   const store = new FakeStore();
   const previousLeader = new ControllerHarness("n0", store, "n0-1", { nextStoreLimits: null }).becomeLeader();
@@ -190,7 +190,7 @@
   for (const uid of ["j-1", "j-2"]) assert.ok(store.entries.has(`f/${uid}`), uid);
 });
 
-test("what operators set must fit a record", () => {
+test("operator changes that would exceed the value limit of their record are refused", () => {
   const harness = new ControllerHarness().becomeLeader();
   let refused = 0;
   for (let i = 0; i < 120; i++) {
@@ -202,7 +202,7 @@
   assert.ok(valueSizes(harness.store).every(([, bytes]) => bytes <= SMALL_LIMITS.valueBytes));
 });
 
-test("settings: the limits to come are optional; impossible ones name their field", () => {
+test("settings: the upcoming store limits are optional, and invalid ones name their field", () => {
   const settingsWithNext = (nextLimits: string) =>
     SETTINGS.replace("[deployment.cloud]", `[deployment.state.next]\n${nextLimits}\n[deployment.cloud]`);
   assert.equal(parseSettings(SETTINGS).deployment.nextStoreLimits, null);
--- a/test/stored-chunks.test.ts
+++ b/test/stored-chunks.test.ts
@@ -23,7 +23,7 @@
   }
 }
 
-test("of records that cover the same task a smaller one is right, and of smaller ones the newest", () => {
+test("of chunks that cover the same task a smaller one takes precedence, and of smaller ones the newest", () => {
   const items: StoreEntry[] = [
     {
       key: "p/j-1/0",
@@ -54,7 +54,7 @@
   assert.equal(chunk?.placed[0]?.machine, "B");
 });
 
-test("chunks never grow again, whatever limits a later leader finds", () => {
+test("chunks never grow back, whatever limits a later leader finds", () => {
   const store = new FakeStore();
   const leaderWithLimit = (valueBytes: number, node: string, now: number) => {
     const harness = new ControllerHarness(node, store, `${node}-1`, { valueBytes, nextStoreLimits: null });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -13,7 +13,7 @@
 import { productionStore } from "./support/production-store.js";
 import { reportAllRunning, runFor } from "./support/running-agents.js";
 
-test("production's records are read whole by a new leader, whose own can be read by production until the gate opens", () => {
+test("a new leader reads all of production's records, and production can read the new ones until the feature gate opens", () => {
   const store = productionStore();
   const harness = new ControllerHarness("n0", store);
   const unreadable: string[] = [];
@@ -52,7 +52,7 @@
   assert.ok(store.entries.has("p/j-7/0"));
 });
 
-test("taken over from production in the middle of a placement, a move and a cancellation", () => {
+test("failover from production in the middle of a placement, a migration and a cancellation continues all three", () => {
   const store = productionStore();
   const put = (key: string, value: unknown) => {
     store.revision++;
@@ -95,7 +95,7 @@
   assert.notEqual(readRecordInProduction("c/move", store.entries.get("c/move")?.value), null);
 });
 
-test("messages between the versions: production hears this version's heartbeats, and this one production's", () => {
+test("production accepts this version's peer heartbeats, and this version accepts production's", () => {
   const controller = new ControllerHarness().controller;
   const effects: Effect[] = [];
   for (let now = 1000; now < 4000; now += 100)
@@ -112,7 +112,7 @@
   );
 });
 
-test("a job that waits for others is not read, and so never started, by production; its cancellation is", () => {
+test("production does not read a job with dependencies, and so never starts it, but reads its cancellation", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   harness.submit(jobSpec("j-2", { awaits: ["j-1"] }));
@@ -124,7 +124,7 @@
   assert.notEqual(readRecordInProduction("j/j-2", harness.store.entries.get("j/j-2")?.value), null);
 });
 
-test("the gate opens once every node has said that it is new, stays open, and opens for no leader that heard an old one", () => {
+test("the feature gate opens once every node has announced the new version, stays open, and never opens for a leader that heard an old node", () => {
   const leader = new ControllerHarness().becomeLeader();
   receiveFromBothPeers(leader, OLD_HEARTBEAT);
   leader.advance(2000);
@@ -146,7 +146,7 @@
   assert.equal(nextLeader.controller.config.layout, 2);
 });
 
-test("a transaction from before the gate that is carried out late, after newer chunks, brings nothing back", () => {
+test("a transaction from before the feature gate that is applied late, after newer chunks, restores nothing", () => {
   // Found on the bench (rule ran_twice): the late chunk, newest by its version, placed tasks where they no longer ran.
   const leader = new ControllerHarness().becomeLeader();
   for (const name of ["A", "B"]) leader.sendHeartbeat(name);
