--- a/test/administration.test.ts
+++ b/test/administration.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
 
-test("operators' settings: stored, effective at once, and nothing changes on a bad value", () => {
+test("operator settings are stored and take effect at once, and an invalid value changes nothing", () => {
   const harness = new ControllerHarness().becomeLeader();
   assert.equal(harness.admin({ kind: "changeSettings", values: { move_low: 2 } })?.kind, "invalid");
   assert.equal(harness.admin({ kind: "changeSettings", values: { no_such: 1 } })?.kind, "invalid");
--- a/test/admission-policy.test.ts
+++ b/test/admission-policy.test.ts
@@ -6,7 +6,7 @@
 import { defaultOperator } from "../src/config/operator.js";
 import { deployment } from "./support/deployment.js";
 
-test("the policy: weights are the operators' or the guarantees, the rate follows the state service's smaller limit", () => {
+test("admission weights default to guaranteed quotas, and the admission rate to the smaller write limit of the store", () => {
   const { teams, rate } = policyOf({ ...defaultOperator, admission_weights: { blue: 5 } }, deployment("n0"));
   assert.deepEqual(
     teams.map(({ name, weight }) => [name, weight]),
--- a/test/admission-shares.test.ts
+++ b/test/admission-shares.test.ts
@@ -13,7 +13,7 @@
 
 const sum = (list: readonly number[]) => list.reduce((total, count) => total + count, 0);
 
-test("property: never above the capacity or a demand, and no room unused while somebody asks", () => {
+test("property: an allocation exceeds neither capacity nor demand, and leaves no capacity unused while demand is unmet", () => {
   fc.assert(
     fc.property(anyCapacity, anyClaims, (capacity, list) => {
       const given = allocate(capacity, list);
@@ -28,7 +28,7 @@
   );
 });
 
-test("property: each has its weighted part, or all it asks for, whatever the others ask", () => {
+test("property: each claimant gets its weighted share or its whole demand, whatever the others demand", () => {
   fc.assert(
     fc.property(anyCapacity, anyClaims, (capacity, list) => {
       const weights = sum(list.map((claim) => claim.weight));
@@ -42,7 +42,7 @@
   );
 });
 
-test("property: what a flooder gains by asking for more it takes from nobody's own part", () => {
+test("property: a claimant that raises its demand takes nothing from the weighted share of another", () => {
   fc.assert(
     fc.property(
       anyCapacity,
@@ -76,7 +76,7 @@
   );
 });
 
-test("property: more weight never brings less, and the same claims in another order bring the same sum", () => {
+test("property: a higher weight never lowers an allocation, and the order of claims does not change the total", () => {
   fc.assert(
     fc.property(
       anyCapacity,
@@ -100,7 +100,7 @@
   );
 });
 
-test("a claimant of weight 0 has what the others leave; large capacities take no more steps than small ones", () => {
+test("a claimant of weight 0 gets what the others leave over, and a huge capacity is allocated in full", () => {
   const list = [
     { weight: 3, demand: 10 },
     { weight: 1, demand: 10 },
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -28,7 +28,7 @@
   throw new Error(`${limit} were taken`);
 }
 
-test("beyond its share a team's submission is refused at once with a time; repeats, cancellations and polls are not", () => {
+test("a submission beyond the team's share is throttled with a retry-after; repeated submissions, cancellations and polls are not", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(5000);
   const { refused, taken: accepted } = submitUntilThrottled(harness, "red", 1000);
@@ -52,7 +52,7 @@
   assert.equal(harness.submit(jobSpec("j-5001", { team: "green" }))?.kind, "unsatisfiable");
 });
 
-test("a repeat of a job that another node accepted is 200 under overload, whatever state the job is in", () => {
+test("a repeated submission of a job that another node accepted is 200 under overload, whatever the job's state", () => {
   const store = new FakeStore();
   const harness = leaderWithFairAdmission(store);
   const otherNode = new ControllerHarness("n1", store);
@@ -69,7 +69,7 @@
   }
 });
 
-test("a team that the settings no longer name: its work goes on, a repeat of it is 200, what is new is refused for good", () => {
+test("jobs of a team removed from the settings go on and their repeated submission is 200, while its new jobs are unsatisfiable", () => {
   const store = new FakeStore();
   const leaderWithBlue = leaderWithFairAdmission(store);
   assert.equal(leaderWithBlue.submit(jobSpec("j-1", { team: "blue" }))?.kind, "accepted");
@@ -94,7 +94,7 @@
   assert.equal(leaderWithoutBlue.cancel("j-1")?.kind, "status");
 });
 
-test("submissions that are turned away cost the state service one request for many; without its answer they get 503", () => {
+test("throttled submissions are checked against the store many to a request, and are 503 if it does not respond", () => {
   const harness = leaderWithFairAdmission();
   submitUntilThrottled(harness, "red", 1000);
   let lookups = 0;
@@ -123,7 +123,7 @@
   assert.equal(harness.submit(jobSpec("j-8000"))?.kind, "unavailable");
 });
 
-test("a permit that was not used is given back: a repeat, or a write that was refused", () => {
+test("a permit is returned when the write of its submission is refused", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(3000);
   const available = () => {
@@ -144,7 +144,7 @@
   assert.equal(available(), (before ?? 0) - 1);
 });
 
-test("weights and bounds: checked, effective at once, kept out of the way of the version before", () => {
+test("admission weights and bounds are validated and take effect at once", () => {
   const harness = leaderWithFairAdmission();
   const changeSettings = (values: Record<string, unknown>) =>
     harness.admin({ kind: "changeSettings", values });
@@ -160,7 +160,7 @@
   assert.equal(admission.teams.find(({ name }) => name === "blue")?.weight, 7);
 });
 
-test("heartbeats carry it as an added field, which production ignores; a node without it says nothing", () => {
+test("peer heartbeats carry admission as an added field that production ignores, and omit it where admission is off", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(2000);
   const heartbeat = harness.heartbeats.get("n1");
@@ -172,7 +172,7 @@
   assert.ok(plainHeartbeat?.kind === "heartbeat" && plainHeartbeat.admission === undefined);
 });
 
-test("a word of admission that can't be read costs that word, not the heartbeat", () => {
+test("a malformed admission field is dropped from a peer heartbeat, and the heartbeat still counts", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(2000);
   const heartbeat = harness.heartbeats.get("n1");
@@ -203,7 +203,7 @@
   );
 });
 
-test("metrics and status tell of each team what was taken, refused and how long it waits", async () => {
+test("metrics and status give each team's admitted and refused submissions, its retry-after and its longest wait", async () => {
   const harness = leaderWithFairAdmission();
   submitUntilThrottled(harness, "red", 1000);
   const { text } = await renderMetrics(harness.controller, { batches: 1, lagMs: 0, waiting: 0 });
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -118,7 +118,7 @@
 
 if (isMainThread) {
   // Guarded against: a stalled peer, to which heartbeats are forwarded, makes a controller run out of memory.
-  test("a peer that does not read costs a bounded amount of memory, and its link", async () => {
+  test("a peer that does not read its socket costs a bounded amount of memory and then loses its link", async () => {
     const worker = new Worker(fileURLToPath(import.meta.url));
     try {
       const result = await new Promise<Awaited<ReturnType<typeof offerToStalledPeer>>>((then, fail) => {
@@ -133,7 +133,7 @@
     }
   });
 
-  test("an oversized body that comes in pieces is refused without being kept, on every path", async () => {
+  test("an oversized chunked body is refused without being buffered, on every path", async () => {
     const handler = new CountingRequestHandler();
     const server = createServer(handler, shareSockets(100));
     const port = await listen(server);
@@ -156,7 +156,7 @@
     }
   });
 
-  test("a body that comes byte by byte is read as one; half a request costs its connection alone", async () => {
+  test("a body that arrives byte by byte is read whole, and an incomplete request costs only its own connection", async () => {
     const handler = new CountingRequestHandler();
     const server = createServer(handler, shareSockets(100));
     const port = await listen(server);
--- a/test/cloud-inventory.test.ts
+++ b/test/cloud-inventory.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 
-test("neither an old list nor a late report brings a released machine back into use", () => {
+test("neither a stale cloud list nor a late heartbeat brings a terminated machine back into use", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineList = (phase: "failed" | "running") => ({
     kind: "page" as const,
@@ -29,7 +29,7 @@
   assert.deepEqual(harness.startCommands("j-1"), []);
 });
 
-test("a copy that comes late brings no released machine back, and is no sign of life to a new leader", () => {
+test("a late duplicate heartbeat neither revives a terminated machine nor proves an agent alive to a new leader", () => {
   const leader = new ControllerHarness().becomeLeader();
   const terminatedMachines: string[] = [];
   leader.cloudRule = (call) => {
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -21,7 +21,7 @@
   return { passed: code === 0, printed: stdout };
 }
 
-test("CI passes over listed failures alone, prints them, and bears no list that is wrong", () => {
+test("CI tolerates only listed failures, prints them, and rejects a wrong list", () => {
   assert.equal(judge(GREEN, 0, null).passed, true);
   assert.equal(judge(GREEN, 0, "").passed, true);
   assert.equal(judge(RED, 1, null).passed, false);
--- a/test/machine-reaper.test.ts
+++ b/test/machine-reaper.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
 
-test("machines of a zone that is cut off are kept, also while they come back one by one; a single silent one is not", () => {
+test("machines of a partitioned zone are kept, also while they return one by one, and a single silent machine is terminated", () => {
   const harness = new ControllerHarness().becomeLeader();
   const terminatedMachines: string[] = [];
   const defaultCloudRule = harness.cloudRule;
--- a/test/many-machines.test.ts
+++ b/test/many-machines.test.ts
@@ -40,7 +40,7 @@
 }
 
 // Guarded against: with four machines fenced in each tick, 6,000 took 150 s, longer than every lease.
-test("a new leader of 6,000 silent machines shows its token to all of them within a lease, evenly", () => {
+test("a new leader of 6,000 silent machines sends its fencing token to all of them within an agent lease, at an even rate", () => {
   const harness = new ControllerHarness();
   const machinesFrom = (from: number) =>
     NAMES.slice(from, from + 40).map((name) => [name, `${name}:1`, "small", "a", false]);
@@ -66,7 +66,7 @@
 });
 
 // Guarded against: a refused page restarted the list, and nothing is provisioned before a term's first complete list.
-test("a list of a dozen pages comes to its end though every third call is refused", () => {
+test("a cloud list of a dozen pages completes though every third call is refused", () => {
   const harness = new ControllerHarness();
   const counter = serveCloudList(harness, (call) => call % 3 === 0);
   harness.becomeLeader();
@@ -82,7 +82,7 @@
   assert.ok(perSecond <= 5 * 0.6, `${perSecond} calls a second for lists`);
 });
 
-test("more machines than max_machines: none is dropped from the books, none is rented, the log says so", () => {
+test("with more machines than max_machines all stay in cluster state, none is provisioned, and a warning is logged", () => {
   const harness = new ControllerHarness();
   serveCloudList(harness, () => false);
   harness.store.run(
@@ -101,7 +101,7 @@
   );
 });
 
-test("the records of a job of 100,000 tasks in two layouts: the smaller ones are right, whatever their version", () => {
+test("of the chunks of a job with 100,000 tasks in two layouts the smaller ones take precedence, whatever their version", () => {
   const items = [];
   for (let i = 0; i < 782; i++)
     items.push({ key: `p/j-1/${i}`, version: 3, value: { held: [[i * 128, "M0", 1, 1]], done: [] } });
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -79,7 +79,7 @@
 }
 
 if (isMainThread) {
-  test("nodes pass reports on, and answers back, many in one message", async () => {
+  test("nodes forward heartbeats to the leader and its replies back, many in one peer message", async () => {
     const nodes = new Worker(fileURLToPath(import.meta.url));
     try {
       const [received] = await once(nodes, "message");
--- a/test/permit-leases.test.ts
+++ b/test/permit-leases.test.ts
@@ -7,7 +7,7 @@
 import { AdmissionCluster, availablePermits, RED_ONLY } from "./support/admission-cluster.js";
 import { deployment, NODES } from "./support/deployment.js";
 
-test("two nodes that accept at the same moment never take the last room twice", () => {
+test("two nodes that accept at the same moment never exceed the limit of open jobs", () => {
   for (const room of [1, 2, 5, 20]) {
     const cluster = new AdmissionCluster({ admission_open_jobs: room, admission_rate: 1000 }, RED_ONLY);
     cluster.heartbeatRounds(3);
@@ -19,7 +19,7 @@
   }
 });
 
-test("a flood through one node, or through all, leaves the other team what it asks for", () => {
+test("a flood of one team's submissions through one node or all leaves the other team all that it asks for", () => {
   for (const through of [["n1"], NODES]) {
     const cluster = new AdmissionCluster({ admission_rate: 30 });
     cluster.heartbeatRounds(5);
@@ -40,7 +40,7 @@
 });
 
 // Found in a run over loopback: teams within their shares were refused, as their few permits were held by other nodes.
-test("teams that ask for less than their shares are hardly refused under a flood, at whatever nodes they ask", () => {
+test("teams that ask for less than their shares are hardly ever throttled under a flood, at whatever nodes they ask", () => {
   const [red] = deployment("n0").teams;
   assert.ok(red);
 
@@ -64,7 +64,7 @@
   assert.ok(refused * 50 <= asked, `${refused} of ${asked}`);
 });
 
-test("a node that is gone gives back what it held, and only once its permits are void by every clock", () => {
+test("the permits of a lost node are reissued, but only once its permit lease has expired by every clock", () => {
   const cluster = new AdmissionCluster({ admission_open_jobs: 12, admission_rate: 1000 }, RED_ONLY);
   cluster.heartbeatRounds(4);
   const lostNode = cluster.node("n1");
@@ -88,7 +88,7 @@
   assert.equal(cluster.openJobs.get("red"), 12, "come back");
 });
 
-test("a node cut off with permits that it has not spent can't spend them when it is back late", () => {
+test("a partitioned node can't spend its unused permits after its permit lease has expired", () => {
   const cluster = new AdmissionCluster({ admission_open_jobs: 6, admission_rate: 1000 }, RED_ONLY);
   cluster.heartbeatRounds(4);
   const { admission } = cluster.node("n1");
@@ -111,7 +111,7 @@
   assert.equal(cluster.submit("n1", "red", 50), 0, "the room is taken");
 });
 
-test("a slice that comes late counts from when it was asked for, and an older leader's is not taken", () => {
+test("a permit lease counts from its request, so that a late one is void, and one from an older leader is ignored", () => {
   const cluster = new AdmissionCluster();
   cluster.heartbeatRounds(3);
   const { admission } = cluster.node("n1");
@@ -142,7 +142,7 @@
   assert.deepEqual(admission.report(), before);
 });
 
-test("slices on their way count as held: late ones are not issued again on top", () => {
+test("permits in flight count as issued and are not issued again when they arrive late", () => {
   for (const room of [4, 10, 25]) {
     const cluster = new AdmissionCluster({ admission_open_jobs: room, admission_rate: 1000 }, RED_ONLY);
     for (let i = 0; i < 40; i++) {
@@ -160,7 +160,7 @@
   }
 });
 
-test("a node that starts anew holds nothing of its former process, and what that one had accepted counts", () => {
+test("a restarted node has none of its previous process's permits, and jobs accepted by that process count", () => {
   const cluster = new AdmissionCluster({ admission_open_jobs: 6, admission_rate: 1000 }, RED_ONLY);
   cluster.heartbeatRounds(4);
   const formerProcess = cluster.node("n1").admission;
@@ -178,7 +178,7 @@
   assert.ok((cluster.openJobs.get("red") ?? 0) <= 6, `${cluster.openJobs.get("red")} of 6`);
 });
 
-test("a change of leader in the burst: what both issue stays within the rate and one burst", () => {
+test("permits issued by both leaders across a failover stay within the rate and one burst", () => {
   const rate = 30;
   const cluster = new AdmissionCluster({ admission_rate: rate });
   cluster.heartbeatRounds(20);
@@ -197,7 +197,7 @@
   assert.ok(taken >= rate * seconds * 0.6, `${taken}`);
 });
 
-test("without a leader each node goes on with its floor: little, but something for every team, and no more than the rate", () => {
+test("without a leader each node admits at a floor rate, with some permits for every team and no more than the total rate", () => {
   const cluster = new AdmissionCluster({ admission_rate: 30 });
   cluster.heartbeatRounds(5);
   cluster.leader = null;
@@ -214,7 +214,7 @@
   assert.ok(taken.red > taken.blue * 1.5, "by weight");
 });
 
-test("a team of weight 0 has what the others leave, and one that the settings no longer name takes none of theirs", () => {
+test("a team of weight 0 gets what the others leave over, and a team removed from the settings reduces no other team's share", () => {
   const cluster = new AdmissionCluster({
     admission_rate: 30,
     admission_weights: { blue: 0 },
@@ -242,7 +242,7 @@
   assert.ok((cluster.openJobs.get("red") ?? 0) > 40, JSON.stringify([...cluster.openJobs]));
 });
 
-test("both versions side by side: under an older leader all is taken; an older node's part is set aside", () => {
+test("under a leader of the previous version all is admitted, and the share of a node of the previous version is left unissued", () => {
   const cluster = new AdmissionCluster({ admission_rate: 30 });
   cluster.previousVersion.add("n0");
   cluster.heartbeatRounds(3);
@@ -271,7 +271,7 @@
   assert.ok(taken <= 20 * 60 + 300, `two thirds of the rate: ${taken}`);
 });
 
-test("property: lost and late heartbeats, restarts, cuts and clocks that differ never let more in than there is room", () => {
+test("property: lost and late heartbeats, restarts, partitions and clock differences never let open jobs exceed their limit", () => {
   const event = fc.oneof(
     { weight: 8, arbitrary: fc.constant("beat" as const) },
     { weight: 2, arbitrary: fc.constantFrom("lost" as const, "late" as const) },
--- a/test/retry-reservations.test.ts
+++ b/test/retry-reservations.test.ts
@@ -5,7 +5,7 @@
 import { AdmissionCluster } from "./support/admission-cluster.js";
 import { NODES } from "./support/deployment.js";
 
-test("who is refused and comes back at the time it was told is taken, at whatever node, before newcomers", () => {
+test("a throttled submission that is retried after its retry-after is accepted at any node, before newcomers", () => {
   const cluster = new AdmissionCluster({ admission_rate: 12 });
   cluster.heartbeatRounds(5);
   const returningAt = new Map<number, string[]>();
--- a/test/server-bundle.test.ts
+++ b/test/server-bundle.test.ts
@@ -8,7 +8,7 @@
 import { loadServer } from "../src/cli/server-bundle.js";
 
 // Guarded against: a code cache that doesn't fit (another Node, other flags, a broken file) ends a start, or is used.
-test("the server starts with its code cache, and without one that is missing or doesn't fit", (context) => {
+test("the server starts with its code cache, and also when the cache is missing or does not match", (context) => {
   const folder = mkdtempSync(join(tmpdir(), "hillspindle-"));
   context.after(() => rmSync(folder, { recursive: true }));
   const source = 'module.exports = { serve: (path) => "serves " + path };';
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -26,7 +26,7 @@
   );
 }
 
-test("the shares of a node's sockets stay within its limit, and one node can hold the fleet it is meant for", () => {
+test("the socket shares of a node stay within its limit, and leave enough for the agents of a whole fleet", () => {
   for (const limit of [64, 400, 1200, 1282, 1936, 10_000]) {
     const { inbound, workersIn, workersKept, workersOut } = shareSockets(limit);
     assert.ok(workersKept >= 1 && workersKept < workersIn, `${limit}: ${workersKept} of ${workersIn} kept`);
@@ -37,7 +37,7 @@
   assert.ok(shareSockets(1936).workersIn >= 940);
 });
 
-test("more hosts than connections: each call is answered, the longest idle connection makes way", async () => {
+test("with more hosts than connections each call is answered, and the longest idle connection is closed for it", async () => {
   const servers = Array.from({ length: 6 }, () => http.createServer((_req, res) => res.end("{}")));
   const client = new HttpClient(1, 2);
   try {
@@ -54,7 +54,7 @@
   }
 });
 
-test("when every connection is in use a further call counts as unanswered at once, and none is leaked", async () => {
+test("a call made while every connection is in use counts as unanswered at once, and no connection leaks", async () => {
   const pendingResponses: http.ServerResponse[] = [];
   const slow = http.createServer((_req, res) => pendingResponses.push(res));
   const quick = http.createServer((_req, res) => res.end("{}"));
@@ -96,7 +96,7 @@
   }
 }
 
-test("workers leave room for probes and users: the next one is sent on, and a place that comes free is given again", async () => {
+test("connections of agents leave some for probes and users, an agent beyond their share is redirected, and a freed one is reused", async () => {
   const server = createServer(new AnyRequestHandler(), {
     inbound: 8,
     workersIn: 3,
@@ -130,7 +130,7 @@
 
 // Guarded against: with more agents than connections, those beyond the bound were redirected at each heartbeat, and where
 // only one node was left their leases expired.
-test("one node with fewer sockets than workers answers each report of all of them, and users get through", async () => {
+test("a node with fewer sockets than agents replies to every heartbeat, and users get through", async () => {
   const shares = { inbound: 12, workersIn: 8, workersKept: 6, workersOut: 1 };
   const server = createServer(new AnyRequestHandler(), shares);
   const agents = Array.from({ length: 40 }, () => new HttpClient(1));
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -40,7 +40,7 @@
   due_s: null,
 };
 
-test("settings: unknown fields are ignored; what is missing, mistyped or impossible names its field", () => {
+test("settings: unknown fields are ignored, and a missing, mistyped or invalid one is named", () => {
   assert.equal(parseSettings(SETTINGS).deployment.leaseS, 14);
   const cases: [string, string, RegExp][] = [
     ['site = "a"\n', "", /^site: /],
@@ -64,7 +64,7 @@
   }
 });
 
-test("too few open files for the connections are told of in plain words", () => {
+test("an open-files limit too low for max_connections is reported with both numbers", () => {
   const limits = (soft: number) =>
     `Limit  Soft Limit\nMax open files            ${soft}      524288     files\n`;
   assert.equal(openFilesProblem(1200, limits(1264)), null);
@@ -73,19 +73,19 @@
 });
 
 // Guarded against: stored settings of the version before are complete, and must not follow a raised default.
-test("a stored max_machines stays as the operator set it", () => {
+test("a stored max_machines keeps the value that the operator set", () => {
   assert.equal(readOperator({ max_machines: 2000 }).max_machines, 2000);
   assert.equal(defaultOperator.max_machines, 10_000);
 });
 
-test("operators' settings that another version stored fall back one by one", () => {
+test("operator settings stored by another version fall back to defaults one by one", () => {
   const read = readOperator({ move_low: 0.2, idle_s: -5, unheard_of: true });
   assert.deepEqual(read, { ...defaultOperator, move_low: 0.2 });
   const crossed = changeOperator(defaultOperator, { move_low: 0.9 });
   assert.ok(!crossed.ok && crossed.error.startsWith("move_low"));
 });
 
-test("jobs: a well-formed one is read, and each fault names its field", () => {
+test("jobs: a well-formed submission is decoded, and each error names its field", () => {
   const good = decodeJobSubmission(JOB);
   assert.ok(typeof good.spec === "object");
   assert.deepEqual(good.spec.need, { cpu: 1100, gpu: 0, ram: 2000 });
@@ -111,7 +111,7 @@
   for (const body of [null, 5, "j-1", [JOB], undefined]) assert.equal(decodeJobSubmission(body).uid, null);
 });
 
-test("reports: malformed ones are refused, and integers beyond a double's reach do no harm", () => {
+test("heartbeats: malformed ones are refused, and integers beyond the safe range do no harm", () => {
   const names = new NameRegistry();
   const heartbeat = {
     host: "i-1",
@@ -146,7 +146,7 @@
   for (const body of malformed) assert.equal(decodeHeartbeat(body, names), null, JSON.stringify(body));
 });
 
-test("answers from outside that make no sense count as none", () => {
+test("malformed responses from store and cloud count as timeouts", () => {
   const transaction = { kind: "transaction", conditions: [], changes: [] } as const;
   assert.equal(decodeStoreResponse(transaction, 200, { ledger: "x" }).kind, "timeout");
   assert.equal(decodeStoreResponse(transaction, 409, {}).kind, "timeout");
@@ -205,7 +205,7 @@
   }
 }
 
-test("the API answers bad input with 4xx at no cost, and sheds what it can't take at once", async () => {
+test("the API answers invalid input with 4xx at no cost, and sheds load beyond its capacity at once", async () => {
   const handler = new FakeRequestHandler();
   const server = createServer(handler, shareSockets(100));
   await new Promise<void>((listening) => server.listen(0, "127.0.0.1", listening));
