--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -37,7 +37,7 @@
   assert.match(refused.error, /red/);
 
   const written = [...harness.store.entries.keys()].filter((key) => key.startsWith("j/"));
-  assert.equal(written.length, accepted.length, "what is refused is not written");
+  assert.equal(written.length, accepted.length, "a throttled submission is not stored");
 
   const [firstUid = ""] = accepted;
   const repeatedSubmission = harness.submit(jobSpec(firstUid, { team: "red" }));
@@ -47,7 +47,7 @@
   assert.equal(
     harness.submit(jobSpec("j-5000", { team: "blue" }))?.kind,
     "accepted",
-    "another team's is taken",
+    "another team's submission is accepted",
   );
   assert.equal(harness.submit(jobSpec("j-5001", { team: "green" }))?.kind, "unsatisfiable");
 });
@@ -199,7 +199,7 @@
 
   assert.ok(
     laterVersion?.kind === "heartbeat" && laterVersion.admission,
-    "unknown fields are a later version's",
+    "unknown fields belong to a later version",
   );
 });
 
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -125,7 +125,7 @@
         worker.once("message", then);
         worker.once("error", fail);
       });
-      assert.equal(result.lost, 1, `the link is given up: ${JSON.stringify(result)}`);
+      assert.equal(result.lost, 1, `the link is closed: ${JSON.stringify(result)}`);
       // 2 KiB for each of its 256 connections, and the message being encoded; the rest is in the kernel's buffers.
       assert.ok(result.kept < 8 * MB, JSON.stringify(result));
     } finally {
@@ -147,7 +147,7 @@
         });
 
         assert.match(status, /^HTTP\/1\.1 400|^closed/, path);
-        assert.ok(kept < 8 * MB, `${path}: ${Math.round(kept / MB)} MB were kept`);
+        assert.ok(kept < 8 * MB, `${path}: ${Math.round(kept / MB)} MB were buffered`);
       }
       assert.equal(handler.taken, 0);
     } finally {
--- a/test/cloud-inventory.test.ts
+++ b/test/cloud-inventory.test.ts
@@ -50,7 +50,7 @@
   leader.advance(5000);
 
   assert.deepEqual(leader.agentReply(900), { kind: "unavailable" });
-  assert.deepEqual(terminatedMachines, ["A"], "it is not released again");
+  assert.deepEqual(terminatedMachines, ["A"], "it is not terminated again");
   assert.equal(leader.controller.leaderTerm?.cluster.machines.size, 0);
 
   const nextLeader = new ControllerHarness().becomeLeader();
@@ -58,5 +58,9 @@
   nextLeader.submit(jobSpec("j-1"));
   nextLeader.advance(3000);
 
-  assert.deepEqual(nextLeader.startCommands("j-1"), [], "the report carries no token of this term");
+  assert.deepEqual(
+    nextLeader.startCommands("j-1"),
+    [],
+    "the heartbeat carries no fencing token of this term",
+  );
 });
--- a/test/controller.test.ts
+++ b/test/controller.test.ts
@@ -21,5 +21,5 @@
 
   harness.advance(6000);
   assert.ok(harness.controller.election.lease, "it leads again");
-  assert.equal(harness.controller.status().jobs, 1, "with what the records say");
+  assert.equal(harness.controller.status().jobs, 1, "with the jobs restored from the records");
 });
--- a/test/dependency-cancellation.test.ts
+++ b/test/dependency-cancellation.test.ts
@@ -29,7 +29,7 @@
       assert.equal(phaseOf(harness.cancel("j-1")), "done");
 
       harness.advance(500);
-      assert.equal(harness.startCommands("j-2").length, 1, "an answer of done lets those after it go on");
+      assert.equal(harness.startCommands("j-2").length, 1, "a response of done lets dependents start");
       assert.equal(phaseOf(harness.poll("j-2")), "queued");
     }
   }
@@ -55,9 +55,9 @@
   assert.equal(
     phaseOf(otherNode.submit(jobSpec("j-4", { awaits: ["j-3"] }))),
     "cancelled",
-    "accepted all the same",
+    "accepted nevertheless",
   );
-  assert.equal(phaseOf(harness.poll("j-3")), "unavailable", "nothing older is said");
+  assert.equal(phaseOf(harness.poll("j-3")), "unavailable", "no stale state is reported");
 
   const thirdNode = new ControllerHarness("n2", harness.store);
   thirdNode.advance(300);
@@ -71,7 +71,11 @@
     assert.equal(phaseOf(harness.submit(jobSpec(uid, { awaits: ["j-1"] }))), "cancelled");
     assert.deepEqual(harness.startCommands(uid), []);
   }
-  assert.equal(phaseOf(harness.submit(jobSpec("j-5", { awaits: ["j-2"] }))), "cancelled", "long after");
+  assert.equal(
+    phaseOf(harness.submit(jobSpec("j-5", { awaits: ["j-2"] }))),
+    "cancelled",
+    "after the cancellation has been completed",
+  );
 });
 
 test("a job accepted while a dependency is being cancelled is cancelled too, even after the leader is lost", () => {
--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -84,7 +84,7 @@
   assert.equal(
     dependentJob.queuedSince,
     finalRecord.at,
-    "its waits count from the end of what it needed, on record",
+    "its queue time counts from the recorded end of its dependencies",
   );
 });
 
@@ -163,7 +163,10 @@
   assert.equal(second.pending, 6);
   assert.ok(harness.controller.ctx.wallMs - second.queuedSince < 2000);
   assert.ok(harness.cloudCalls.some(({ kind }) => kind === "create"));
-  assert.ok(!harness.logLines.includes("job still waits"), "not aged by the wait for others");
+  assert.ok(
+    !harness.logLines.includes("job still waits"),
+    "the wait for dependencies does not count as queue time",
+  );
 });
 
 test("jobs inherit the priority and deadline of their dependents until those are cancelled", () => {
@@ -220,7 +223,7 @@
   harness.submit(jobSpec("j-3", { priority: 2, deadlineS: 80, awaits: ["j-2"] }));
   runFor(20);
 
-  assert.deepEqual(harness.commandedTasks("stop", "j-1"), [], "there is time");
+  assert.deepEqual(harness.commandedTasks("stop", "j-1"), [], "the deadline is not at risk yet");
 
   runFor(30);
   assert.equal(harness.commandedTasks("stop", "j-1").length > 0, true);
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -111,7 +111,7 @@
   secondTermOfN1.now = firstTermOfN1.now + 100;
   secondTermOfN1.becomeLeader();
 
-  assert.ok(secondTermOfN1.controller.leaderTerm, "it takes over from its former self at once");
+  assert.ok(secondTermOfN1.controller.leaderTerm, "it succeeds its own previous process at once");
 
   secondTermOfN1.cloudRule = () => ({ kind: "unavailable", reason: "down" });
   const gracePeriodMs = secondTermOfN1.controller.election.gracePeriodMs;
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -11,14 +11,14 @@
   absent.harness.sendHeartbeat("A");
   absent.harness.advance(300);
 
-  assert.equal(absent.harness.startCommands("j-1").length, 1, "absence alone");
+  assert.equal(absent.harness.startCommands("j-1").length, 1, "absence alone proves nothing");
 
   const reincarnated = leaderWithRunningTask();
   reincarnated.harness.sendHeartbeat("B", [], { zone: "b" });
   reincarnated.harness.sendHeartbeat("A", [], { incarnation: 2 });
   reincarnated.harness.advance(300);
 
-  assert.equal(reincarnated.harness.startCommands("j-1").length, 2, "later session");
+  assert.equal(reincarnated.harness.startCommands("j-1").length, 2, "later incarnation");
 
   const terminated = leaderWithRunningTask();
   terminated.harness.sendHeartbeat("B", [], { zone: "b" });
@@ -41,13 +41,13 @@
     expired.harness.advance(1000);
   }
 
-  assert.equal(expired.harness.startCommands("j-1").length, 1, "the lease still runs");
+  assert.equal(expired.harness.startCommands("j-1").length, 1, "the agent lease is still valid");
 
   for (let second = 0; second < 3; second++) {
     expired.harness.sendHeartbeat("B", [], { zone: "b" });
     expired.harness.advance(1000);
   }
-  assert.equal(expired.harness.startCommands("j-1").length, 2, "the lease is over");
+  assert.equal(expired.harness.startCommands("j-1").length, 2, "the agent lease has expired");
 });
 
 test("an agent with a new incarnation gets tasks and a full lease once it sends a heartbeat, not by replies to direct commands alone", () => {
@@ -64,7 +64,7 @@
   harness.advance(300);
 
   // I7: an agent that reaches no controller, while direct commands reach it, would lose whatever is started there.
-  assert.equal(harness.startCommands("j-1").length, 1, "only the first attempt while it doesn't report");
+  assert.equal(harness.startCommands("j-1").length, 1, "only the first attempt while it sends no heartbeat");
 
   harness.sendHeartbeat("A", [], { incarnation: 2 });
   harness.advance(300);
@@ -75,6 +75,6 @@
   assert.equal(
     harness.startCommands("j-1").filter((start) => start.attempt !== attempt).length,
     1,
-    "only the first attempt before it",
+    "only the first attempt before the new one",
   );
 });
--- a/test/heartbeat-router.test.ts
+++ b/test/heartbeat-router.test.ts
@@ -26,7 +26,7 @@
     agentsHeard: 1,
   } as const;
   follower.handle({ kind: "peerMessage", from: "n0", message });
-  assert.equal(follower.sendHeartbeat("C"), undefined, "no answer of its own");
+  assert.equal(follower.sendHeartbeat("C"), undefined, "no reply of its own");
   assert.deepEqual(follower.forwardedTo, ["n0"]);
 
   for (let second = 0; second < 4; second++) {
@@ -34,7 +34,11 @@
     leader.advance(1000);
     follower.advance(1000);
   }
-  assert.deepEqual(follower.sendHeartbeat("C"), { kind: "redirect", node: "n0" }, "it is heard no more");
+  assert.deepEqual(
+    follower.sendHeartbeat("C"),
+    { kind: "redirect", node: "n0" },
+    "the leader is no longer heard",
+  );
 });
 
 test("a follower that knows no leader delays a heartbeat for a while, then redirects the agent to the next node", () => {
--- a/test/job-lookup.test.ts
+++ b/test/job-lookup.test.ts
@@ -41,11 +41,7 @@
   assert.ok(response?.kind === "status" && response.status.phase === "cancelled");
 
   harness.storeRule = () => ({ kind: "timeout" });
-  assert.equal(
-    harness.poll("j-1")?.kind,
-    "unavailable",
-    "what can't be compared is not answered from memory",
-  );
+  assert.equal(harness.poll("j-1")?.kind, "unavailable", "no answer from memory without a comparison");
 });
 
 test("a poll awaiting comparison while its job is read as ended is answered with the ended state", () => {
--- a/test/lease-renewal-policy.test.ts
+++ b/test/lease-renewal-policy.test.ts
@@ -40,7 +40,7 @@
     );
     assert.ok(
       lastRenewedAt - confirmedAt > 20_000,
-      `work is let go after ${lastRenewedAt - confirmedAt} ms already`,
+      `the last lease is renewed after ${lastRenewedAt - confirmedAt} ms already`,
     );
   }
 });
@@ -93,11 +93,15 @@
     harness.storeRule = () => ({ kind: "unavailable", reason: "cut off" });
     advanceSeconds(6);
 
-    assert.equal(harness.sendHeartbeat("A")?.kind, "commands", "within the hold");
+    assert.equal(harness.sendHeartbeat("A")?.kind, "commands", "within the grace period");
 
     advanceSeconds(6);
     assert.equal(harness.sendHeartbeat("A")?.kind === "commands", !isIsolated, `alone: ${isIsolated}`);
-    assert.equal(harness.controller.ready, !isIsolated, "an outage that all share leaves a node ready");
+    assert.equal(
+      harness.controller.ready,
+      !isIsolated,
+      "a node stays ready in an outage that all nodes share",
+    );
     assert.equal(harness.poll("j-1")?.kind, "unavailable", "users are answered at once");
   }
 });
--- a/test/many-machines.test.ts
+++ b/test/many-machines.test.ts
@@ -79,7 +79,7 @@
   harness.advance(30_000);
   const perSecond = (counter.calls - callsBefore) / 30;
 
-  assert.ok(perSecond <= 5 * 0.6, `${perSecond} calls a second for lists`);
+  assert.ok(perSecond <= 5 * 0.6, `${perSecond} list calls a second`);
 });
 
 test("with more machines than max_machines all stay in cluster state, none is provisioned, and a warning is logged", () => {
--- a/test/negative-fit-cache.test.ts
+++ b/test/negative-fit-cache.test.ts
@@ -14,8 +14,8 @@
   cache.add(gangOf("j-1", 2000, 2), 2);
 
   assert.equal(cache.has(gangOf("j-2", 3000, 2), 2), true);
-  assert.equal(cache.has(gangOf("j-3", 1000, 2), 2), false, "less may fit");
-  assert.equal(cache.has(gangOf("j-4", 2000), 1), false, "fewer may fit");
+  assert.equal(cache.has(gangOf("j-3", 1000, 2), 2), false, "smaller tasks may fit");
+  assert.equal(cache.has(gangOf("j-4", 2000), 1), false, "fewer tasks may fit");
 
   const reserved = gangOf("j-5", 3000, 2);
   reserved.reservationUntil = ctx.now + 1;
@@ -23,7 +23,7 @@
 
   const failedBefore = gangOf("j-6", 3000, 2);
   failedBefore.failedMachines.add(1);
-  assert.equal(cache.has(failedBefore, 2), false, "its choice is another one");
+  assert.equal(cache.has(failedBefore, 2), false, "it has other feasible machines");
 
   cache.clear();
   assert.equal(cache.has(gangOf("j-2", 3000, 2), 2), false);
--- a/test/permit-leases.test.ts
+++ b/test/permit-leases.test.ts
@@ -15,7 +15,7 @@
       cluster.heartbeatRound();
       for (const { name } of cluster.nodes) cluster.submit(name, "red", 50);
     }
-    assert.equal(cluster.openJobs.get("red"), room, "and none of it is left unused");
+    assert.equal(cluster.openJobs.get("red"), room, "and the limit is used in full");
   }
 });
 
@@ -34,7 +34,7 @@
     }
 
     assert.equal(taken, asked);
-    assert.ok(flooded > 60 * 15, `the rest is used: ${flooded} in 60 s`);
+    assert.ok(flooded > 60 * 15, `the rest of the rate is used: ${flooded} in 60 s`);
     assert.ok(flooded + taken <= 30 * 75, `${flooded + taken} in 60 s at 30 a second, with 10 s of burst`);
   }
 });
@@ -79,13 +79,13 @@
   for (const name of ["n0", "n2"]) cluster.submit(name, "red", 50);
   const heldPermits = lostNode.admission.mode === "slice" ? availablePermits(lostNode, "red") : 0;
 
-  assert.ok((cluster.openJobs.get("red") ?? 0) + heldPermits <= 12, "not taken twice");
+  assert.ok((cluster.openJobs.get("red") ?? 0) + heldPermits <= 12, "no permit is spent twice");
 
   for (let i = 0; i < 45; i++) {
     cluster.heartbeatRound();
     for (const name of ["n0", "n2"]) cluster.submit(name, "red", 50);
   }
-  assert.equal(cluster.openJobs.get("red"), 12, "come back");
+  assert.equal(cluster.openJobs.get("red"), 12, "its permits are issued again");
 });
 
 test("a partitioned node can't spend its unused permits after its permit lease has expired", () => {
@@ -108,7 +108,7 @@
   cluster.partitioned.delete("n1");
   cluster.heartbeatRounds(3);
   assert.equal(admission.mode, "slice");
-  assert.equal(cluster.submit("n1", "red", 50), 0, "the room is taken");
+  assert.equal(cluster.submit("n1", "red", 50), 0, "the limit of open jobs is reached");
 });
 
 test("a permit lease counts from its request, so that a late one is void, and one from an older leader is ignored", () => {
@@ -123,7 +123,7 @@
   cluster.heartbeatRounds(5);
   admission.heard("n0", lateNote);
 
-  assert.equal(admission.mode, "floor", "it is void already");
+  assert.equal(admission.mode, "floor", "the permit lease has expired already");
 
   cluster.partitioned.delete("n1");
   cluster.leader = "n2";
@@ -229,7 +229,7 @@
   }
 
   // Red keeps two permits at each node for its first submissions; the rest of what the removed team leaves is lent.
-  assert.ok(blue >= 20 - 6 && blue <= 20, `${blue} of the 20 that are left`);
+  assert.ok(blue >= 20 - 6 && blue <= 20, `${blue} of the 20 left over`);
 
   cluster.openJobs.clear();
   for (let i = 0; i < 20; i++) {
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -43,7 +43,11 @@
   Object.assign(firstTask, { state: "ended", cause: "done" });
   sendHeartbeatsFor(harness, tasksByMachine, {}, 3);
 
-  assert.equal(liveTasks(tasksByMachine, "A", "j-2").length, 1, "its turn has come, before what outranks it");
+  assert.equal(
+    liveTasks(tasksByMachine, "A", "j-2").length,
+    1,
+    "it is starving, and goes before higher priority",
+  );
 
   sendHeartbeatsFor(harness, tasksByMachine, {}, 5);
   assert.equal(liveTasks(tasksByMachine, "A", "j-2").length, 1);
--- a/test/quarantined-keys.test.ts
+++ b/test/quarantined-keys.test.ts
@@ -33,7 +33,7 @@
   assert.deepEqual(
     newLeader.sendHeartbeat("A", [runningTask]),
     { kind: "commands", fencingToken: 2, commands: [] },
-    "and what runs is let run",
+    "running tasks are left running",
   );
 
   newLeader.advance(60_000);
--- a/test/reachability.test.ts
+++ b/test/reachability.test.ts
@@ -25,7 +25,7 @@
     harness.advance(1000);
   }
 
-  assert.ok(harness.controller.election.lease, "nobody hears any: handing over would not help");
+  assert.ok(harness.controller.election.lease, "no peer hears any agent: resigning would not help");
 
   for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name);
   for (let second = 0; second < 8; second++) {
@@ -33,7 +33,7 @@
     harness.advance(1000);
   }
   assert.equal(harness.controller.election.lease, null);
-  assert.equal(harness.store.entries.has("c/leader"), false, "the key is free at once");
+  assert.equal(harness.store.entries.has("c/leader"), false, "the leader key is deleted at once");
 
   harness.advance(5000);
   assert.equal(harness.controller.election.lease, null);
@@ -79,7 +79,7 @@
       harness.advance(1000);
       harness.timeOutCommands();
     }
-    assert.deepEqual(harness.startCommands("j-2"), [], "nothing new is given to it");
+    assert.deepEqual(harness.startCommands("j-2"), [], "no new task is placed on it");
 
     if (persists) {
       for (let second = 0; second < 30; second++) {
@@ -97,7 +97,11 @@
       harness.replyToCommands("A", [runningTask]);
       harness.advance(2000);
 
-      assert.equal(harness.startCommands("j-2").length, 1, "an effect shows that it hears again");
+      assert.equal(
+        harness.startCommands("j-2").length,
+        1,
+        "a command carried out shows that it is reachable again",
+      );
     }
   }
 });
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -16,7 +16,7 @@
   const running = [{ uid: "j-1", task: 0, attempt, state: "running" }] as const;
 
   assert.equal(newLeader.controller.leaderTerm?.agents.areRecordsLoaded, false);
-  assert.equal(newLeader.sendHeartbeat("A", running), undefined, "held, for the leader to be");
+  assert.equal(newLeader.sendHeartbeat("A", running), undefined, "delayed until the records are read");
 
   newLeader.storeRule = null;
   newLeader.advance(1000);
@@ -33,7 +33,7 @@
   assert.deepEqual(
     harness.startCommands("j-1"),
     [],
-    "a report under the old token proves nothing: a start may be on its way",
+    "a heartbeat under the old fencing token proves nothing: a start command may be in flight",
   );
 
   harness.timeOutCommands();
--- a/test/record-cache.test.ts
+++ b/test/record-cache.test.ts
@@ -149,5 +149,5 @@
     ),
     { numRuns: 400, seed: 20_261_202 },
   );
-  assert.ok(warmStarts > 100, `${warmStarts} of 400 histories began warm`);
+  assert.ok(warmStarts > 100, `${warmStarts} of 400 histories had a warm start`);
 });
--- a/test/replica-migration.test.ts
+++ b/test/replica-migration.test.ts
@@ -29,14 +29,14 @@
   harness.admin({ kind: "setMachineMode", name: "A", mode: "open" });
   sendHeartbeatsFor(harness, tasksByMachine, {}, 20);
   const record = harness.store.entries.get("c/move")?.value as { job?: string } | undefined;
-  assert.equal(record?.job, "j-11", "the move is on record");
+  assert.equal(record?.job, "j-11", "the migration is stored");
   return { harness, tasksByMachine };
 }
 
 test("migration: a replica drains on an underused machine and starts elsewhere on proof that the old copy has ended", () => {
   const { harness, tasksByMachine } = leaderWithPendingMigration();
-  assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 1, "the old copy drains");
-  assert.equal(liveTasks(tasksByMachine, "B", "j-11").length, 0, "and no second copy runs meanwhile");
+  assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 1, "the old replica drains");
+  assert.equal(liveTasks(tasksByMachine, "B", "j-11").length, 0, "and no second replica runs meanwhile");
 
   sendHeartbeatsFor(harness, tasksByMachine, {}, 25);
   assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 0);
@@ -55,7 +55,7 @@
   carryOutCommands(harness, tasksByMachine);
   sendHeartbeatsFor(harness, tasksByMachine, {}, 60);
 
-  assert.equal(harness.controller.leaderTerm?.migrator.startedMigrations, 0, "B is as cold as A");
+  assert.equal(harness.controller.leaderTerm?.migrator.startedMigrations, 0, "B is as underused as A");
 });
 
 test("migration: a new leader completes the pending one before it starts another", () => {
@@ -74,6 +74,6 @@
   assert.equal(
     nextLeader.controller.leaderTerm.migrator.startedMigrations,
     0,
-    "it began none of its own before",
+    "it started none of its own before",
   );
 });
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -82,7 +82,7 @@
   assert.equal(liveTasks(tasksByMachine, "G", "j-4").length, 1);
   assert.ok(
     !tasksByMachine.get("G")?.some((status) => status.uid === "j-3"),
-    "nor did it begin there, to be stopped at once",
+    "nor did it start there, to be preempted at once",
   );
 });
 
--- a/test/retry-reservations.test.ts
+++ b/test/retry-reservations.test.ts
@@ -23,7 +23,10 @@
 
         const repeatedDecision = cluster.node(name).admission.decide(id, "red");
         if (repeatedDecision.kind === "wait")
-          assert.ok(repeatedDecision.afterS <= decision.afterS, "the same submission, the same time");
+          assert.ok(
+            repeatedDecision.afterS <= decision.afterS,
+            "a repeated submission has the same retry-after",
+          );
         else acceptedEarly++;
         if (decision.afterS < 30) {
           const due = second + decision.afterS + 1;
@@ -40,6 +43,9 @@
   }
 
   assert.equal(acceptedEarly, 0);
-  assert.ok(acceptedOnReturn > 100, `${acceptedOnReturn} came back, ${refusedAgain} were refused again`);
+  assert.ok(
+    acceptedOnReturn > 100,
+    `${acceptedOnReturn} were accepted on their retry, ${refusedAgain} were refused again`,
+  );
   assert.equal(refusedAgain, 0);
 });
--- a/test/round-robin-turns.test.ts
+++ b/test/round-robin-turns.test.ts
@@ -39,7 +39,7 @@
         const due = turns.due(jobs, TURN_MS, now);
         const dueLines = new Set([...due].map(({ spec }) => `${spec.team} ${spec.jobClass}`));
 
-        assert.equal(dueLines.size, due.size, "one of each line");
+        assert.equal(dueLines.size, due.size, "one job of each line is due");
 
         for (const job of jobs) {
           const olderJobs = jobs.filter(
@@ -106,7 +106,7 @@
   firstLeader.submit(jobSpec("j-7", { tasks: 5000, estimateS: 50, team: "blue", jobClass: "bulk" }));
   playUntilStarted(firstLeader, 6);
 
-  assert.equal(startedTasks(), 0, "the small ones go first for a while");
+  assert.equal(startedTasks(), 0, "the small jobs go first for a while");
 
   const nextLeader = new ControllerHarness("n1", store, "n1-1", {}, 0, true);
   nextLeader.now = firstLeader.now + 5000;
@@ -114,5 +114,5 @@
   nextLeader.becomeLeader();
   playUntilStarted(nextLeader, 20);
 
-  assert.ok(startedTasks() > 0, "its wait counts from its acceptance");
+  assert.ok(startedTasks() > 0, "its queue time counts from its acceptance");
 });
--- a/test/runtime-estimates.test.ts
+++ b/test/runtime-estimates.test.ts
@@ -15,7 +15,7 @@
   assert.ok(Math.abs(estimates.estimateS(spec) - 200) < 10, `${estimates.estimateS(spec)}`);
 
   estimates.observe(spec, 1e9);
-  assert.ok(estimates.estimateS(spec) < 240, "one odd task");
+  assert.ok(estimates.estimateS(spec) < 240, "a single outlier counts little");
   assert.equal(estimates.estimateS(jobSpec("j-2", { estimateS: 100, jobClass: "other" })), 100);
 
   // Queue order follows the corrected estimates: the slow class is no longer taken for the shorter one.
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -151,15 +151,15 @@
 
   assert.ok(
     (harness.controller.leaderTerm?.scheduler.blocked.length ?? 0) > 10,
-    "there is overload to the end",
+    "the overload lasts to the end",
   );
 
   for (const uid of ["j-wide", "j-long", "j-idle"]) {
     const firstStartAt = fleet.firstStartAt.get(uid);
-    assert.ok(firstStartAt !== undefined, `${uid} never began`);
+    assert.ok(firstStartAt !== undefined, `${uid} never started`);
     assert.ok(
       firstStartAt - submittedAt < 240_000,
-      `${uid} began after ${(firstStartAt - submittedAt) / 1000} s`,
+      `${uid} started after ${(firstStartAt - submittedAt) / 1000} s`,
     );
   }
 });
@@ -179,7 +179,7 @@
     (sum, machine) => sum + machine.placements.size,
     0,
   );
-  assert.equal(placed, 40, "as many as the teams' limits allow");
+  assert.equal(placed, 40, "as many as the teams' quota limits allow");
 
   const examinedBefore = leaderTerm.scheduler.feasibleMachines.machinesExamined;
   const reconciledBefore = leaderTerm.agents.reconciliations;
@@ -189,11 +189,11 @@
   // Ten seconds, at most ten rounds a second, ten jobs queued: far fewer machines are examined than machines x jobs.
   assert.ok(
     leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore <= 2 * 1000,
-    `${leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore} looks`,
+    `${leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore} machines examined`,
   );
   assert.ok(
     leaderTerm.agents.reconciliations - reconciledBefore <= 1000,
-    `${leaderTerm.agents.reconciliations - reconciledBefore} reports taken apart`,
+    `${leaderTerm.agents.reconciliations - reconciledBefore} heartbeats reconciled`,
   );
   assert.ok(harness.store.revision - revisionBefore <= 5, "and next to nothing is written");
 });
@@ -208,12 +208,15 @@
 
   assert.ok(
     machineRecords.length >= 1 && machineRecords.length <= 30,
-    `${machineRecords.length} records of machines`,
+    `${machineRecords.length} machine records`,
   );
 
   const nextLeader = electNextLeader(leader);
 
-  assert.ok(nextLeader.controller.leaderTerm?.agents.areRecordsLoaded, "ready after three reads");
+  assert.ok(
+    nextLeader.controller.leaderTerm?.agents.areRecordsLoaded,
+    "the records are loaded after three range reads",
+  );
 
   const recorded = nextLeader.controller.leaderTerm.cluster.machines.size;
   assert.ok(recorded > 0);
@@ -285,6 +288,6 @@
     nextLeader.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore;
   assert.ok(
     examined <= 20 * 10 * MACHINE_COUNT,
-    `${examined} looks at a machine for ten jobs in thirty seconds`,
+    `${examined} machines examined for ten jobs in thirty seconds`,
   );
 });
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -113,7 +113,7 @@
       [await sendHeartbeat(0), await sendHeartbeat(1), await sendHeartbeat(2)],
       [200, 200, 200],
     );
-    assert.equal(await sendHeartbeat(0), 200, "the same worker again takes no further place");
+    assert.equal(await sendHeartbeat(0), 200, "the same agent uses no further connection");
     assert.equal(await sendHeartbeat(3), 421);
 
     const ready = await new Promise<HttpAnswer | null>((then) =>
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -142,7 +142,7 @@
 
   const cluster = follower.controller.leaderTerm?.cluster;
   assert.equal(cluster?.jobByUid("j-1")?.state, "cancelled");
-  assert.equal(cluster.jobByUid("j-3")?.placements.size, 1, "its placement is known");
+  assert.equal(cluster.jobByUid("j-3")?.placements.size, 1, "its placement is restored");
 });
 
 test("records of both layouts are in the cluster state if the feature gate opens between the last watch response and the election", () => {
@@ -163,7 +163,7 @@
     (key) => key.startsWith("p/") && !keysBefore.includes(key),
   );
 
-  assert.match(addedKeys.join(), /^p\/j-5\/0\.\d+$/, "a chunk of the later layout");
+  assert.match(addedKeys.join(), /^p\/j-5\/0\.\d+$/, "a chunk of the new layout");
 
   const coldNode = new ControllerHarness("n2", copyOfStore(follower.store));
   coldNode.now = follower.now;
@@ -313,7 +313,7 @@
   assert.equal(standsBy("n1", "n0", [peer("n0", true, "cold"), peer("n2", true, "cold")]), true);
   assert.equal(standsBy("n2", "n0", [peer("n0", true, "cold"), peer("n1", true, "cold")]), false);
   assert.equal(standsBy("n2", "n0", [peer("n0", true, "cold"), peer("n1", false, "warm")]), true, "gone");
-  assert.equal(standsBy("n2", "n0", [peer("n1", true, undefined)]), true, "of the version before");
+  assert.equal(standsBy("n2", "n0", [peer("n1", true, undefined)]), true, "of the previous version");
   assert.equal(standsBy("n0", "n0", []), false, "it leads");
 });
 
--- a/test/store-limits.test.ts
+++ b/test/store-limits.test.ts
@@ -67,7 +67,7 @@
   runFor(leader, 15);
 
   assert.equal(countRunning(leader, "j-8"), 60);
-  assert.equal(store.invalid, 0, "the fall is no event");
+  assert.equal(store.invalid, 0, "lowering the limits causes no invalid request");
   assert.equal(leader.controller.election.hasValidLease, true);
 
   const large = valueSizes(store).filter(([, bytes]) => bytes > SMALL_LIMITS.valueBytes);
@@ -115,7 +115,7 @@
 
   assert.equal(harness.controller.config.layout, 2);
   assert.equal(countRunning(harness, "j-1"), 150);
-  assert.equal(new Set(refused).size, refused.length, "nothing is sent twice as it was");
+  assert.equal(new Set(refused).size, refused.length, "no refused transaction is sent again unchanged");
   assert.ok(refused.length > 0 && refused.length < 10, `${refused.length} refused`);
   assert.equal(harness.controller.election.hasValidLease, true);
 });
@@ -131,7 +131,7 @@
   runFor(harness, 20);
 
   for (let i = 2; i < 12; i++) assert.equal(countRunning(harness, `j-${i}`), 1, `j-${i}`);
-  assert.deepEqual(harness.startCommands("j-1"), [], "nothing is started that is not on record");
+  assert.deepEqual(harness.startCommands("j-1"), [], "nothing is started before its placement is stored");
   assert.equal(harness.controller.election.hasValidLease, true);
   assert.ok(refused.length < 10, `${refused.length} refused`);
   assert.ok(harness.errorLines.includes("a record can't be written"));
@@ -157,7 +157,7 @@
   const started = Array.from({ length: 300 }, (_, i) => countRunning(harness, `j-${i}`)).filter(
     (tasks) => tasks > 0,
   ).length;
-  assert.equal(started, accepted, "what was accepted is started");
+  assert.equal(started, accepted, "every accepted job is started");
 });
 
 test("a job with long lists is refused under the smaller value limit, and one stored before can be cancelled and completed", () => {
--- a/test/submissions.test.ts
+++ b/test/submissions.test.ts
@@ -23,12 +23,12 @@
   assert.equal(
     harness.submit(jobSpec("j-4", { shape: "gang", tasks: 25 }))?.kind,
     "unsatisfiable",
-    "more than the team's limit",
+    "more than the team's quota limit",
   );
   assert.equal(
     harness.submit(jobSpec("j-6", { tasks: 25 }))?.kind,
     "accepted",
-    "an array needs room for one task",
+    "an array needs capacity for one task",
   );
 });
 
@@ -55,7 +55,7 @@
   assert.equal(
     otherNode.submit(jobSpec("j-6", { awaits: ["j-2"] }))?.kind,
     "unsatisfiable",
-    "a service that is over, on another node",
+    "an ended service, on another node",
   );
   assert.equal(phaseOf(otherNode.submit(jobSpec("j-7", { awaits: ["j-3"] }))), "cancelled");
 
@@ -63,7 +63,7 @@
   assert.equal(
     otherNode.submit(jobSpec("j-8", { awaits: ["j-1"] }))?.kind,
     "unavailable",
-    "can't be known now",
+    "not known without the store",
   );
 
   otherNode.storeRule = null;
@@ -73,7 +73,7 @@
   assert.deepEqual(
     [repeatedSubmission?.kind, phaseOf(repeatedSubmission)],
     ["accepted", "queued"],
-    "known, whatever it names",
+    "known, whatever its dependencies",
   );
 });
 
@@ -121,7 +121,7 @@
   receive(OLD_HEARTBEAT);
 
   assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "unavailable");
-  assert.equal(harness.submit(jobSpec("j-3"))?.kind, "accepted", "all else goes on");
+  assert.equal(harness.submit(jobSpec("j-3"))?.kind, "accepted", "jobs without dependencies are accepted");
 
   receive(NEW_HEARTBEAT);
   assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "accepted");
@@ -130,7 +130,7 @@
   assert.equal(
     phaseOf(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))),
     "queued",
-    "a repeat is never refused",
+    "a repeated submission is never refused",
   );
 
   // A node that is down or partitioned does not block dependent jobs for ever.
--- a/test/task-outcome.test.ts
+++ b/test/task-outcome.test.ts
@@ -34,7 +34,7 @@
     harness.advance(1000);
   }
 
-  assert.ok(harness.hangingCalls.length > 0, "the mark is under way");
+  assert.ok(harness.hangingCalls.length > 0, "the write of the done mark is in flight");
   assert.ok((harness.controller.election.lease?.fencingToken ?? 0) > fencingTokenOf(ended[0]?.attempt ?? 0));
   assert.deepEqual(acknowledged, []);
 });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -80,7 +80,7 @@
   const placements = [...(cluster.jobByUid("j-000003")?.placements.values() ?? [])];
   assert.equal(placements.length, 1);
 
-  const { machine, task, attempt } = placements[0] ?? assert.fail("nothing held");
+  const { machine, task, attempt } = placements[0] ?? assert.fail("no active placement");
   const reply = harness.sendHeartbeat(machine.name, [{ uid: "j-000003", task, attempt, state: "running" }]);
   assert.ok(reply?.kind === "commands");
 
@@ -131,7 +131,7 @@
   leader.handle({ kind: "peerMessage", from: "n1", message: NEW_HEARTBEAT });
   leader.advance(5000);
 
-  assert.equal(leader.controller.config.layout, 1, "n2 is old");
+  assert.equal(leader.controller.config.layout, 1, "n2 is of the previous version");
 
   leader.handle({ kind: "peerMessage", from: "n2", message: NEW_HEARTBEAT });
   leader.advance(500);
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -69,7 +69,7 @@
     `Limit  Soft Limit\nMax open files            ${soft}      524288     files\n`;
   assert.equal(openFilesProblem(1200, limits(1264)), null);
   assert.match(openFilesProblem(1200, limits(1024)) ?? "", /allows 1024 open files, max_connections is 1200/);
-  assert.equal(openFilesProblem(1200, ""), null, "where the system does not tell");
+  assert.equal(openFilesProblem(1200, ""), null, "where the system reports no limit");
 });
 
 // Guarded against: stored settings of the version before are complete, and must not follow a raised default.
