--- a/test/admission-policy.test.ts
+++ b/test/admission-policy.test.ts
@@ -6,8 +6,8 @@
 import { defaultOperatorSettings } from "../src/config/operator.js";
 import { deployment } from "./support/deployment.js";
 
-test("the policy: weights are the operators' or the guarantees, the rate follows the state service's smaller limit", () => {
-  const { teams, ratePerS: rate } = policyOf(
+test("admission weights default to guaranteed quotas, and the admission rate to the smaller write limit of the store", () => {
+  const { teams, ratePerS } = policyOf(
     { ...defaultOperatorSettings, admission_weights: { blue: 5 } },
     deployment("n0"),
   );
@@ -18,6 +18,6 @@
       ["blue", 5],
     ],
   );
-  assert.equal(rate, 70 / 8);
+  assert.equal(ratePerS, 70 / 8);
   assert.equal(policyOf({ ...defaultOperatorSettings, admission_rate: 3 }, deployment("n0")).ratePerS, 3);
 });
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -118,14 +118,14 @@
 
 if (isMainThread) {
   // Guarded against: a stalled peer, to which heartbeats are forwarded, makes a controller run out of memory.
-  test("a peer that does not read costs a bounded amount of memory, and its link", async () => {
+  test("a peer that does not read its socket costs a bounded amount of memory and then loses its link", async () => {
     const worker = new Worker(fileURLToPath(import.meta.url));
     try {
       const result = await new Promise<Awaited<ReturnType<typeof offerToStalledPeer>>>((then, fail) => {
         worker.once("message", then);
         worker.once("error", fail);
       });
-      assert.equal(result.lost, 1, `the link is given up: ${JSON.stringify(result)}`);
+      assert.equal(result.lost, 1, `the link is closed: ${JSON.stringify(result)}`);
       // 2 KiB for each of its 256 connections, and the message being encoded; the rest is in the kernel's buffers.
       assert.ok(result.kept < 8 * MB, JSON.stringify(result));
     } finally {
@@ -133,7 +133,7 @@
     }
   });
 
-  test("an oversized body that comes in pieces is refused without being kept, on every path", async () => {
+  test("an oversized chunked body is refused without being buffered, on every path", async () => {
     const handler = new CountingRequestHandler();
     const server = createServer(handler, shareSockets(100));
     const port = await listen(server);
@@ -147,7 +147,7 @@
         });
 
         assert.match(status, /^HTTP\/1\.1 400|^closed/, path);
-        assert.ok(kept < 8 * MB, `${path}: ${Math.round(kept / MB)} MB were kept`);
+        assert.ok(kept < 8 * MB, `${path}: ${Math.round(kept / MB)} MB were buffered`);
       }
       assert.equal(handler.taken, 0);
     } finally {
@@ -156,7 +156,7 @@
     }
   });
 
-  test("a body that comes byte by byte is read as one; half a request costs its connection alone", async () => {
+  test("a body that arrives byte by byte is read whole, and an incomplete request costs only its own connection", async () => {
     const handler = new CountingRequestHandler();
     const server = createServer(handler, shareSockets(100));
     const port = await listen(server);
--- a/test/cloud-inventory.test.ts
+++ b/test/cloud-inventory.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 
-test("neither an old list nor a late report brings a released machine back into use", () => {
+test("neither a stale cloud list nor a late heartbeat brings a terminated machine back into use", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineList = (phase: "failed" | "running") => ({
     kind: "page" as const,
@@ -29,7 +29,7 @@
   assert.deepEqual(harness.startCommands("j-1"), []);
 });
 
-test("a copy that comes late brings no released machine back, and is no sign of life to a new leader", () => {
+test("a late duplicate heartbeat neither revives a terminated machine nor proves an agent alive to a new leader", () => {
   const leader = new ControllerHarness().becomeLeader();
   const terminatedMachines: string[] = [];
   leader.cloudRule = (call) => {
@@ -50,7 +50,7 @@
   leader.advance(5000);
 
   assert.deepEqual(leader.agentReply(900), { kind: "unavailable" });
-  assert.deepEqual(terminatedMachines, ["A"], "it is not released again");
+  assert.deepEqual(terminatedMachines, ["A"], "it is not terminated again");
   assert.equal(leader.controller.leaderTerm?.cluster.machines.size, 0);
 
   const nextLeader = new ControllerHarness().becomeLeader();
@@ -58,5 +58,9 @@
   nextLeader.submit(jobSpec("j-1"));
   nextLeader.advance(3000);
 
-  assert.deepEqual(nextLeader.startCommands("j-1"), [], "the report carries no token of this term");
+  assert.deepEqual(
+    nextLeader.startCommands("j-1"),
+    [],
+    "the heartbeat carries no fencing token of this term",
+  );
 });
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -4,21 +4,21 @@
 import { test } from "node:test";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("proofs that a task is gone: a later session, the release, the lease; absence alone is none", () => {
+test("a later agent incarnation, a terminated machine or an expired lease proves that a task has ended, absence from a heartbeat does not", () => {
   const absent = leaderWithRunningTask();
   absent.harness.sendHeartbeat("B", [], { zone: "b" });
   // A heartbeat without the task, under the fencing token that the task was started with, proves nothing (I3).
   absent.harness.sendHeartbeat("A");
   absent.harness.advance(300);
 
-  assert.equal(absent.harness.startCommands("j-1").length, 1, "absence alone");
+  assert.equal(absent.harness.startCommands("j-1").length, 1, "absence alone proves nothing");
 
   const reincarnated = leaderWithRunningTask();
   reincarnated.harness.sendHeartbeat("B", [], { zone: "b" });
   reincarnated.harness.sendHeartbeat("A", [], { incarnation: 2 });
   reincarnated.harness.advance(300);
 
-  assert.equal(reincarnated.harness.startCommands("j-1").length, 2, "later session");
+  assert.equal(reincarnated.harness.startCommands("j-1").length, 2, "later incarnation");
 
   const terminated = leaderWithRunningTask();
   terminated.harness.sendHeartbeat("B", [], { zone: "b" });
@@ -41,16 +41,16 @@
     expired.harness.advance(1000);
   }
 
-  assert.equal(expired.harness.startCommands("j-1").length, 1, "the lease still runs");
+  assert.equal(expired.harness.startCommands("j-1").length, 1, "the agent lease is still valid");
 
   for (let second = 0; second < 3; second++) {
     expired.harness.sendHeartbeat("B", [], { zone: "b" });
     expired.harness.advance(1000);
   }
-  assert.equal(expired.harness.startCommands("j-1").length, 2, "the lease is over");
+  assert.equal(expired.harness.startCommands("j-1").length, 2, "the agent lease has expired");
 });
 
-test("a worker back with a new session gets work once it reports, not by direct answers alone, and has its full lease", () => {
+test("an agent with a new incarnation gets tasks and a full lease once it sends a heartbeat, not by replies to direct commands alone", () => {
   // Found by the property test (rule ran_twice): the agent was declared dead by the lease of its previous incarnation.
   const { harness } = leaderWithRunningTask();
   harness.cloudRule = () => ({ kind: "unavailable", reason: "" });
@@ -64,7 +64,7 @@
   harness.advance(300);
 
   // I7: an agent that reaches no controller, while direct commands reach it, would lose whatever is started there.
-  assert.equal(harness.startCommands("j-1").length, 1, "only the first attempt while it doesn't report");
+  assert.equal(harness.startCommands("j-1").length, 1, "only the first attempt while it sends no heartbeat");
 
   harness.sendHeartbeat("A", [], { incarnation: 2 });
   harness.advance(300);
@@ -75,6 +75,6 @@
   assert.equal(
     harness.startCommands("j-1").filter((start) => start.attempt !== attempt).length,
     1,
-    "only the first attempt before it",
+    "only the first attempt before the new one",
   );
 });
--- a/test/negative-fit-cache.test.ts
+++ b/test/negative-fit-cache.test.ts
@@ -6,7 +6,7 @@
 import { NegativeFitCache } from "../src/core/scheduling/negative-fit-cache.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 
-test("what found no place is not looked for again by as much or more, unless places are kept for it", () => {
+test("a gang as large as one that found no feasible machines is not tried again, unless it has a reservation or failed machines of its own", () => {
   const { ctx } = new ControllerHarness().controller;
   const cache = new NegativeFitCache(ctx);
   const gangOf = (uid: string, cpu: number, tasks = 1) =>
@@ -14,8 +14,8 @@
   cache.add(gangOf("j-1", 2000, 2), 2);
 
   assert.equal(cache.has(gangOf("j-2", 3000, 2), 2), true);
-  assert.equal(cache.has(gangOf("j-3", 1000, 2), 2), false, "less may fit");
-  assert.equal(cache.has(gangOf("j-4", 2000), 1), false, "fewer may fit");
+  assert.equal(cache.has(gangOf("j-3", 1000, 2), 2), false, "smaller tasks may fit");
+  assert.equal(cache.has(gangOf("j-4", 2000), 1), false, "fewer tasks may fit");
 
   const reserved = gangOf("j-5", 3000, 2);
   reserved.reservationUntil = ctx.now + 1;
@@ -23,7 +23,7 @@
 
   const failedBefore = gangOf("j-6", 3000, 2);
   failedBefore.failedMachines.add(1);
-  assert.equal(cache.has(failedBefore, 2), false, "its choice is another one");
+  assert.equal(cache.has(failedBefore, 2), false, "it has other feasible machines");
 
   cache.clear();
   assert.equal(cache.has(gangOf("j-2", 3000, 2), 2), false);
--- a/test/quarantined-keys.test.ts
+++ b/test/quarantined-keys.test.ts
@@ -5,7 +5,7 @@
 import { jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { electNextLeader, leaderWithRunningTask } from "./support/leaders.js";
 
-test("records that can't be read are told of and kept, and nothing they may speak of is started", () => {
+test("records that can't be decoded are logged and kept, and no task they may concern is started", () => {
   const { harness: previousLeader, attempt } = leaderWithRunningTask();
   previousLeader.submit(jobSpec("j-2"));
   const put = (key: string, value: unknown) =>
@@ -33,7 +33,7 @@
   assert.deepEqual(
     newLeader.sendHeartbeat("A", [runningTask]),
     { kind: "commands", fencingToken: 2, commands: [] },
-    "and what runs is let run",
+    "running tasks are left running",
   );
 
   newLeader.advance(60_000);
--- a/test/reachability.test.ts
+++ b/test/reachability.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { leaderWithRunningTask, onlyElement } from "./support/leaders.js";
 
-test("a leader that hears no worker while a peer does hands over and stays out of the race", () => {
+test("a leader that hears no agent while a peer hears some resigns and does not campaign for a while", () => {
   const harness = new ControllerHarness().becomeLeader();
   for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name);
   const receivePeerHeartbeat = (agentsHeard: number) =>
@@ -25,7 +25,7 @@
     harness.advance(1000);
   }
 
-  assert.ok(harness.controller.election.lease, "nobody hears any: handing over would not help");
+  assert.ok(harness.controller.election.lease, "no peer hears any agent: resigning would not help");
 
   for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name);
   for (let second = 0; second < 8; second++) {
@@ -33,13 +33,13 @@
     harness.advance(1000);
   }
   assert.equal(harness.controller.election.lease, null);
-  assert.equal(harness.store.entries.has("c/leader"), false, "the key is free at once");
+  assert.equal(harness.store.entries.has("c/leader"), false, "the leader key is deleted at once");
 
   harness.advance(5000);
   assert.equal(harness.controller.election.lease, null);
 });
 
-test("a worker that reports but hears nothing gets no more work, is replaced if it lasts, and is used again", () => {
+test("an agent in a one-way partition gets no more tasks, its machine is replaced if that persists and used again if it ends", () => {
   for (const persists of [true, false]) {
     const harness = new ControllerHarness().becomeLeader();
     const terminatedMachines: string[] = [];
@@ -79,7 +79,7 @@
       harness.advance(1000);
       harness.timeOutCommands();
     }
-    assert.deepEqual(harness.startCommands("j-2"), [], "nothing new is given to it");
+    assert.deepEqual(harness.startCommands("j-2"), [], "no new task is placed on it");
 
     if (persists) {
       for (let second = 0; second < 30; second++) {
@@ -97,12 +97,16 @@
       harness.replyToCommands("A", [runningTask]);
       harness.advance(2000);
 
-      assert.equal(harness.startCommands("j-2").length, 1, "an effect shows that it hears again");
+      assert.equal(
+        harness.startCommands("j-2").length,
+        1,
+        "a command carried out shows that it is reachable again",
+      );
     }
   }
 });
 
-test("a lease that runs out under answers shows that they don't arrive; one that ran out in silence does not", () => {
+test("a lease that expires although replies are sent shows a one-way partition, and one that expires in silence does not", () => {
   for (const silentMs of [0, 13_000]) {
     const { harness } = leaderWithRunningTask();
     harness.cloudRule = () => ({ kind: "unavailable", reason: "" });
@@ -119,7 +123,7 @@
   }
 });
 
-test("where most workers don't hear the leader, it hands over", () => {
+test("a leader that most agents don't hear resigns", () => {
   const harness = new ControllerHarness().becomeLeader();
   for (let second = 0; second < 8; second++) {
     for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name, [], { fencingToken: 0 });
--- a/test/record-cache.test.ts
+++ b/test/record-cache.test.ts
@@ -108,7 +108,7 @@
   return results[0].records;
 }
 
-test("property: whatever the history and its delivery, a warm start has the records of a cold one, or is refused", () => {
+test("property: whatever the history and its delivery, the record cache equals a cold read or is refused", () => {
   let warmStarts = 0;
   fc.assert(
     fc.property(
@@ -149,5 +149,5 @@
     ),
     { numRuns: 400, seed: 20_261_202 },
   );
-  assert.ok(warmStarts > 100, `${warmStarts} of 400 histories began warm`);
+  assert.ok(warmStarts > 100, `${warmStarts} of 400 histories had a warm start`);
 });
--- a/test/retry-reservations.test.ts
+++ b/test/retry-reservations.test.ts
@@ -5,7 +5,7 @@
 import { AdmissionCluster } from "./support/admission-cluster.js";
 import { NODES } from "./support/deployment.js";
 
-test("who is refused and comes back at the time it was told is taken, at whatever node, before newcomers", () => {
+test("a throttled submission that is retried after its retry-after is accepted at any node, before newcomers", () => {
   const cluster = new AdmissionCluster({ admission_rate: 12 });
   cluster.heartbeatRounds(5);
   const returningAt = new Map<number, string[]>();
@@ -25,7 +25,7 @@
         if (repeatedDecision.kind === "wait")
           assert.ok(
             repeatedDecision.retryAfterS <= decision.retryAfterS,
-            "the same submission, the same time",
+            "a repeated submission has the same retry-after",
           );
         else acceptedEarly++;
         if (decision.retryAfterS < 30) {
@@ -43,6 +43,9 @@
   }
 
   assert.equal(acceptedEarly, 0);
-  assert.ok(acceptedOnReturn > 100, `${acceptedOnReturn} came back, ${refusedAgain} were refused again`);
+  assert.ok(
+    acceptedOnReturn > 100,
+    `${acceptedOnReturn} were accepted on their retry, ${refusedAgain} were refused again`,
+  );
   assert.equal(refusedAgain, 0);
 });
--- a/test/round-robin-turns.test.ts
+++ b/test/round-robin-turns.test.ts
@@ -21,7 +21,7 @@
   return { uid, spec: { team, jobClass }, queuedSince };
 }
 
-test("property: no more than one job of each other line goes before a line's oldest, whatever the lines are made of", () => {
+test("property: at most one job of each other line precedes a line's oldest job that is due, whatever the lines contain", () => {
   const line = fc.record({
     team: fc.constantFrom("a", "b", "c"),
     jobClass: fc.constantFrom("x", "y"),
@@ -39,7 +39,7 @@
         const due = turns.due(jobs, TURN_MS, now);
         const dueLines = new Set([...due].map(({ spec }) => `${spec.team} ${spec.jobClass}`));
 
-        assert.equal(dueLines.size, due.size, "one of each line");
+        assert.equal(dueLines.size, due.size, "one job of each line is due");
 
         for (const job of jobs) {
           const olderJobs = jobs.filter(
@@ -66,7 +66,7 @@
   );
 });
 
-test("a line's turn comes once nothing of it has begun for so long, and goes when something has", () => {
+test("a line is due for a round-robin turn once no job of it has started for the turn period, until one does", () => {
   const turns = new RoundRobinTurns();
   const smallJobs = Array.from({ length: 1000 }, (_, i) => waitingJob(i, "a", "x", i));
   const hugeJob = waitingJob(9999, "b", "y", 500);
@@ -80,7 +80,7 @@
   assert.equal(turns.longestWaitMs("b", [hugeJob], 100_000), 39_000);
 });
 
-test("under a flood of small jobs a huge array of another team has its turn, also under a new leader", () => {
+test("under a flood of small jobs a huge array of another team gets its round-robin turn, also under a new leader", () => {
   const store = new FakeStore();
   const settings = { admission_rate: 10_000, admission_turn_s: 30 };
   store.run({ kind: "transaction", conditions: [], changes: [{ put: "c/settings", value: settings }] }, 0);
@@ -106,7 +106,7 @@
   firstLeader.submit(jobSpec("j-7", { tasks: 5000, estimateS: 50, team: "blue", jobClass: "bulk" }));
   playUntilStarted(firstLeader, 6);
 
-  assert.equal(startedTasks(), 0, "the small ones go first for a while");
+  assert.equal(startedTasks(), 0, "the small jobs go first for a while");
 
   const nextLeader = new ControllerHarness("n1", store, "n1-1", {}, 0, true);
   nextLeader.now = firstLeader.now + 5000;
@@ -114,5 +114,5 @@
   nextLeader.becomeLeader();
   playUntilStarted(nextLeader, 20);
 
-  assert.ok(startedTasks() > 0, "its wait counts from its acceptance");
+  assert.ok(startedTasks() > 0, "its queue time counts from its acceptance");
 });
--- a/test/runtime-estimates.test.ts
+++ b/test/runtime-estimates.test.ts
@@ -6,7 +6,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("estimates are corrected by class from what was observed", () => {
+test("runtime estimates are corrected for each job class from observed runtimes", () => {
   const estimates = new RuntimeEstimates();
   const spec = jobSpec("j-1", { estimateS: 100, jobClass: "work" });
   assert.equal(estimates.estimateS(spec), 100);
@@ -15,7 +15,7 @@
   assert.ok(Math.abs(estimates.estimateS(spec) - 200) < 10, `${estimates.estimateS(spec)}`);
 
   estimates.observe(spec, 1e9);
-  assert.ok(estimates.estimateS(spec) < 240, "one odd task");
+  assert.ok(estimates.estimateS(spec) < 240, "a single outlier counts little");
   assert.equal(estimates.estimateS(jobSpec("j-2", { estimateS: 100, jobClass: "other" })), 100);
 
   // Queue order follows the corrected estimates: the slow class is no longer taken for the shorter one.
@@ -30,7 +30,7 @@
   harness.submit(jobSpec("j-3", { estimateS: 20, jobClass: "quick" }));
   harness.advance(3000);
   const firstTask = tasksByMachine.get("A")?.[0] ?? assert.fail();
-  Object.assign(firstTask, { state: "ended", cause: "done" });
+  Object.assign(firstTask, { state: "ended", exitReason: "done" });
   harness.sendHeartbeat("A", tasksByMachine.get("A") ?? []);
   harness.advance(300);
   carryOutCommands(harness, tasksByMachine);
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -56,7 +56,7 @@
           if (!this.firstStartAt.has(command.uid)) this.firstStartAt.set(command.uid, harness.now);
         } else if (command.kind === "stop" && running) {
           running.until = 0;
-          Object.assign(running, { state: "ended", cause: "stopped" });
+          Object.assign(running, { state: "ended", exitReason: "stopped" });
         } else if (command.kind === "acknowledge") tasks = tasks.filter((task) => task !== running);
       }
       this.tasksByMachine.set(machine, tasks);
@@ -65,7 +65,7 @@
     for (const tasks of this.tasksByMachine.values()) {
       for (const task of tasks) {
         if (task.state !== "running" || harness.now < task.until) continue;
-        Object.assign(task, { state: "ended", cause: "done" });
+        Object.assign(task, { state: "ended", exitReason: "done" });
         this.done++;
       }
     }
@@ -110,7 +110,7 @@
   return count;
 }
 
-test("under constant overload the largest and least of every kind begins within four minutes", () => {
+test("under constant overload the largest and lowest-priority job of every kind starts within four minutes", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineFields: Record<string, object> = {};
   const names: string[] = [];
@@ -151,20 +151,20 @@
 
   assert.ok(
     (harness.controller.leaderTerm?.scheduler.blocked.length ?? 0) > 10,
-    "there is overload to the end",
+    "the overload lasts to the end",
   );
 
   for (const uid of ["j-wide", "j-long", "j-idle"]) {
     const firstStartAt = fleet.firstStartAt.get(uid);
-    assert.ok(firstStartAt !== undefined, `${uid} never began`);
+    assert.ok(firstStartAt !== undefined, `${uid} never started`);
     assert.ok(
       firstStartAt - submittedAt < 240_000,
-      `${uid} began after ${(firstStartAt - submittedAt) / 1000} s`,
+      `${uid} started after ${(firstStartAt - submittedAt) / 1000} s`,
     );
   }
 });
 
-test("a fleet of a thousand machines with 100,000 tasks: quiet rounds and unchanged reports cost next to nothing", () => {
+test("idle scheduling rounds and unchanged heartbeats of a thousand machines cost next to nothing with 100,000 tasks submitted", () => {
   const harness = new ControllerHarness().becomeLeader();
   const names = Array.from({ length: 1000 }, (_, i) => `M${i}`);
   const fleet = new AgentFleet(harness, names);
@@ -179,7 +179,7 @@
     (sum, machine) => sum + machine.placements.size,
     0,
   );
-  assert.equal(placed, 40, "as many as the teams' limits allow");
+  assert.equal(placed, 40, "as many as the teams' quota limits allow");
 
   const examinedBefore = leaderTerm.scheduler.feasibleMachines.machinesExamined;
   const reconciledBefore = leaderTerm.agents.reconciliations;
@@ -189,16 +189,16 @@
   // Ten seconds, at most ten rounds a second, ten jobs queued: far fewer machines are examined than machines x jobs.
   assert.ok(
     leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore <= 2 * 1000,
-    `${leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore} looks`,
+    `${leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore} machines examined`,
   );
   assert.ok(
     leaderTerm.agents.reconciliations - reconciledBefore <= 1000,
-    `${leaderTerm.agents.reconciliations - reconciledBefore} reports taken apart`,
+    `${leaderTerm.agents.reconciliations - reconciledBefore} heartbeats reconciled`,
   );
   assert.ok(harness.store.revision - revisionBefore <= 5, "and next to nothing is written");
 });
 
-test("a fleet's machines are recorded many to a key, and a new leader of the largest fleet is soon ready", () => {
+test("machines are stored many to a key, and a new leader of a thousand machines is soon ready", () => {
   const leader = new ControllerHarness().becomeLeader();
   const names = Array.from({ length: 1000 }, (_, i) => `M${i}`);
   const fleet = new AgentFleet(leader, names);
@@ -208,12 +208,15 @@
 
   assert.ok(
     machineRecords.length >= 1 && machineRecords.length <= 30,
-    `${machineRecords.length} records of machines`,
+    `${machineRecords.length} machine records`,
   );
 
   const nextLeader = electNextLeader(leader);
 
-  assert.ok(nextLeader.controller.leaderTerm?.agents.areRecordsLoaded, "ready after three reads");
+  assert.ok(
+    nextLeader.controller.leaderTerm?.agents.areRecordsLoaded,
+    "the records are loaded after three range reads",
+  );
 
   const recorded = nextLeader.controller.leaderTerm.cluster.machines.size;
   assert.ok(recorded > 0);
@@ -228,7 +231,7 @@
   assert.ok(mostPerTick > 0 && mostPerTick <= 10, `${mostPerTick} at once`);
 });
 
-test("100,000 tasks on a thousand machines: placed, taken over by a new leader, a third of them lost in one tick", () => {
+test("100,000 tasks on a thousand machines are placed, adopted after failover, and placed again when a third of the machines expire in one tick", () => {
   const { harness: leader, fleet } = leaderOfHugeFleet();
   assert.equal(countPlacements(leader), MACHINE_COUNT * TASKS_PER_MACHINE);
   assert.deepEqual(leader.errorLines, []);
@@ -285,6 +288,6 @@
     nextLeader.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore;
   assert.ok(
     examined <= 20 * 10 * MACHINE_COUNT,
-    `${examined} looks at a machine for ten jobs in thirty seconds`,
+    `${examined} machines examined for ten jobs in thirty seconds`,
   );
 });
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -26,23 +26,21 @@
   );
 }
 
-test("the shares of a node's sockets stay within its limit, and one node can hold the fleet it is meant for", () => {
+test("the socket shares of a node stay within its limit, and leave enough for the agents of a whole fleet", () => {
   for (const limit of [64, 400, 1200, 1282, 1936, 10_000]) {
-    const {
-      inbound,
-      agentsInbound: workersIn,
-      agentsKeptOpen: workersKept,
-      agentsOutbound: workersOut,
-    } = shareSockets(limit);
-    assert.ok(workersKept >= 1 && workersKept < workersIn, `${limit}: ${workersKept} of ${workersIn} kept`);
-    assert.ok(inbound + workersOut < limit, `${limit}: ${inbound} + ${workersOut}`);
-    assert.ok(workersIn < inbound && workersOut >= 1);
+    const { inbound, agentsInbound, agentsKeptOpen, agentsOutbound } = shareSockets(limit);
+    assert.ok(
+      agentsKeptOpen >= 1 && agentsKeptOpen < agentsInbound,
+      `${limit}: ${agentsKeptOpen} of ${agentsInbound} kept`,
+    );
+    assert.ok(inbound + agentsOutbound < limit, `${limit}: ${inbound} + ${agentsOutbound}`);
+    assert.ok(agentsInbound < inbound && agentsOutbound >= 1);
   }
   assert.ok(shareSockets(1282).agentsInbound >= 940);
   assert.ok(shareSockets(1936).agentsInbound >= 940);
 });
 
-test("more hosts than connections: each call is answered, the longest idle connection makes way", async () => {
+test("with more hosts than connections each call is answered, and the longest idle connection is closed for it", async () => {
   const servers = Array.from({ length: 6 }, () => http.createServer((_req, res) => res.end("{}")));
   const client = new HttpClient(1, 2);
   try {
@@ -59,7 +57,7 @@
   }
 });
 
-test("when every connection is in use a further call counts as unanswered at once, and none is leaked", async () => {
+test("a call made while every connection is in use counts as unanswered at once, and no connection leaks", async () => {
   const pendingResponses: http.ServerResponse[] = [];
   const slow = http.createServer((_req, res) => pendingResponses.push(res));
   const quick = http.createServer((_req, res) => res.end("{}"));
@@ -102,7 +100,7 @@
   }
 }
 
-test("workers leave room for probes and users: the next one is sent on, and a place that comes free is given again", async () => {
+test("connections of agents leave some for probes and users, an agent beyond their share is redirected, and a freed one is reused", async () => {
   const server = createServer(new AnyRequestHandler(), {
     inbound: 8,
     agentsInbound: 3,
@@ -119,7 +117,7 @@
       [await sendHeartbeat(0), await sendHeartbeat(1), await sendHeartbeat(2)],
       [200, 200, 200],
     );
-    assert.equal(await sendHeartbeat(0), 200, "the same worker again takes no further place");
+    assert.equal(await sendHeartbeat(0), 200, "the same agent uses no further connection");
     assert.equal(await sendHeartbeat(3), 421);
 
     const ready = await new Promise<HttpResult | null>((then) =>
@@ -136,7 +134,7 @@
 
 // Guarded against: with more agents than connections, those beyond the bound were redirected at each heartbeat, and where
 // only one node was left their leases expired.
-test("one node with fewer sockets than workers answers each report of all of them, and users get through", async () => {
+test("a node with fewer sockets than agents replies to every heartbeat, and users get through", async () => {
   const shares = { inbound: 12, agentsInbound: 8, agentsKeptOpen: 6, agentsOutbound: 1 };
   const server = createServer(new AnyRequestHandler(), shares);
   const agents = Array.from({ length: 40 }, () => new HttpClient(1));
@@ -171,7 +169,7 @@
       agents.map(() => 3),
     );
     assert.ok(mostOpen <= shares.inbound, `${mostOpen} connections`);
-    assert.ok(agents.filter((agent) => agent.openConnections > 0).length <= shares.workersKept);
+    assert.ok(agents.filter((agent) => agent.openConnections > 0).length <= shares.agentsKeptOpen);
   } finally {
     stop(server);
   }
--- a/test/submissions.test.ts
+++ b/test/submissions.test.ts
@@ -9,7 +9,7 @@
 import { NEW_HEARTBEAT, OLD_HEARTBEAT } from "./support/peer-versions.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a known job is never turned away, however its repeated submission looks", () => {
+test("a repeated submission of a known job is accepted, whatever its content", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   assert.equal(harness.submit(jobSpec("j-1", { team: "nobody" }))?.kind, "accepted");
@@ -23,16 +23,16 @@
   assert.equal(
     harness.submit(jobSpec("j-4", { shape: "gang", tasks: 25 }))?.kind,
     "unsatisfiable",
-    "more than the team's limit",
+    "more than the team's quota limit",
   );
   assert.equal(
     harness.submit(jobSpec("j-6", { tasks: 25 }))?.kind,
     "accepted",
-    "an array needs room for one task",
+    "an array needs capacity for one task",
   );
 });
 
-test("what a submission may name: accepted jobs that are no services; repeats count once", () => {
+test("a submission may depend only on accepted jobs that are not services, and is idempotent", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   harness.submit(jobSpec("j-2", { shape: "service" }));
@@ -55,7 +55,7 @@
   assert.equal(
     otherNode.submit(jobSpec("j-6", { awaits: ["j-2"] }))?.kind,
     "unsatisfiable",
-    "a service that is over, on another node",
+    "an ended service, on another node",
   );
   assert.equal(phaseOf(otherNode.submit(jobSpec("j-7", { awaits: ["j-3"] }))), "cancelled");
 
@@ -63,7 +63,7 @@
   assert.equal(
     otherNode.submit(jobSpec("j-8", { awaits: ["j-1"] }))?.kind,
     "unavailable",
-    "can't be known now",
+    "not known without the store",
   );
 
   otherNode.storeRule = null;
@@ -73,11 +73,11 @@
   assert.deepEqual(
     [repeatedSubmission?.kind, phaseOf(repeatedSubmission)],
     ["accepted", "queued"],
-    "known, whatever it names",
+    "known, whatever its dependencies",
   );
 });
 
-test("awaits: null, absent or empty is none; anything but a list of a hundred well-formed ids is refused", () => {
+test("awaits: null, absent or empty means no dependencies, and anything but a list of at most a hundred well-formed ids is refused", () => {
   const body = {
     uid: "j-1",
     jobclass: "work",
@@ -114,14 +114,14 @@
     assert.match(String(parse(invalid)), /^awaits/, JSON.stringify(invalid));
 });
 
-test("while a node of the version before is heard, a job that waits for others is refused for now", () => {
+test("while a node of the previous version is heard, a job with dependencies is refused as unavailable", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   const receive = (message: PeerMessage) => harness.handle({ kind: "peerMessage", from: "n1", message });
   receive(OLD_HEARTBEAT);
 
   assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "unavailable");
-  assert.equal(harness.submit(jobSpec("j-3"))?.kind, "accepted", "all else goes on");
+  assert.equal(harness.submit(jobSpec("j-3"))?.kind, "accepted", "jobs without dependencies are accepted");
 
   receive(NEW_HEARTBEAT);
   assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "accepted");
@@ -130,7 +130,7 @@
   assert.equal(
     phaseOf(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))),
     "queued",
-    "a repeat is never refused",
+    "a repeated submission is never refused",
   );
 
   // A node that is down or partitioned does not block dependent jobs for ever.
--- a/test/task-outcome.test.ts
+++ b/test/task-outcome.test.ts
@@ -6,7 +6,7 @@
 import { jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("an ended attempt is not cleared while its done mark is still being written", () => {
+test("an ended attempt is not acknowledged while its done mark is still being written", () => {
   const { harness, attempt } = leaderWithRunningTask();
   for (let i = 0; i < 33; i++) {
     harness.advance(1000);
@@ -16,7 +16,7 @@
   harness.advance(300);
   const ended = harness
     .startCommands("j-2")
-    .map((start) => ({ ...start, uid: "j-2", state: "ended" as const, cause: "done" as const }));
+    .map((start) => ({ ...start, uid: "j-2", state: "ended" as const, exitReason: "done" as const }));
   harness.timeOutCommands();
 
   assert.equal(ended.length, 2);
@@ -34,14 +34,14 @@
     harness.advance(1000);
   }
 
-  assert.ok(harness.hangingCalls.length > 0, "the mark is under way");
+  assert.ok(harness.hangingCalls.length > 0, "the write of the done mark is in flight");
   assert.ok((harness.controller.election.lease?.fencingToken ?? 0) > fencingTokenOf(ended[0]?.attempt ?? 0));
   assert.deepEqual(acknowledged, []);
 });
 
-test("an ended attempt is cleared only when its worker carries a higher token than it was started under", () => {
+test("an ended attempt is acknowledged only when its agent carries a higher fencing token than it was started under", () => {
   const { harness, attempt } = leaderWithRunningTask();
-  const ended = { uid: "j-1", task: 0, attempt, state: "ended", cause: "done" } as const;
+  const ended = { uid: "j-1", task: 0, attempt, state: "ended", exitReason: "done" } as const;
   const early = harness.sendHeartbeat("A", [ended]);
 
   assert.ok(early?.kind === "commands" && early.commands.every((command) => command.kind !== "acknowledge"));
@@ -56,7 +56,7 @@
   assert.ok(late?.kind === "commands" && late.commands.some((command) => command.kind === "acknowledge"));
 });
 
-test("of cancelling and completing just one wins, and it stays", () => {
+test("of a cancellation and a completion exactly one wins, and the outcome is final", () => {
   const { harness, attempt } = leaderWithRunningTask();
   harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "ended", exitReason: "done" }]);
   harness.advance(500);
