--- a/src/core/administration.ts
+++ b/src/core/administration.ts
@@ -4,9 +4,9 @@
 import type { AdminRequest, AdminResponse } from "./messages/administration.js";
 import type { StoreResponse } from "./messages/store.js";
 import type { MachineMode } from "./model/machine.js";
+import { encodedBytes } from "./model/store-limits.js";
 import type { ConfigWatch } from "./store/config-watch.js";
 import { KEYS } from "./store/records.js";
-import { encodedBytes } from "./store/store-limits.js";
 
 const CALL_TIMEOUT_MS = 1500;
 const STORE_UNANSWERED = "the state service does not answer";
--- a/src/core/agents/agent-lease.ts
+++ b/src/core/agents/agent-lease.ts
@@ -1,5 +1,5 @@
-import type { LeaderLease } from "../election/leader-lease.js";
 import { CLOCK_DRIFT_FACTOR } from "../election/lease-renewal-policy.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 
 /** What an agent may take to end its tasks after its lease has expired. */
--- a/src/core/agents/agent-manager.ts
+++ b/src/core/agents/agent-manager.ts
@@ -1,10 +1,10 @@
 import type { Context } from "../context.js";
 import type { Election } from "../election/election.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { Heartbeat, HeartbeatReply } from "../messages/agents.js";
 import { fencingTokenOf } from "../model/attempt-number.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { ExitReason } from "../model/job-spec.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import { NO_RESOURCES } from "../model/resources.js";
@@ -211,9 +211,9 @@
     machine.isLeaseExpired = true;
     machine.usedByUnknownTasks = NO_RESOURCES;
     const placements = [...machine.placements];
-    this.#ctx.log("info", "machine lost", {
+    this.#ctx.log("info", "machine expired", {
       machine: machine.name,
-      why: reason,
+      reason,
       tasks: placements.length,
     });
     for (const placement of placements) this.#endPlacement(placement, "lost");
--- a/src/core/agents/command-planner.ts
+++ b/src/core/agents/command-planner.ts
@@ -1,10 +1,10 @@
 import type { Context } from "../context.js";
 import type { Election } from "../election/election.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { AgentCommand, Heartbeat, ReportedTask } from "../messages/agents.js";
 import { fencingTokenOf } from "../model/attempt-number.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import type { RecordWriter } from "../store/record-writer.js";
--- a/src/core/agents/command-sender.ts
+++ b/src/core/agents/command-sender.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { AgentCommand } from "../messages/agents.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 import type { CommandPlanner } from "./command-planner.js";
 
--- a/src/core/agents/failure-tracking.ts
+++ b/src/core/agents/failure-tracking.ts
@@ -27,7 +27,7 @@
   machine.failedJobs.add(job.index);
   if (isFaulty(machine) && machine.mode === "open") {
     machine.mode = "drain";
-    ctx.log("info", "machine set aside", { machine: machine.name, failures: machine.failures });
+    ctx.log("info", "faulty machine drained", { machine: machine.name, failures: machine.failures });
   }
   if (job.failedMachines.size < JOB_BACKOFF_MIN_MACHINES) return;
   const doublings = Math.min(JOB_BACKOFF_MAX_DOUBLINGS, job.failures - JOB_BACKOFF_MIN_MACHINES);
--- a/src/core/agents/fencing-queue.ts
+++ b/src/core/agents/fencing-queue.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 
 /** Nothing is sent before this many heartbeat intervals of the term: most agents adopt the leader by a reply. */
--- a/src/core/agents/heartbeat-intake.ts
+++ b/src/core/agents/heartbeat-intake.ts
@@ -1,8 +1,8 @@
 import type { Context } from "../context.js";
 import type { Election } from "../election/election.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { Heartbeat } from "../messages/agents.js";
 import type { ClusterState } from "../model/cluster-state.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 import type { FencingQueue } from "./fencing-queue.js";
 import type { ReachabilityTracker } from "./reachability-tracker.js";
@@ -71,10 +71,10 @@
 
   /** The machine that reports; null where a late copy of a heartbeat must not bring back one that is terminated. */
   #machineOf(heartbeat: Heartbeat): Machine | null {
-    const name = this.#ctx.names.machines.name(heartbeat.machine);
+    const name = this.#ctx.names.machines.nameOf(heartbeat.machine);
     const isKnown = this.#cluster.machines.has(heartbeat.machine);
     if (!isKnown && this.#cluster.terminatedMachines.has(name)) return null;
-    return this.#cluster.machine(name, heartbeat, this.#ctx.now);
+    return this.#cluster.ensureMachine(name, heartbeat, this.#ctx.now);
   }
 
   #noteUp(machine: Machine): void {
@@ -116,11 +116,11 @@
 
   #noteInterruptionNotice(machine: Machine, { reclaimNoticeS }: Heartbeat): void {
     if (reclaimNoticeS === null) return;
-    if (machine.reclaimedAt === null) {
-      this.#ctx.log("info", "machine will be taken back", { machine: machine.name, in_s: reclaimNoticeS });
+    if (machine.reclaimDueAt === null) {
+      this.#ctx.log("info", "machine will be reclaimed", { machine: machine.name, in_s: reclaimNoticeS });
       this.#onCapacityChanged();
     }
-    machine.reclaimedAt = this.#ctx.now + reclaimNoticeS * 1000;
+    machine.reclaimDueAt = this.#ctx.now + reclaimNoticeS * 1000;
   }
 
   /** Most heartbeats of a large cluster report what the last one did: they cost no more than the comparison. */
--- a/src/core/agents/reachability-tracker.ts
+++ b/src/core/agents/reachability-tracker.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { Heartbeat } from "../messages/agents.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 import type { FencingQueue } from "./fencing-queue.js";
 
@@ -34,7 +34,7 @@
 
   /** Notes that a heartbeat was answered: from now on the effect of what was sent has to show in a heartbeat. */
   onReplied(machine: Machine): void {
-    if (this.#expectsAcknowledgement(machine)) machine.acknowledgementOverdueSince ??= this.#ctx.now;
+    if (this.#expectsAcknowledgement(machine)) machine.acknowledgementAwaitedSince ??= this.#ctx.now;
   }
 
   /** True if a fencing token or a start was sent whose effect no heartbeat has shown yet. */
@@ -50,22 +50,22 @@
     const { now, deployment } = this.#ctx;
     const previous = machine.heartbeat;
     if (previous && heartbeat.fencingToken > previous.fencingToken) this.markReachable(machine);
-    if (machine.acknowledgementOverdueSince === null) return;
+    if (machine.acknowledgementAwaitedSince === null) return;
     const timeoutMs = Math.max(
       ACKNOWLEDGEMENT_TIMEOUT_MS,
       deployment.heartbeatIntervalS * ACKNOWLEDGEMENT_TIMEOUT_INTERVALS * 1000,
     );
-    if (now - machine.acknowledgementOverdueSince > timeoutMs)
+    if (now - machine.acknowledgementAwaitedSince > timeoutMs)
       this.markUnreachable(machine, "nothing sent to it has an effect");
   }
 
   /** Something that was sent to the agent has had an effect. */
   markReachable(machine: Machine): void {
-    machine.acknowledgementOverdueSince = null;
+    machine.acknowledgementAwaitedSince = null;
     if (machine.unreachableSince === null) return;
     machine.unreachableSince = null;
     this.#fencingQueue.remove(machine);
-    this.#ctx.log("info", "machine is reached again", { machine: machine.name });
+    this.#ctx.log("info", "machine reachable again", { machine: machine.name });
     this.#onMachineReachable();
   }
 
@@ -74,6 +74,6 @@
     if (machine.phase === "up") this.#fencingQueue.add(machine);
     if (machine.unreachableSince !== null) return;
     machine.unreachableSince = this.#ctx.now;
-    this.#ctx.log("info", "machine can't be reached", { machine: machine.name, why: reason });
+    this.#ctx.log("info", "machine unreachable", { machine: machine.name, reason });
   }
 }
--- a/src/core/agents/reconciler.ts
+++ b/src/core/agents/reconciler.ts
@@ -1,13 +1,13 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { Heartbeat, ReportedTask } from "../messages/agents.js";
 import { fencingTokenOf } from "../model/attempt-number.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { ExitReason } from "../model/job-spec.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import { add, NO_RESOURCES, type Resources } from "../model/resources.js";
-import { recordImageCached, recordImageFetch } from "../scheduling/image-caches.js";
+import { recordImageCached, recordImageFetch } from "./image-caches.js";
 import type { ReachabilityTracker } from "./reachability-tracker.js";
 
 /** What reconciliation concludes. */
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -125,7 +125,7 @@
     // A late list may still show a machine that has been terminated: it must not come back.
     if (!known && this.#cluster.terminatedMachines.has(listed.name)) return;
     const createdAt = this.#ctx.now - listed.ageS * 1000;
-    const machine = known ?? this.#cluster.machine(listed.name, listed, createdAt);
+    const machine = known ?? this.#cluster.ensureMachine(listed.name, listed, createdAt);
     if (listed.phase === "failed" && machine.phase !== "releasing") this.#events.onMachineFailed(machine);
   }
 
@@ -135,6 +135,9 @@
     const { size } = this.#cluster.machines;
     if (size <= settings.max_machines || now - this.#excessLoggedAt < EXCESS_LOG_INTERVAL_MS) return;
     this.#excessLoggedAt = now;
-    this.#ctx.log("info", "more machines than max_machines", { machines: size, most: settings.max_machines });
+    this.#ctx.log("info", "more machines than max_machines", {
+      machines: size,
+      max_machines: settings.max_machines,
+    });
   }
 }
--- a/src/core/autoscaling/creation-requests.ts
+++ b/src/core/autoscaling/creation-requests.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { CloudResponse } from "../messages/cloud.js";
 import type { ClusterState } from "../model/cluster-state.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import { type Offer, offerKeyOf } from "./offer.js";
 
 /** After a request that the cloud did not fulfil, the offer is backed off for this time, doubled with each repeat. */
@@ -104,9 +104,15 @@
 
   #addMachines({ offer, count }: CreationRequest, names: readonly string[]): void {
     const { type, zone, spot } = offer;
-    this.#ctx.log("info", "machines hired", { type: type.name, zone, spot, count, got: names.length });
+    this.#ctx.log("info", "machines created", {
+      type: type.name,
+      zone,
+      spot,
+      requested: count,
+      created: names.length,
+    });
     for (const name of names)
-      this.#cluster.machine(name, { address: "", type: type.name, zone, spot }, this.#ctx.now);
+      this.#cluster.ensureMachine(name, { address: "", type: type.name, zone, spot }, this.#ctx.now);
   }
 
   #backOff(key: string): void {
--- a/src/core/autoscaling/gpu-headroom.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -4,8 +4,8 @@
 import type { Job } from "../model/job.js";
 import { fitsMachineType, type Machine } from "../model/machine.js";
 import type { Resources } from "../model/resources.js";
-import { times } from "../model/resources.js";
-import { hasCompletionObjective } from "../scheduling/queue-order.js";
+import { countFitting } from "../model/resources.js";
+import { hasCompletionObjective } from "../scheduling/objectives.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
 
 const ADJUST_INTERVAL_MS = 1000;
@@ -84,7 +84,7 @@
     for (const team of this.#ctx.deployment.teams) {
       if (teams.has(team.name)) tasks += Math.floor(team.limit.gpu / need.gpu);
     }
-    return Math.ceil(tasks / Math.max(1, times(need, type.size)));
+    return Math.ceil(tasks / Math.max(1, countFitting(need, type.size)));
   }
 
   /** True for a job without GPUs that a GPU machine would run at more than `dear_factor` times the least price. */
@@ -93,10 +93,10 @@
     let leastPerTask = Number.POSITIVE_INFINITY;
     for (const other of this.#cluster.machineTypes.values()) {
       if (other.size.gpu > 0 || !fitsMachineType(job.spec, other)) continue;
-      leastPerTask = Math.min(leastPerTask, other.price / times(job.spec.need, other.size));
+      leastPerTask = Math.min(leastPerTask, other.price / countFitting(job.spec.need, other.size));
     }
     const price = spot ? type.spotPrice : type.price;
-    return price / times(job.spec.need, type.size) > leastPerTask * this.#ctx.settings.dear_factor;
+    return price / countFitting(job.spec.need, type.size) > leastPerTask * this.#ctx.settings.dear_factor;
   }
 
   /* ---- demand ---- */
@@ -120,7 +120,7 @@
     demand.teams.add(spec.team);
     demand.need = larger(demand.need, spec.need);
     demand.imageGb = Math.max(demand.imageGb * IMAGE_SIZE_DECAY, spec.imageGb);
-    demand.arrivals.push({ at: now, machines: Math.ceil(spec.tasks / times(spec.need, type.size)) });
+    demand.arrivals.push({ at: now, machines: Math.ceil(spec.tasks / countFitting(spec.need, type.size)) });
     const gapMs = now - demand.lastArrivalAt;
     if (Number.isFinite(gapMs)) demand.gapMs += GAP_WEIGHT * (gapMs - demand.gapMs);
     demand.lastArrivalAt = now;
@@ -148,7 +148,7 @@
     for (const { job, count } of this.#scheduler.blocked) {
       if (!fitsMachineType(job.spec, type)) continue;
       if (job.spec.need.gpu > 0) {
-        demand.gpuMachines += Math.ceil(count / times(job.spec.need, type.size));
+        demand.gpuMachines += Math.ceil(count / countFitting(job.spec.need, type.size));
       } else {
         demand.isWantedOnDemand ||= !this.isTooExpensive(job, type, false);
         demand.isWantedSpot ||= job.spec.spot && !this.isTooExpensive(job, type, true);
--- a/src/core/agents/machine-modes.ts
+++ b/src/core/autoscaling/machine-modes.ts
@@ -1,10 +1,10 @@
+import type { AgentManager } from "../agents/agent-manager.js";
+import { isFaulty } from "../agents/failure-tracking.js";
 import type { Context } from "../context.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Machine } from "../model/machine.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
 import type { ConfigWatch } from "../store/config-watch.js";
-import type { AgentManager } from "./agent-manager.js";
-import { isFaulty } from "./failure-tracking.js";
 
 /** A service replica is evicted no sooner than this after its start was sent. */
 const REPLICA_MIN_AGE_MS = 30_000;
@@ -45,7 +45,7 @@
   drain(): void {
     for (const machine of this.#cluster.machines.values()) {
       if (machine.phase !== "up" || machine.isLeaseExpired) continue;
-      if (machine.reclaimedAt === null && machine.mode !== "drain") continue;
+      if (machine.reclaimDueAt === null && machine.mode !== "drain") continue;
       this.#stopTasksWithCheckpoints(machine);
       this.#stopReplicas(machine);
     }
--- a/src/core/autoscaling/machine-reaper.ts
+++ b/src/core/autoscaling/machine-reaper.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { ClusterState } from "../model/cluster-state.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
 import { type ClusterHealth, isSilent, machineKindOf, terminationReasonFor } from "./termination-rules.js";
@@ -62,7 +62,7 @@
   #judgeBooting(machine: Machine): void {
     const { now, settings } = this.#ctx;
     const bootS = machine.type?.bootS ?? UNKNOWN_BOOT_S;
-    if (now - machine.bootingSince > bootS * settings.boot_factor * 1000)
+    if (now - machine.createdAt > bootS * settings.boot_factor * 1000)
       this.markForTermination(machine, "boot timed out");
   }
 
--- a/src/core/autoscaling/machine-terminator.ts
+++ b/src/core/autoscaling/machine-terminator.ts
@@ -49,7 +49,7 @@
 
   /** The cloud's confirmation proves that every task on the machine has ended (I3). */
   #onTerminated(machine: Machine): void {
-    this.#ctx.log("info", "machine released", { machine: machine.name, why: machine.terminationReason });
+    this.#ctx.log("info", "machine terminated", { machine: machine.name, reason: machine.terminationReason });
     this.#agents.expireMachine(machine, "terminated");
     this.#cluster.terminatedMachines.set(machine.name, this.#ctx.now);
     this.#recordWriter.machineRecords.onMachineTerminated(machine);
--- a/src/core/autoscaling/provisioner.ts
+++ b/src/core/autoscaling/provisioner.ts
@@ -1,10 +1,10 @@
 import type { AgentManager } from "../agents/agent-manager.js";
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { MachineType } from "../model/deployment.js";
 import type { Job } from "../model/job.js";
-import { times } from "../model/resources.js";
+import type { LeaderLease } from "../model/leader-lease.js";
+import { countFitting } from "../model/resources.js";
 import type { BlockedJob, Scheduler } from "../scheduling/scheduler.js";
 import type { RecordWriter } from "../store/record-writer.js";
 import { CloudInventory } from "./cloud-inventory.js";
@@ -86,7 +86,7 @@
     const plan = this.#planIncoming();
     for (const blocked of this.#scheduler.blocked) {
       const { job } = blocked;
-      if (job.state === "active" && job.pending !== 0) this.#planFor(blocked, plan);
+      if (job.state === "active" && job.pendingCount !== 0) this.#planFor(blocked, plan);
     }
     for (const { offer, count } of plan.planned())
       this.#creationRequests.create(offer, Math.min(MAX_MACHINES_PER_REQUEST, count));
@@ -117,7 +117,7 @@
     while (tasksLeft > 0 && plan.machineCount < maxMachines) {
       const offer = this.#cheapestOffer(job, zone, tasksLeft);
       if (!offer) break;
-      const tasksPerMachine = times(job.spec.need, offer.type.size);
+      const tasksPerMachine = countFitting(job.spec.need, offer.type.size);
       const maxUseful = job.spec.need.gpu > 0 ? this.#gpuHeadroom.maxUsefulMachines(offer.type) : maxMachines;
       const count = Math.min(
         MAX_MACHINES_PER_REQUEST,
@@ -134,7 +134,7 @@
   #tasksToProvisionFor({ job, count }: BlockedJob): number {
     if (job.spec.shape !== "array" || job.spec.estimateS <= 0) return count;
     const taskS = this.#ctx.estimates.estimateS(job.spec);
-    const concurrentTasks = Math.ceil(((job.pending + job.placements.size) * taskS) / ARRAY_DRAIN_S);
+    const concurrentTasks = Math.ceil(((job.pendingCount + job.placements.size) * taskS) / ARRAY_DRAIN_S);
     return Math.max(0, Math.min(count, concurrentTasks - job.placements.size));
   }
 
@@ -159,7 +159,7 @@
     const placesByZone = new Map<string, number>();
     for (const machine of this.#cluster.machines.values()) {
       if (!feasibleMachines.isSchedulable(machine) || !feasibleMachines.mayRunOn(job, machine)) continue;
-      const places = times(job.spec.need, machine.freeCapacity());
+      const places = countFitting(job.spec.need, machine.freeCapacity());
       placesByZone.set(machine.zone, (placesByZone.get(machine.zone) ?? 0) + places);
     }
     plan.addFreePlaces(job, placesByZone);
@@ -218,6 +218,6 @@
 /** A machine's price for each task that it would run; one that would stay emptier than half counts as half full. */
 function costPerTask(job: Job, { type, spot }: Offer, tasks: number): number {
   const price = spot ? type.spotPrice * SPOT_RISK_FACTOR : type.price;
-  const tasksPerMachine = times(job.spec.need, type.size);
+  const tasksPerMachine = countFitting(job.spec.need, type.size);
   return price / Math.min(tasksPerMachine, Math.max(tasks, tasksPerMachine / 2));
 }
--- a/src/core/autoscaling/scale-out-plan.ts
+++ b/src/core/autoscaling/scale-out-plan.ts
@@ -1,5 +1,5 @@
 import type { Job } from "../model/job.js";
-import { fits, type Resources, times } from "../model/resources.js";
+import { countFitting, fits, type Resources } from "../model/resources.js";
 import { type Offer, offerKeyOf, offerSuits } from "./offer.js";
 
 /** The free capacity of one machine, as tasks are booked on it. */
@@ -64,7 +64,10 @@
     for (const { offer, capacities } of this.#incoming.values()) {
       if (!offerSuits(job, offer)) continue;
       for (const capacity of capacities)
-        placesByZone.set(offer.zone, (placesByZone.get(offer.zone) ?? 0) + times(job.spec.need, capacity));
+        placesByZone.set(
+          offer.zone,
+          (placesByZone.get(offer.zone) ?? 0) + countFitting(job.spec.need, capacity),
+        );
     }
   }
 
--- a/src/core/autoscaling/termination-rules.ts
+++ b/src/core/autoscaling/termination-rules.ts
@@ -86,7 +86,7 @@
 /** A silent machine is taken for reclaimed if it is a spot machine, or if its interruption notice has run out. */
 function isReclaimed(machine: Machine, { now, silentAfterMs }: ClusterHealth, quietMs: number): boolean {
   if (!isSilent(quietMs, silentAfterMs)) return false;
-  return machine.spot || (machine.reclaimedAt !== null && now > machine.reclaimedAt);
+  return machine.spot || (machine.reclaimDueAt !== null && now > machine.reclaimDueAt);
 }
 
 function isDrained({ mode, placements }: Machine): boolean {
@@ -95,9 +95,7 @@
 
 /** A GPU machine beyond those in use and the headroom. */
 function isSurplus(machine: Machine, { now }: ClusterHealth): boolean {
-  return (
-    machine.isMarkedForScaleIn && machine.idleSince !== null && now - machine.bootingSince > MIN_CHARGE_MS
-  );
+  return machine.isMarkedForScaleIn && machine.idleSince !== null && now - machine.createdAt > MIN_CHARGE_MS;
 }
 
 /** GPU machines are not judged by this: the GPU headroom decides how many are kept. */
@@ -107,7 +105,7 @@
     idleSince !== null &&
     type?.size.gpu === 0 &&
     now - idleSince > maxIdleMs &&
-    now - machine.bootingSince > MIN_CHARGE_MS &&
+    now - machine.createdAt > MIN_CHARGE_MS &&
     !demandedKinds.has(machineKindOf(machine))
   );
 }
--- a/src/core/cluster-recovery.ts
+++ b/src/core/cluster-recovery.ts
@@ -3,9 +3,9 @@
 import type { DependencyGraph } from "./jobs/dependency-graph.js";
 import type { StoreEntry } from "./messages/store.js";
 import type { ClusterState } from "./model/cluster-state.js";
+import { RecordRestore } from "./record-restore.js";
 import type { Scheduler } from "./scheduling/scheduler.js";
 import type { StoredRecords } from "./store/record-reader.js";
-import { RecordRestore } from "./store/record-restore.js";
 import type { RecordWriter } from "./store/record-writer.js";
 
 /** What a recovery works on. */
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -5,8 +5,8 @@
 import type { StoreRequest, StoreResponse } from "./messages/store.js";
 import type { Deployment } from "./model/deployment.js";
 import type { NameRegistry } from "./model/interner.js";
-import { RuntimeEstimates } from "./scheduling/runtime-estimates.js";
-import { EffectiveStoreLimits } from "./store/store-limits.js";
+import { RuntimeEstimates } from "./model/runtime-estimates.js";
+import { EffectiveStoreLimits } from "./model/store-limits.js";
 
 /** Says when a scheduling round has used its time; the shell brings a clock, tests bring a counter. */
 export interface TimeBudget {
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -7,7 +7,7 @@
 import { HeartbeatRouter, type HeartbeatRouterEvents } from "./agents/heartbeat-router.js";
 import { Context, type TimeBudget } from "./context.js";
 import { Election } from "./election/election.js";
-import type { ElectionEvents, LeaderLease } from "./election/leader-lease.js";
+import type { ElectionEvents } from "./election/election-events.js";
 import { type JobRequestEvents, JobRequests } from "./jobs/job-requests.js";
 import { ProgressCounts } from "./jobs/progress-counts.js";
 import { leaderStatus } from "./leader-status.js";
@@ -18,11 +18,12 @@
 import type { UserResponse } from "./messages/users.js";
 import type { Deployment } from "./model/deployment.js";
 import { NameRegistry } from "./model/interner.js";
+import type { LeaderLease } from "./model/leader-lease.js";
 import { PeerHeartbeatSender } from "./peer-heartbeat-sender.js";
 import { PeerMessageHandler } from "./peer-message-handler.js";
 import { PeerTable } from "./peer-table.js";
 import { seededRandom } from "./random.js";
-import { openJobsByTeam } from "./scheduling/team-load.js";
+import { countUnfinishedJobsByTeam } from "./scheduling/team-load.js";
 import { ConfigWatch } from "./store/config-watch.js";
 import { FeatureGate } from "./store/feature-gate.js";
 import { KEYS } from "./store/records.js";
@@ -204,8 +205,8 @@
       run();
     } catch (error) {
       const stack = error instanceof Error ? error.stack : String(error);
-      this.ctx.log("error", "fault in the core", { error: stack });
-      this.election.stepDown("a fault in the core");
+      this.ctx.log("error", "command failed", { error: stack });
+      this.election.stepDown("a command failed");
     }
   }
 
@@ -295,7 +296,7 @@
   }
 
   #beginTerm(lease: LeaderLease): void {
-    this.ctx.log("info", "elected", { fencing_token: lease.fencingToken });
+    this.ctx.log("info", "elected leader", { fencing_token: lease.fencingToken });
     this.#failover.onElected();
     this.leaderTerm = new LeaderTerm(this.ctx, {
       config: this.config,
@@ -308,7 +309,7 @@
   }
 
   #endTerm(reason: string): void {
-    this.ctx.log("info", "no longer leader", { why: reason });
+    this.ctx.log("info", "stepped down", { reason });
     this.leaderTerm?.end();
     this.leaderTerm = null;
     this.#peerHeartbeats.expedite();
@@ -324,7 +325,7 @@
   #tickAdmission(): void {
     const term = this.leaderTerm;
     const mayIssue = term?.agents.areRecordsLoaded === true && this.election.hasValidLease;
-    const openJobs = () => openJobsByTeam(term?.cluster.jobs.values() ?? []);
+    const openJobs = () => countUnfinishedJobsByTeam(term?.cluster.jobs.values() ?? []);
     this.#admission?.tick(this.leaderName, mayIssue ? term.lease.firstFencingToken : null, { openJobs });
   }
 
--- a/src/core/election/election.ts
+++ b/src/core/election/election.ts
@@ -1,10 +1,11 @@
 import type { Context } from "../context.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import { randomInt } from "../random.js";
 import type { ConfigWatch } from "../store/config-watch.js";
 import { KEYS } from "../store/records.js";
 import { Campaign, type CampaignOutcome, type CampaignVictory } from "./campaign.js";
+import type { ElectionEvents, ElectionState } from "./election-events.js";
 import { FencingTokenAdvancer } from "./fencing-token-advancer.js";
-import type { ElectionEvents, ElectionState, LeaderLease } from "./leader-lease.js";
 import { LeaseRenewalPolicy } from "./lease-renewal-policy.js";
 import { PreviousLeaderBound } from "./previous-leader-bound.js";
 import { ELECTION_CALL_TIMEOUT_MS, leaseValidUntil } from "./timing.js";
--- a/src/core/election/fencing-token-advancer.ts
+++ b/src/core/election/fencing-token-advancer.ts
@@ -1,8 +1,8 @@
 import type { Context } from "../context.js";
 import type { StoreEntry, StoreResponse } from "../messages/store.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { ConfigWatch } from "../store/config-watch.js";
 import { KEYS } from "../store/records.js";
-import type { LeaderLease } from "./leader-lease.js";
 import { ELECTION_CALL_TIMEOUT_MS } from "./timing.js";
 
 /** What an advance of the fencing token needs to know of the election, and reports to it. */
--- a/src/core/election/previous-leader-bound.ts
+++ b/src/core/election/previous-leader-bound.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "./leader-lease.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import { CLOCK_DRIFT_FACTOR, type LeaseRenewalPolicy } from "./lease-renewal-policy.js";
 
 interface LastTerm {
--- a/src/core/jobs/job-lifecycle.ts
+++ b/src/core/job-lifecycle.ts
@@ -1,12 +1,12 @@
-import type { AgentManager } from "../agents/agent-manager.js";
-import type { Context } from "../context.js";
-import type { StoreEntry } from "../messages/store.js";
-import type { ClusterState } from "../model/cluster-state.js";
-import type { Job } from "../model/job.js";
-import type { RecordWriter } from "../store/record-writer.js";
-import { KEYS, readJob } from "../store/records.js";
-import { rereadJob } from "../store/reread-job.js";
-import type { DependencyGraph } from "./dependency-graph.js";
+import type { AgentManager } from "./agents/agent-manager.js";
+import type { Context } from "./context.js";
+import type { DependencyGraph } from "./jobs/dependency-graph.js";
+import type { StoreEntry } from "./messages/store.js";
+import type { ClusterState } from "./model/cluster-state.js";
+import type { Job } from "./model/job.js";
+import type { RecordWriter } from "./store/record-writer.js";
+import { KEYS, readJob } from "./store/records.js";
+import { rereadJob } from "./store/reread-job.js";
 
 const REREAD_RETRY_MS = 300;
 
@@ -61,7 +61,7 @@
     const record = readJob(entry.value);
     const uid = entry.key.slice(KEYS.jobsPrefix.length);
     if (!record || record.spec.uid !== uid) {
-      this.#ctx.log("error", "a record can't be read", { key: entry.key });
+      this.#ctx.log("error", "unreadable record", { key: entry.key });
       return;
     }
     const knownJob = this.#cluster.jobByUid(uid);
--- a/src/core/jobs/submission-validator.ts
+++ b/src/core/jobs/submission-validator.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
 import type { JobSpec } from "../model/job-spec.js";
 import { fitsMachineType } from "../model/machine.js";
-import { times } from "../model/resources.js";
+import { countFitting } from "../model/resources.js";
 import type { ConfigWatch } from "../store/config-watch.js";
 import { fitsRecord } from "../store/records.js";
 import type { JobLookup, JobLookupEntry } from "./job-lookup.js";
@@ -47,7 +47,7 @@
       return { kind: "unsatisfiable", error: "racks: a task fits no allowed machine type" };
     // The tasks of an array may run one after the other; those of a gang or a service run all at once.
     const concurrentTasks = spec.shape === "array" ? 1 : spec.tasks;
-    const tasksWithinLimit = times({ cpu: spec.need.cpu, gpu: spec.need.gpu, ram: 0 }, team.limit);
+    const tasksWithinLimit = countFitting({ cpu: spec.need.cpu, gpu: spec.need.gpu, ram: 0 }, team.limit);
     if (tasksWithinLimit < concurrentTasks)
       return { kind: "unsatisfiable", error: `pieces: the job needs more than the limit of ${team.name}` };
     return fitsRecord(spec, this.#ctx.wallMs, this.#ctx.limits.valueBytes) ? null : recordTooLarge();
--- a/src/core/leader-status.ts
+++ b/src/core/leader-status.ts
@@ -41,8 +41,8 @@
 /** Jobs with pending tasks, and why these are pending. */
 function queueStatus(cluster: ClusterState): Record<string, unknown>[] {
   return [...cluster.jobs.values()]
-    .filter((job) => job.pending > 0)
-    .map((job) => ({ job: job.uid, tasks: job.pending, why: job.pendingReason ?? "it is next" }));
+    .filter((job) => job.pendingCount > 0)
+    .map((job) => ({ job: job.uid, tasks: job.pendingCount, why: job.pendingReason ?? "it is next" }));
 }
 
 /** Jobs whose dependencies are not satisfied, and which these are. */
--- a/src/core/leader-term.ts
+++ b/src/core/leader-term.ts
@@ -1,13 +1,12 @@
-import { AgentManager } from "./agents/agent-manager.js";
-import { MachineModes } from "./agents/machine-modes.js";
+import { type AgentEvents, AgentManager } from "./agents/agent-manager.js";
 import { applyTaskOutcome } from "./agents/task-outcome.js";
+import { MachineModes } from "./autoscaling/machine-modes.js";
 import { Provisioner } from "./autoscaling/provisioner.js";
 import { ClusterRecovery } from "./cluster-recovery.js";
 import type { Context, TimeBudget } from "./context.js";
 import type { Election } from "./election/election.js";
-import type { LeaderLease } from "./election/leader-lease.js";
-import { DependencyGraph } from "./jobs/dependency-graph.js";
-import { JobLifecycle } from "./jobs/job-lifecycle.js";
+import { JobLifecycle, type JobLifecycleEvents } from "./job-lifecycle.js";
+import { type DependencyEvents, DependencyGraph } from "./jobs/dependency-graph.js";
 import { ProgressPublisher } from "./jobs/progress-publisher.js";
 import type { Heartbeat, HeartbeatReply } from "./messages/agents.js";
 import type { StoreEntry } from "./messages/store.js";
@@ -15,15 +14,16 @@
 import { ClusterState } from "./model/cluster-state.js";
 import type { MachineType } from "./model/deployment.js";
 import type { ExitReason } from "./model/job-spec.js";
+import type { LeaderLease } from "./model/leader-lease.js";
 import type { Placement } from "./model/placement.js";
 import { Scheduler } from "./scheduling/scheduler.js";
-import { longestWaits } from "./scheduling/team-load.js";
+import { longestWaitMsByTeam } from "./scheduling/team-load.js";
 import type { ConfigWatch } from "./store/config-watch.js";
 import type { FeatureGate } from "./store/feature-gate.js";
 import { JobWatch } from "./store/job-watch.js";
 import { MachineTypesRecord } from "./store/machine-types-record.js";
 import type { RecordSource, StoredRecords } from "./store/record-reader.js";
-import { RecordWriter } from "./store/record-writer.js";
+import { RecordWriter, type RecordWriterEvents } from "./store/record-writer.js";
 
 /** Scheduling rounds are at least so far apart. */
 const ROUND_INTERVAL_MS = 100;
@@ -77,35 +77,24 @@
     this.#election = election;
     this.lease = lease;
     const cluster = new ClusterState(ctx.names);
-    this.cluster = cluster;
     cluster.setMachineTypes(config.machineTypes);
-    this.recordWriter = new RecordWriter(ctx, lease, cluster, config.migration?.version ?? 0, {
-      onPlacementsRecorded: (placements) => this.#sendRecordedStarts(placements),
-      onJobKeyChanged: (job) => this.#jobLifecycle.reread(job),
-      onJobFinished: (job) => this.#jobLifecycle.onFinalRecordWritten(job),
-      onLeadershipLost: (reason) => election.stepDown(reason),
-      onRecordTooLarge: () => featureGate.open("a record was too large"),
-      layout: () => config.layout,
-    });
-    this.dependencies = new DependencyGraph(ctx, cluster, {
-      onDependenciesSatisfied: (job) => {
-        this.#requestRound();
-        ctx.log("debug", "job dependencies satisfied", { job: job.uid });
-      },
-      onDependencyCancelled: (job) => this.#jobLifecycle.cancel(job),
-    });
-    const { recordWriter, dependencies } = this;
-    this.agents = new AgentManager(
-      { ctx, election, lease, cluster, recordWriter },
-      {
-        onPlacementEnded: (placement, exitReason) => this.#onPlacementEnded(placement, exitReason),
-        onTaskRunning: (placement) => this.#logTaskRunning(placement),
-        onCapacityChanged: () => this.#requestRound(),
-      },
+    this.cluster = cluster;
+    const migrationVersion = config.migration?.version ?? 0;
+    const recordWriter = new RecordWriter(
+      ctx,
+      lease,
+      cluster,
+      migrationVersion,
+      this.#recordWriterEvents(featureGate),
     );
-    const { agents } = this;
-    this.scheduler = new Scheduler(ctx, lease, cluster, agents, recordWriter);
-    const { scheduler } = this;
+    this.recordWriter = recordWriter;
+    const dependencies = new DependencyGraph(ctx, cluster, this.#dependencyEvents());
+    this.dependencies = dependencies;
+    const agents = new AgentManager({ ctx, election, lease, cluster, recordWriter }, this.#agentEvents());
+    this.agents = agents;
+    const scheduler = new Scheduler(ctx, lease, cluster, agents, recordWriter);
+    this.scheduler = scheduler;
+    const onMachineTypes = (types: readonly MachineType[]) => this.#onMachineTypesRead(types);
     this.provisioner = new Provisioner({
       ctx,
       lease,
@@ -113,27 +102,61 @@
       agents,
       recordWriter,
       scheduler,
-      onMachineTypes: (types) => this.#onMachineTypesRead(types),
+      onMachineTypes,
     });
     this.migrator = new ReplicaMigrator(ctx, { cluster, agents, recordWriter, scheduler });
     this.#progress = new ProgressPublisher(ctx, cluster);
     this.#machineModes = new MachineModes(ctx, config, cluster, agents, scheduler);
     this.#machineTypesRecord = new MachineTypesRecord(ctx, config, lease);
-    this.#jobLifecycle = new JobLifecycle(
+    const jobOwners = { cluster, agents, recordWriter, dependencies };
+    this.#jobLifecycle = new JobLifecycle(ctx, jobOwners, this.#jobLifecycleEvents());
+    this.#recovery = new ClusterRecovery(ctx, { ...jobOwners, scheduler });
+    this.#jobWatch = new JobWatch(
       ctx,
-      { cluster, agents, recordWriter, dependencies },
-      {
-        hasTermEnded: () => this.hasEnded,
-        onJobsChanged: () => this.#requestRound(),
-        onJobRemoved: (job) => this.#progress.forget(job),
-        runAfter: (delayMs, run) => this.#jobWatch.runAfter(delayMs, run),
-      },
+      () => election.watchWaitMs,
+      (entry) => this.applyJobRecord(entry),
     );
-    this.#recovery = new ClusterRecovery(ctx, { cluster, agents, recordWriter, dependencies, scheduler });
-    this.#jobWatch = new JobWatch(ctx, election, (entry) => this.applyJobRecord(entry));
     this.#jobWatch.load(chooseSource, (records) => this.#onRecordsLoaded(records));
   }
 
+  #recordWriterEvents(featureGate: FeatureGate): RecordWriterEvents {
+    return {
+      onPlacementsRecorded: (placements) => this.#sendRecordedStarts(placements),
+      onJobKeyChanged: (job) => this.#jobLifecycle.reread(job),
+      onJobFinished: (job) => this.#jobLifecycle.onFinalRecordWritten(job),
+      onLeadershipLost: (reason) => this.#election.stepDown(reason),
+      onRecordTooLarge: () => featureGate.open("a record was too large"),
+      layout: () => this.#config.layout,
+    };
+  }
+
+  #dependencyEvents(): DependencyEvents {
+    return {
+      onDependenciesSatisfied: (job) => {
+        this.#requestRound();
+        this.#ctx.log("debug", "job dependencies satisfied", { job: job.uid });
+      },
+      onDependencyCancelled: (job) => this.#jobLifecycle.cancel(job),
+    };
+  }
+
+  #agentEvents(): AgentEvents {
+    return {
+      onPlacementEnded: (placement, exitReason) => this.#onPlacementEnded(placement, exitReason),
+      onTaskRunning: (placement) => this.#logTaskRunning(placement),
+      onCapacityChanged: () => this.#requestRound(),
+    };
+  }
+
+  #jobLifecycleEvents(): JobLifecycleEvents {
+    return {
+      hasTermEnded: () => this.hasEnded,
+      onJobsChanged: () => this.#requestRound(),
+      onJobRemoved: (job) => this.#progress.forget(job),
+      runAfter: (delayMs, run) => this.#jobWatch.runAfter(delayMs, run),
+    };
+  }
+
   /** Every change of a job's key before this time has been applied here (I1); null until the records are loaded. */
   get cancellationsKnownThrough(): number | null {
     return this.#jobWatch.cancellationsKnownThrough;
@@ -287,7 +310,7 @@
   longestWaits(): ReadonlyMap<string, number> | null {
     const { turns } = this.scheduler;
     const { deployment, wallMs } = this.#ctx;
-    return turns && longestWaits(turns, this.cluster.jobs.values(), deployment.teams, wallMs);
+    return turns && longestWaitMsByTeam(turns, this.cluster.jobs.values(), deployment.teams, wallMs);
   }
 
   /** How many tasks of a job are done and running; null for a job that this leader doesn't have. */
--- a/src/core/migration/replica-migration.ts
+++ b/src/core/migration/replica-migration.ts
@@ -138,7 +138,7 @@
     const pending: PendingMigration = { record, job, from, to, phase: "recording", phaseSince: now };
     this.#pending = pending;
     to.reservedForMigration = add(to.reservedForMigration, job.spec.need);
-    this.#ctx.log("info", "move begins", {
+    this.#ctx.log("info", "replica migration started", {
       ...recordFields(record),
       from_share: from.bookedShare(),
       to_share: to.bookedShare(),
@@ -240,7 +240,7 @@
   #finish(pending: PendingMigration, outcome: string): void {
     if (pending.phase !== "starting") releaseReservation(pending);
     this.#pending = null;
-    this.#ctx.log("info", "move ends", { ...recordFields(pending.record), how: outcome });
+    this.#ctx.log("info", "replica migration ended", { ...recordFields(pending.record), outcome });
     this.#removeRecord();
   }
 
--- a/src/core/model/cluster-state.ts
+++ b/src/core/model/cluster-state.ts
@@ -31,7 +31,7 @@
   }
 
   /** The machine of this name, which is added if it is not known; one that is known gets the address, if there is one. */
-  machine(name: string, origin: MachineOrigin, createdAt: number): Machine {
+  ensureMachine(name: string, origin: MachineOrigin, createdAt: number): Machine {
     const index = this.names.machines.intern(name);
     const known = this.machines.get(index);
     if (known) {
--- a/src/core/model/interner.ts
+++ b/src/core/model/interner.ts
@@ -14,7 +14,7 @@
   #reclaimedInThisBatch: number[] = [];
 
   /** The name of an index; throws a RangeError for an index that stands for none. */
-  name(index: number): string {
+  nameOf(index: number): string {
     const name = this.#names[index];
     if (name === undefined) throw new RangeError(`no name has index ${index}`);
     return name;
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -92,7 +92,7 @@
   }
 
   /** How many tasks may be placed now: none while dependencies are not satisfied. */
-  get pending(): number {
+  get pendingCount(): number {
     return this.state === "active" && this.dependenciesSatisfied
       ? this.spec.tasks - this.doneCount - this.placements.size
       : 0;
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -59,7 +59,7 @@
   /** When its agent was first seen to carry a fencing token of this term; null until then. */
   fencedAt: number | null = null;
   /** Since when the effect of something sent to its agent is awaited in a heartbeat; null if nothing is awaited. */
-  acknowledgementOverdueSince: number | null = null;
+  acknowledgementAwaitedSince: number | null = null;
   /** Since when nothing sent to its agent has an effect (I7): nothing is placed here; terminated if this lasts. */
   unreachableSince: number | null = null;
   /** When the first heartbeat of the present incarnation came. */
@@ -67,7 +67,7 @@
   /** True from the expiry of its agent's lease to the next heartbeat: no task runs here, and none is placed here. */
   isLeaseExpired = false;
   /** When the cloud reclaims it by its interruption notice; null without one. */
-  reclaimedAt: number | null = null;
+  reclaimDueAt: number | null = null;
   mode: MachineMode = "open";
   readonly placements = new Set<Placement>();
   /** What its placements use. */
@@ -83,7 +83,7 @@
   /** Its image cache, as far as it can be told, by image name. */
   readonly images = new Map<string, CachedImage>();
   /** When it was created. */
-  bootingSince: number;
+  createdAt: number;
   /** Since when nothing runs on it; null while something does. */
   idleSince: number | null = null;
   /** One of more GPU machines than are needed: nothing without GPUs is placed here; terminated once it is empty. */
@@ -116,7 +116,7 @@
     this.typeName = origin.type;
     this.zone = origin.zone;
     this.spot = origin.spot;
-    this.bootingSince = createdAt;
+    this.createdAt = createdAt;
   }
 
   /**
--- a/src/core/model/resources.ts
+++ b/src/core/model/resources.ts
@@ -47,7 +47,7 @@
 }
 
 /** How many tasks of this need fit into the capacity together; infinite for a need of nothing. */
-export function times(need: Resources, capacity: Resources): number {
+export function countFitting(need: Resources, capacity: Resources): number {
   let count = Number.POSITIVE_INFINITY;
   if (need.cpu > 0) count = Math.min(count, Math.floor(capacity.cpu / need.cpu));
   if (need.gpu > 0) count = Math.min(count, Math.floor(capacity.gpu / need.gpu));
--- a/src/core/scheduling/runtime-estimates.ts
+++ b/src/core/model/runtime-estimates.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from "../model/job-spec.js";
+import type { JobSpec } from "./job-spec.js";
 
 /** The least weight of a new observation in the mean, a pure number; the first few of a class weigh more. */
 const MIN_OBSERVATION_WEIGHT = 0.05;
--- a/src/core/store/store-limits.ts
+++ b/src/core/model/store-limits.ts
@@ -1,4 +1,4 @@
-import type { Deployment, StoreLimits } from "../model/deployment.js";
+import type { Deployment, StoreLimits } from "./deployment.js";
 
 /** How long the lower write rate is kept to after the store has refused a call for its rate. */
 const THROTTLED_MS = 60_000;
--- a/src/core/store/record-restore.ts
+++ b/src/core/record-restore.ts
@@ -1,12 +1,12 @@
-import type { Context } from "../context.js";
-import type { DependencyGraph } from "../jobs/dependency-graph.js";
-import type { StoreEntry } from "../messages/store.js";
-import type { ClusterState } from "../model/cluster-state.js";
-import type { Job } from "../model/job.js";
-import type { Machine } from "../model/machine.js";
-import type { RecordWriter } from "./record-writer.js";
-import { KEYS, readBucket } from "./records.js";
-import { readChunks, type StoredChunk, type StoredPlacement } from "./stored-chunks.js";
+import type { Context } from "./context.js";
+import type { DependencyGraph } from "./jobs/dependency-graph.js";
+import type { StoreEntry } from "./messages/store.js";
+import type { ClusterState } from "./model/cluster-state.js";
+import type { Job } from "./model/job.js";
+import type { Machine } from "./model/machine.js";
+import type { RecordWriter } from "./store/record-writer.js";
+import { KEYS, readBucket } from "./store/records.js";
+import { readChunks, type StoredChunk, type StoredPlacement } from "./store/stored-chunks.js";
 
 interface MachineDetails {
   readonly address: string;
@@ -39,7 +39,7 @@
     const record = readBucket(entry.value);
     const index = Number(entry.key.slice(KEYS.machinesPrefix.length));
     if (!record || !Number.isInteger(index)) {
-      this.#ctx.log("error", "a record can't be read", { key: entry.key });
+      this.#ctx.log("error", "unreadable record", { key: entry.key });
       return;
     }
     const machines = record.machines.map(([name, address, type, zone, spot]) =>
@@ -55,7 +55,7 @@
   restorePlacements(entries: readonly StoreEntry[]): number {
     const stored = readChunks(entries);
     for (const { key, uid } of stored.unreadable) {
-      this.#ctx.log("error", "a record can't be read", { key });
+      this.#ctx.log("error", "unreadable record", { key });
       const job = this.#cluster.jobByUid(uid);
       // The record may be of running tasks: nothing of the job may start until it is readable (I3).
       if (job) job.hasUnreadableRecord = true;
@@ -109,7 +109,7 @@
 
   /** A machine on record has been up, if only under a previous leader. */
   #restoreMachine(name: string, details: MachineDetails): Machine {
-    const machine = this.#cluster.machine(name, details, this.#ctx.now);
+    const machine = this.#cluster.ensureMachine(name, details, this.#ctx.now);
     if (machine.phase === "booting") machine.phase = "up";
     return machine;
   }
--- a/src/core/scheduling/feasible-machines.ts
+++ b/src/core/scheduling/feasible-machines.ts
@@ -76,7 +76,7 @@
       // A heartbeat without this term's fencing token may be a late copy, so it is a hint of presence only (I4).
       machine.fencedAt !== null &&
       machine.unreachableSince === null &&
-      machine.reclaimedAt === null &&
+      machine.reclaimDueAt === null &&
       machine.backoffUntil <= now &&
       now - machine.heartbeatAt < deployment.heartbeatIntervalS * 2500 + 500
     );
@@ -124,7 +124,7 @@
   #isReservedForOther(job: Job, machine: Machine): boolean {
     const { reservation } = machine;
     if (reservation === null) return false;
-    if (reservation.until <= this.#ctx.now || reservation.job.pending === 0) {
+    if (reservation.until <= this.#ctx.now || reservation.job.pendingCount === 0) {
       machine.reservation = null;
       return false;
     }
--- a/src/core/scheduling/gang-scheduling.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
-import { times } from "../model/resources.js";
+import { countFitting } from "../model/resources.js";
 import { anyMachine, type FeasibleMachines, type MachineFilter } from "./feasible-machines.js";
 import type { MachineScoring } from "./machine-scoring.js";
 import type { NegativeFitCache } from "./negative-fit-cache.js";
@@ -125,7 +125,7 @@
       const inZone = tasksByZone.get(machine.zone) ?? 0;
       const slots = Math.min(
         tasks - machines.length,
-        times(need, machine.freeCapacity()),
+        countFitting(need, machine.freeCapacity()),
         zoneLimit - inZone,
       );
       if (slots <= 0) continue;
--- a/src/core/scheduling/objectives.ts
+++ b/src/core/scheduling/objectives.ts
@@ -53,7 +53,7 @@
 export function objectiveStanding(ctx: Context, job: Job, ageS: number): ObjectiveStanding {
   const { spec } = job;
   // The tasks of an array start one by one: the pending ones have a start objective of their own.
-  const hasStarted = spec.shape === "array" ? job.pending === 0 : job.countRunning() > 0;
+  const hasStarted = spec.shape === "array" ? job.pendingCount === 0 : job.countRunning() > 0;
   // However many machines a job gets, it takes at least the time of one task.
   const taskS = ctx.estimates.estimateS(spec);
   const deadlineS = deadlineDueS(job, taskS);
--- a/src/core/scheduling/pending-reasons.ts
+++ b/src/core/scheduling/pending-reasons.ts
@@ -26,7 +26,7 @@
   if (isStarving(ctx, job) && !job.loggedReasons.has(reason)) {
     job.loggedReasons.add(reason);
     const pendingS = Math.round((ctx.wallMs - job.queuedSince) / 1000);
-    ctx.log("info", "job still waits", { job: job.uid, why: reason, waited_s: pendingS });
+    ctx.log("info", "job pending for long", { job: job.uid, reason, pending_s: pendingS });
   }
   job.pendingReason = reason;
 }
--- a/src/core/scheduling/preemption-planner.ts
+++ b/src/core/scheduling/preemption-planner.ts
@@ -3,7 +3,7 @@
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
-import { add, fits, type Resources, times } from "../model/resources.js";
+import { add, countFitting, fits, type Resources } from "../model/resources.js";
 import { guaranteedStartObjectiveS, startObjectiveS } from "./objectives.js";
 import { preemptionPriority } from "./preemption-policy.js";
 
@@ -54,7 +54,7 @@
   planFor(job: Job, machine: Machine, isWithinGuarantee: boolean): PreemptionPlan | null {
     const { need } = job.spec;
     let free = machine.freeCapacity();
-    if (fits(need, free)) return { machine, slots: times(need, free), victims: [], cost: 0 };
+    if (fits(need, free)) return { machine, slots: countFitting(need, free), victims: [], cost: 0 };
     const victims: Placement[] = [];
     let cost = 0;
     for (const { placement, lostWork } of this.#candidates(job, machine, isWithinGuarantee)) {
@@ -64,7 +64,7 @@
       // What is being stopped already is lost in any case.
       cost += placement.stop ? 0 : lostWork;
       free = add(free, freed);
-      if (fits(need, free)) return { machine, slots: times(need, free), victims, cost };
+      if (fits(need, free)) return { machine, slots: countFitting(need, free), victims, cost };
     }
     return null;
   }
--- a/src/core/scheduling/queue-order.ts
+++ b/src/core/scheduling/queue-order.ts
@@ -2,8 +2,6 @@
 import type { Job } from "../model/job.js";
 import { guaranteedStartObjectiveS, jobAgeS, objectiveStanding } from "./objectives.js";
 
-export { hasCompletionObjective } from "./objectives.js";
-
 /** A job none of whose tasks has had a machine for longer than this is starving. */
 const STARVING_AFTER_S = 160;
 /**
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -53,8 +53,8 @@
   reservedQuota(job: Job): Resources {
     const reservation = this.#quotaByTeam.get(job.spec.team);
     if (!reservation || reservation.job === job || job.spec.shape === "service") return NO_RESOURCES;
-    if (reservation.until <= this.#ctx.now || reservation.job.pending === 0) return NO_RESOURCES;
-    return add(NO_RESOURCES, reservation.job.spec.need, reservation.job.pending);
+    if (reservation.until <= this.#ctx.now || reservation.job.pendingCount === 0) return NO_RESOURCES;
+    return add(NO_RESOURCES, reservation.job.spec.need, reservation.job.pendingCount);
   }
 
   #hasReservationOfOther(job: Job): boolean {
@@ -99,7 +99,7 @@
    */
   #isHeldAgainst(reservation: { readonly job: Job; readonly until: number }, job: Job): boolean {
     const { job: holder, until } = reservation;
-    if (holder === job || until <= this.#ctx.now || holder.pending === 0) return false;
+    if (holder === job || until <= this.#ctx.now || holder.pendingCount === 0) return false;
     return !hasMissedStartDeadline(this.#ctx, holder) || hasMissedStartDeadline(this.#ctx, job);
   }
 }
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -1,9 +1,9 @@
 import { RoundRobinTurns } from "../../admission/round-robin-turns.js";
 import type { AgentManager } from "../agents/agent-manager.js";
 import type { Context, TimeBudget } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import { add, NO_RESOURCES } from "../model/resources.js";
@@ -160,7 +160,7 @@
 
   /** Does the job have pending tasks that may be placed now? */
   #isEligible(job: Job): boolean {
-    if (job.pending === 0 || job.isFinalRecordQueued) return false;
+    if (job.pendingCount === 0 || job.isFinalRecordQueued) return false;
     // Its tasks may be running: what can't be read may still hold them (I3).
     if (job.hasUnreadableRecord) {
       recordPendingReason(this.#ctx, job, PENDING_REASONS.recordUnreadable);
@@ -184,7 +184,7 @@
 
   #serve(entry: QueuedJob): void {
     const { job } = entry;
-    if (job.state !== "active" || job.pending === 0) return;
+    if (job.state !== "active" || job.pendingCount === 0) return;
     job.pendingReason = null;
     if (job.spec.shape === "gang") this.#serveGang(entry);
     else this.#serveTasks(entry);
@@ -195,7 +195,7 @@
     const { job } = entry;
     // An array that goes first only as it is starving gets a part of its tasks placed, so as not to block others.
     const isPartial = job.spec.shape === "array" && isStarving(this.#ctx, job);
-    const wanted = isPartial ? Math.ceil(job.pending / STARVING_ARRAY_PARTS) : job.pending;
+    const wanted = isPartial ? Math.ceil(job.pendingCount / STARVING_ARRAY_PARTS) : job.pendingCount;
     const allowed = Math.min(wanted, this.tasksWithinQuota(job));
     if (allowed === 0) {
       recordPendingReason(this.#ctx, job, PENDING_REASONS.quotaLimit);
@@ -212,7 +212,7 @@
       recordPendingReason(this.#ctx, job, PENDING_REASONS.previousAttemptActive);
       return;
     }
-    if (Math.min(job.pending, this.tasksWithinQuota(job)) < job.spec.tasks) {
+    if (Math.min(job.pendingCount, this.tasksWithinQuota(job)) < job.spec.tasks) {
       recordPendingReason(this.#ctx, job, PENDING_REASONS.quotaLimit);
       // Else smaller jobs would take each bit of the team's quota that is freed, for ever.
       if (isStarving(this.#ctx, job)) this.#reservations.reserveQuota(job);
--- a/src/core/scheduling/task-placer.ts
+++ b/src/core/scheduling/task-placer.ts
@@ -1,13 +1,13 @@
 import type { RoundRobinTurns } from "../../admission/round-robin-turns.js";
+import { recordImageFetch } from "../agents/image-caches.js";
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import { attemptNumber, isValidCounter } from "../model/attempt-number.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 import type { Placement } from "../model/placement.js";
 import type { RecordWriter } from "../store/record-writer.js";
-import { recordImageFetch } from "./image-caches.js";
 import { isStarving } from "./queue-order.js";
 
 /** For how long a job that was starving when a task of it was placed is protected from preemption. */
--- a/src/core/scheduling/task-scheduling.ts
+++ b/src/core/scheduling/task-scheduling.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
-import { times } from "../model/resources.js";
+import { countFitting } from "../model/resources.js";
 import { anyMachine, type FeasibleMachines, type MachineFilter } from "./feasible-machines.js";
 import type { MachineScoring } from "./machine-scoring.js";
 import type { NegativeFitCache } from "./negative-fit-cache.js";
@@ -91,7 +91,7 @@
 /** How many of `count` tasks go onto this machine. */
 function slotsOn(machine: Machine, job: Job, count: number): number {
   const { need, tasks, spread, shape, image } = job.spec;
-  let slots = Math.min(count, times(need, machine.freeCapacity()));
+  let slots = Math.min(count, countFitting(need, machine.freeCapacity()));
   if (spread) slots = Math.min(slots, maxTasksPerZone(job.spec) - job.countInZone(machine.zone));
   if (shape === "service" && !machine.images.has(image)) {
     // Several machines fetch the image at the same time, so that not all replicas depend on the fetch of one.
--- a/src/core/store/feature-gate.ts
+++ b/src/core/store/feature-gate.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { ConfigWatch } from "./config-watch.js";
 import { KEYS, PROTOCOL } from "./records.js";
 
@@ -74,7 +74,7 @@
         this.#isWriting = false;
         if (response.kind === "conflict") this.#config.reread();
         if (response.kind !== "ok") return;
-        this.#ctx.log("info", "records are written in the layouts of this version", {
+        this.#ctx.log("info", "record layout upgraded", {
           layout: PROTOCOL,
           reason,
         });
--- a/src/core/store/job-watch.ts
+++ b/src/core/store/job-watch.ts
@@ -1,5 +1,4 @@
 import type { Context } from "../context.js";
-import type { Election } from "../election/election.js";
 import type { StoreEntry, StoreResponse } from "../messages/store.js";
 import { RecordReader, type RecordSource, type StoredRecords } from "./record-reader.js";
 import { KEYS } from "./records.js";
@@ -21,7 +20,7 @@
    */
   cancellationsKnownThrough: number | null = null;
   readonly #ctx: Context;
-  readonly #election: Election;
+  readonly #watchWaitMs: () => number;
   readonly #onJobEntry: (entry: StoreEntry) => void;
   readonly #reader: RecordReader;
   #revision = 0;
@@ -33,12 +32,13 @@
 
   constructor(
     ctx: Context,
-    election: Election,
+    /** How long a watch may wait for a change. */
+    watchWaitMs: () => number,
     /** Called with each job key that was written, and after a compaction with all of them; versions may repeat. */
     onJobEntry: (entry: StoreEntry) => void,
   ) {
     this.#ctx = ctx;
-    this.#election = election;
+    this.#watchWaitMs = watchWaitMs;
     this.#onJobEntry = onJobEntry;
     this.#reader = new RecordReader(ctx);
   }
@@ -81,7 +81,7 @@
 
   #watch(): void {
     this.#isWatching = true;
-    const waitMs = Math.floor(this.#election.watchWaitMs);
+    const waitMs = Math.floor(this.#watchWaitMs());
     const request = { kind: "watch", prefix: KEYS.jobsPrefix, after: this.#revision, waitMs } as const;
     const requestedAt = this.#ctx.now;
     this.#ctx.callStore(request, waitMs + WATCH_GRACE_MS, (response) => {
--- a/src/core/store/machine-records.ts
+++ b/src/core/store/machine-records.ts
@@ -1,7 +1,7 @@
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Machine } from "../model/machine.js";
+import { encodedBytes } from "../model/store-limits.js";
 import type { BucketRecord } from "./records.js";
-import { encodedBytes } from "./store-limits.js";
 
 /** The most machines in one record. */
 const MAX_MACHINES_PER_RECORD = 48;
--- a/src/core/store/machine-types-record.ts
+++ b/src/core/store/machine-types-record.ts
@@ -1,9 +1,9 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { MachineType } from "../model/deployment.js";
+import type { LeaderLease } from "../model/leader-lease.js";
+import { encodedBytes } from "../model/store-limits.js";
 import type { ConfigWatch } from "./config-watch.js";
 import { KEYS } from "./records.js";
-import { encodedBytes } from "./store-limits.js";
 
 const TRANSACTION_TIMEOUT_MS = 3000;
 
--- a/src/core/store/pending-writes.ts
+++ b/src/core/store/pending-writes.ts
@@ -1,9 +1,9 @@
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
+import type { EffectiveStoreLimits } from "../model/store-limits.js";
 import { chunkTasks } from "./chunk-layout.js";
 import { DirtyChunks } from "./dirty-chunks.js";
 import { MachineRecords } from "./machine-records.js";
-import type { EffectiveStoreLimits } from "./store-limits.js";
 import type { Batch, MigrationWrite } from "./write-batch.js";
 
 /** Everything a leader has yet to write, by kind of record. Building a batch takes from it; a failed one is requeued. */
--- a/src/core/store/record-writer.ts
+++ b/src/core/store/record-writer.ts
@@ -1,8 +1,8 @@
 import type { Context } from "../context.js";
-import type { LeaderLease } from "../election/leader-lease.js";
 import type { StoreResponse } from "../messages/store.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
+import type { LeaderLease } from "../model/leader-lease.js";
 import type { Placement } from "../model/placement.js";
 import { BatchBuilder } from "./batch-builder.js";
 import type { MachineRecords } from "./machine-records.js";
@@ -197,7 +197,7 @@
     const keys = [...batch.chunks.map(({ key }) => key), ...batch.finalJobs.map(({ uid }) => KEYS.job(uid))];
     for (const key of keys) this.#quarantinedKeys.add(key);
     if (batch.migration && this.#pending.migration === batch.migration) this.#pending.migration = null;
-    this.#ctx.log("error", "a record can't be written", { keys, reason });
+    this.#ctx.log("error", "record rejected by the store", { keys, reason });
   }
 
   /** Stays busy until the versions that failed have been read again. */
--- a/src/core/store/records.ts
+++ b/src/core/store/records.ts
@@ -1,8 +1,8 @@
 import * as v from "valibot";
 import type { MachineType } from "../model/deployment.js";
 import type { JobSpec } from "../model/job-spec.js";
+import { encodedBytes } from "../model/store-limits.js";
 import { chunkKey, type TaskRange } from "./chunk-layout.js";
-import { encodedBytes } from "./store-limits.js";
 
 /**
  * The keys of all durable records. Values hold names, never interned indices: they outlive every process.
--- a/src/protocol/agents.ts
+++ b/src/protocol/agents.ts
@@ -101,7 +101,7 @@
 /** The wire form of commands to an agent. */
 export function encodeAgentCommands(commands: readonly AgentCommand[], names: NameRegistry): unknown[] {
   return commands.map((command) => {
-    const piece = `${names.jobs.name(command.job)}/${command.task}`;
+    const piece = `${names.jobs.nameOf(command.job)}/${command.task}`;
     const base = { verb: COMMAND_VERBS[command.kind], piece, try: command.attempt };
     return command.kind === "stop" ? { ...base, windup_s: command.graceS } : base;
   });
--- a/src/shell/effect-runner.ts
+++ b/src/shell/effect-runner.ts
@@ -58,7 +58,7 @@
       this.#run(effect);
     } catch (error) {
       const stack = error instanceof Error ? error.stack : String(error);
-      this.#targets.log.error({ effect: effect.kind, error: stack }, "fault in an effect");
+      this.#targets.log.error({ effect: effect.kind, error: stack }, "effect failed");
     }
   }
 
--- a/src/shell/serve.ts
+++ b/src/shell/serve.ts
@@ -42,9 +42,9 @@
 }
 
 function logStartProblems(log: Log, settings: Settings, { cacheProblem }: ServeOptions): void {
-  if (cacheProblem !== null) log.info({ why: cacheProblem }, "started without the code cache");
+  if (cacheProblem !== null) log.info({ reason: cacheProblem }, "started without the code cache");
   const problem = openFilesProblem(settings.maxConnections);
-  if (problem !== null) log.error({ problem }, "too few open files");
+  if (problem !== null) log.error({ reason: problem }, "too few open files");
 }
 
 /** A new identity for each process: a node that restarts is not taken for its previous process. */
--- a/src/standby/standby.ts
+++ b/src/standby/standby.ts
@@ -96,7 +96,7 @@
     feed.stop();
     this.#cache.clear();
     this.#state = { kind: "tooLarge", until: this.#ctx.now + TOO_LARGE_RETRY_MS, bytes };
-    this.#ctx.log("info", "the records are too many for a warm standby", {
+    this.#ctx.log("info", "standby cache dropped", {
       cache_bytes: bytes,
       max_bytes: this.#maxBytes,
     });
--- a/src/standby/warm-start.ts
+++ b/src/standby/warm-start.ts
@@ -62,7 +62,7 @@
           requestedAt: askedAt,
         });
       } else {
-        this.#ctx.log("info", "the standby's records are not used", { reason: refusal });
+        this.#ctx.log("info", "standby cache not used", { reason: refusal });
         this.#events.refused(refusal);
         this.#cold.load(onLoaded);
       }
--- a/test/command-planner.test.ts
+++ b/test/command-planner.test.ts
@@ -64,7 +64,7 @@
 
   assert.ok(
     reply?.kind === "commands" &&
-      reply.commands.every((command) => harness.controller.names.jobs.name(command.job) !== "j-1"),
+      reply.commands.every((command) => harness.controller.names.jobs.nameOf(command.job) !== "j-1"),
   );
 
   harness.advance(500);
--- a/test/controller.test.ts
+++ b/test/controller.test.ts
@@ -15,7 +15,7 @@
   );
   harness.handle({ kind: "tick" });
 
-  assert.deepEqual(harness.errorLines, ["fault in the core"]);
+  assert.deepEqual(harness.errorLines, ["command failed"]);
   assert.equal(harness.userResponse(801)?.kind, "status");
   assert.equal(harness.controller.leaderName === null || harness.controller.election.lease === null, true);
 
--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -139,7 +139,7 @@
 
   assert.ok(leaderTerm && first && second);
   assert.equal(phaseOf(harness.poll("j-2")), "queued");
-  assert.equal(second.pending, 0);
+  assert.equal(second.pendingCount, 0);
   assert.deepEqual(leaderTerm.scheduler.blocked, []);
   assert.equal(harness.cloudCalls.filter(({ kind }) => kind === "create").length, 0);
   assert.ok(findGuaranteedJobs(harness.controller.ctx.deployment.teams, [first]).has(first));
@@ -160,11 +160,11 @@
   // 200 s after its acceptance its time in the queue only begins.
   reportDone(harness, runningTask);
   harness.advance(1000);
-  assert.equal(second.pending, 6);
+  assert.equal(second.pendingCount, 6);
   assert.ok(harness.controller.ctx.wallMs - second.queuedSince < 2000);
   assert.ok(harness.cloudCalls.some(({ kind }) => kind === "create"));
   assert.ok(
-    !harness.logLines.includes("job still waits"),
+    !harness.logLines.includes("job pending for long"),
     "the wait for dependencies does not count as queue time",
   );
 });
--- a/test/interner.test.ts
+++ b/test/interner.test.ts
@@ -14,12 +14,12 @@
   assert.notEqual(names.intern("b"), indexOfA);
 
   names.beginBatch();
-  assert.equal(names.name(indexOfA), "a");
+  assert.equal(names.nameOf(indexOfA), "a");
   assert.notEqual(names.intern("c"), indexOfA);
 
   names.beginBatch();
   assert.equal(names.intern("d"), indexOfA);
-  assert.equal(names.name(indexOfA), "d");
+  assert.equal(names.nameOf(indexOfA), "d");
 });
 
 // Guarded against: a heartbeat brings a name that nothing else uses, and in the same batch, before the heartbeat is
@@ -35,7 +35,7 @@
   names.beginBatch();
   names.beginBatch();
 
-  assert.equal(names.name(indexOfA), "a");
+  assert.equal(names.nameOf(indexOfA), "a");
   assert.equal(names.intern("a"), indexOfA);
 
   // A name that no command brings again is reclaimed like any other.
@@ -45,5 +45,5 @@
   names.beginBatch();
   names.beginBatch();
 
-  assert.throws(() => names.name(indexOfA), RangeError);
+  assert.throws(() => names.nameOf(indexOfA), RangeError);
 });
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -13,7 +13,7 @@
   const records = new MachineRecords(cluster, () => valueBytes);
   const machineFields = { address: "10.1.0.232:9000", type: "small", zone: "a", spot: false };
   const machines = Array.from({ length: 48 }, (_, i) =>
-    cluster.machine(`i-${String(i).padStart(6, "0")}`, machineFields, 0),
+    cluster.ensureMachine(`i-${String(i).padStart(6, "0")}`, machineFields, 0),
   );
   records.restore(0, machines, 5);
 
@@ -48,7 +48,7 @@
   for (let i = 0; i < 30; i++) {
     const name = `i-${i}${"x".repeat((i * 37) % 290)}`;
     const machineFields = { address: "10.1.0.232:9000", type: "small", zone: "a", spot: false };
-    const machine = cluster.machine(name, machineFields, 0);
+    const machine = cluster.ensureMachine(name, machineFields, 0);
     machine.phase = "up";
   }
   for (const machine of cluster.machines.values()) records.dirtyBucketsFor(machine);
--- a/test/model/agent-network.ts
+++ b/test/model/agent-network.ts
@@ -101,7 +101,9 @@
   sendCommands(node: ControllerNode, epoch: number, effect: SendAgentCommands): void {
     const simulation = this.#simulation;
     this.#noteJobsOf(node, effect.commands);
-    const machine = node.core ? this.#machines.get(node.core.names.machines.name(effect.machine)) : undefined;
+    const machine = node.core
+      ? this.#machines.get(node.core.names.machines.nameOf(effect.machine))
+      : undefined;
     const fail = () => this.#answerCommands(node, epoch, effect.id, COMMAND_TIMEOUT_MS, null);
     if (!machine?.alive || simulation.now < machine.inboundPartitionedUntil) {
       fail();
@@ -131,7 +133,7 @@
 
   #noteJobsOf(node: ControllerNode, commands: readonly AgentCommand[]): void {
     for (const command of commands)
-      this.#jobOfCommand.set(command, node.core?.names.jobs.name(command.job) ?? "?");
+      this.#jobOfCommand.set(command, node.core?.names.jobs.nameOf(command.job) ?? "?");
   }
 
   #tryNextController(machine: SimulatedMachine): void {
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -95,7 +95,11 @@
   sendHeartbeatsFor(harness, tasksByMachine, {}, 15);
   tasksByMachine.set(
     "A",
-    liveTasks(tasksByMachine, "A", "j-0").map((status) => ({ ...status, state: "ended", exitReason: "done" })),
+    liveTasks(tasksByMachine, "A", "j-0").map((status) => ({
+      ...status,
+      state: "ended",
+      exitReason: "done",
+    })),
   );
   harness.submit(jobSpec("j-2", { ...IDLE_JOB, jobClass: "counted", tasks: 4, saveS: 2 }));
   sendHeartbeatsFor(harness, tasksByMachine, {}, 2);
--- a/test/quarantined-keys.test.ts
+++ b/test/quarantined-keys.test.ts
@@ -21,8 +21,7 @@
 
   assert.ok(newLeader.controller.leaderTerm?.agents.areRecordsLoaded);
   assert.ok(
-    newLeader.errorLines.length >= 3 &&
-      newLeader.errorLines.every((text) => text === "a record can't be read"),
+    newLeader.errorLines.length >= 3 && newLeader.errorLines.every((text) => text === "unreadable record"),
   );
 
   newLeader.sendHeartbeat("B", [], { zone: "b" });
--- a/test/reachability.test.ts
+++ b/test/reachability.test.ts
@@ -67,8 +67,11 @@
       harness.timeOutCommands();
     }
     assert.notEqual(
-      harness.controller.leaderTerm?.cluster.machine("A", { address: "", type: "", zone: "", spot: false }, 0)
-        .unreachableSince,
+      harness.controller.leaderTerm?.cluster.ensureMachine(
+        "A",
+        { address: "", type: "", zone: "", spot: false },
+        0,
+      ).unreachableSince,
       null,
     );
 
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -75,7 +75,11 @@
   sendHeartbeatsFor(harness, tasksByMachine, machineFields, 2);
   tasksByMachine.set(
     "G",
-    liveTasks(tasksByMachine, "G", "j-1").map((status) => ({ ...status, state: "ended", exitReason: "done" })),
+    liveTasks(tasksByMachine, "G", "j-1").map((status) => ({
+      ...status,
+      state: "ended",
+      exitReason: "done",
+    })),
   );
   sendHeartbeatsFor(harness, tasksByMachine, machineFields, 3);
 
--- a/test/round-robin-turns.test.ts
+++ b/test/round-robin-turns.test.ts
@@ -91,7 +91,7 @@
   const playUntilStarted = (leader: ControllerHarness, seconds: number) => {
     for (let second = 0; second < seconds && startedTasks() === 0; second++) {
       const jobs = [...(leader.controller.leaderTerm?.cluster.jobs.values() ?? [])];
-      for (let missing = 12 - jobs.filter((job) => job.pending > 0).length; missing > 0; missing--)
+      for (let missing = 12 - jobs.filter((job) => job.pendingCount > 0).length; missing > 0; missing--)
         leader.submit(jobSpec(`j-${uid++}`, { tasks: 1, estimateS: 1, team: "red" }));
       sendHeartbeatsFor(leader, tasksByMachine, {}, 1);
       const endedStatuses = (tasksByMachine.get("A") ?? []).map((status) =>
--- a/test/runtime-estimates.test.ts
+++ b/test/runtime-estimates.test.ts
@@ -2,7 +2,7 @@
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { RuntimeEstimates } from "../src/core/scheduling/runtime-estimates.js";
+import { RuntimeEstimates } from "../src/core/model/runtime-estimates.js";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
 
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -198,7 +198,7 @@
     assert.equal(follower.controller.failover.takeover.coldReason, why);
     assert.ok(RECORDS.every((prefix) => follower.listedPrefixes.includes(prefix)));
     assert.equal(follower.controller.leaderTerm?.cluster.jobByUid("j-9")?.placements.size, 1);
-    assert.ok(follower.logLines.includes("the standby's records are not used"));
+    assert.ok(follower.logLines.includes("standby cache not used"));
   });
 }
 
@@ -291,7 +291,7 @@
   failOverTo(follower);
 
   assert.equal(follower.controller.failover.takeover.source, "warm");
-  assert.ok(follower.errorLines.includes("a record can't be read"));
+  assert.ok(follower.errorLines.includes("unreadable record"));
   assert.ok(follower.store.entries.has("m/7"));
 });
 
--- a/test/store-limits.test.ts
+++ b/test/store-limits.test.ts
@@ -134,7 +134,7 @@
   assert.deepEqual(harness.startCommands("j-1"), [], "nothing is started before its placement is stored");
   assert.equal(harness.controller.election.hasValidLease, true);
   assert.ok(refused.length < 10, `${refused.length} refused`);
-  assert.ok(harness.errorLines.includes("a record can't be written"));
+  assert.ok(harness.errorLines.includes("record rejected by the store"));
 });
 
 test("a 429 of the store lowers the write rate and is not retried at once", () => {
--- a/test/support/controller-harness.ts
+++ b/test/support/controller-harness.ts
@@ -278,8 +278,8 @@
   #noteSentCommands(effect: SendAgentCommands): void {
     const { machines, jobs } = this.controller.names;
     const { id, fencingToken, incarnation } = effect;
-    const machine = machines.name(effect.machine);
-    const commands = effect.commands.map((command) => ({ ...command, uid: jobs.name(command.job) }));
+    const machine = machines.nameOf(effect.machine);
+    const commands = effect.commands.map((command) => ({ ...command, uid: jobs.nameOf(command.job) }));
     this.sentCommands.push({ machine, fencingToken, incarnation, commands });
     this.unansweredCommands.push({ id, machine });
   }
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -86,7 +86,7 @@
   assert.ok(reply?.kind === "commands");
 
   const stops = reply.commands.filter(
-    ({ kind, job }) => kind === "stop" && harness.controller.names.jobs.name(job) === "j-000003",
+    ({ kind, job }) => kind === "stop" && harness.controller.names.jobs.nameOf(job) === "j-000003",
   );
   assert.equal(stops.length, 1, "the cancellation that production confirmed is carried out");
 
