--- a/test/admission-world.test.ts
+++ b/test/admission-world.test.ts
@@ -57,23 +57,23 @@
 }
 
 const CIRCUMSTANCES: Record<string, Circumstances> = {
-  "with no other trouble": {},
-  "while the leader ends": {
+  "with no other fault": {},
+  "while the leader crashes": {
     meanwhile: (cluster, second) => {
       if (second === 40 || second === 60) cluster.controllers.crash(Math.max(0, leaderOf(cluster)), 5000);
     },
   },
-  "while a node is cut off from its peers": {
+  "while a node is partitioned from its peers": {
     meanwhile: (cluster, second) => {
       const node = cluster.nodes[(leaderOf(cluster) + 1) % cluster.nodes.length];
       if (second === 40 && node) node.peersPartitionedUntil = cluster.now + 15_000;
     },
   },
-  "while nodes are upgraded one after the other": { trouble: { ...NO_TROUBLE, upgrade: true } },
+  "during a rolling upgrade": { trouble: { ...NO_TROUBLE, upgrade: true } },
 };
 
 for (const [what, circumstances] of Object.entries(CIRCUMSTANCES)) {
-  test(`a tenfold burst by one team ${what}: the other's jobs are taken and begin in time, and no rule is broken`, () => {
+  test(`a tenfold burst by one team ${what}: the other team's jobs are accepted and start in time, and no rule is broken`, () => {
     for (let seed = 1; seed <= 2; seed++) {
       const { cluster, others } = playBurst(seed, circumstances);
       assert.deepEqual(cluster.violations, [], `seed ${seed}`);
@@ -90,7 +90,7 @@
         ({ team, retryAfterS }) => team === "blue" && retryAfterS !== null,
       );
       const late = delayed.filter(({ retryAfterS }) => (retryAfterS ?? 0) > MAX_RETRY_AFTER_S);
-      if (what === "with no other trouble") assert.deepEqual(late, [], `seed ${seed}`);
+      if (what === "with no other fault") assert.deepEqual(late, [], `seed ${seed}`);
       assert.ok(
         cluster.users.rejected.some(({ team }) => team === "red"),
         "the flood is throttled",
--- a/test/fleet-size.test.ts
+++ b/test/fleet-size.test.ts
@@ -55,7 +55,7 @@
   return [...machines].filter(({ name, fencedAt }) => fencedAt === null && isUp(name)).length;
 }
 
-test(`${MACHINES} machines with ${TASKS} tasks: cold start, failover, restart of all, a zone cut off`, () => {
+test(`${MACHINES} machines with ${TASKS} tasks: cold start, failover, restart of all controllers, a zone partition`, () => {
   const cluster = new ModelCluster({ seed: 1, scale: SCALE });
   cluster.store.pageSize = 500;
   cluster.run(5000);
--- a/test/model/days.ts
+++ b/test/model/days.ts
@@ -171,15 +171,15 @@
 
 /** The days that the tests play, by what goes wrong on them. */
 export const TROUBLES: Record<string, Trouble> = {
-  quiet: NO_TROUBLE,
+  "no faults": NO_TROUBLE,
   "crashing controllers": { ...NO_TROUBLE, crash: 0.08 },
-  "controllers back at once": { ...NO_TROUBLE, quickRestart: 0.08 },
-  "cuts and outages": { ...NO_TROUBLE, partition: 0.08, outage: 0.02 },
-  "lonely controllers": { ...NO_TROUBLE, isolation: 0.06, quickRestart: 0.02 },
+  "controllers that restart at once": { ...NO_TROUBLE, quickRestart: 0.08 },
+  "partitions and store outages": { ...NO_TROUBLE, partition: 0.08, outage: 0.02 },
+  "isolated controllers": { ...NO_TROUBLE, isolation: 0.06, quickRestart: 0.02 },
   "failing machines": { ...NO_TROUBLE, hang: 0.08, reclaim: 0.05, taskError: 0.001 },
-  "workers that hear nothing": { ...NO_TROUBLE, oneWayPartition: 0.06 },
-  "late copies of reports": { ...NO_TROUBLE, lateDuplicates: 0.1, crash: 0.03, reclaim: 0.05 },
-  "the older ones together": {
+  "one-way partitions of agents": { ...NO_TROUBLE, oneWayPartition: 0.06 },
+  "late duplicates of heartbeats": { ...NO_TROUBLE, lateDuplicates: 0.1, crash: 0.03, reclaim: 0.05 },
+  "crashes, partitions, outages and failing machines": {
     ...NO_TROUBLE,
     crash: 0.05,
     partition: 0.05,
@@ -188,18 +188,18 @@
     reclaim: 0.03,
     taskError: 0.0005,
   },
-  "controllers that stand still": { ...NO_TROUBLE, freeze: 0.05, crash: 0.02 },
-  "many machines together": { ...NO_TROUBLE, massFailure: 0.04 },
-  "down, ended and rolled": { ...NO_TROUBLE, rollingRestart: 0.015, hang: 0.02 },
-  "two troubles that meet": { ...NO_TROUBLE, compoundFault: 0.04 },
-  "meetings, and cancellations at the end": {
+  "paused controllers": { ...NO_TROUBLE, freeze: 0.05, crash: 0.02 },
+  "mass failures of machines": { ...NO_TROUBLE, massFailure: 0.04 },
+  "store outages and rolling restarts": { ...NO_TROUBLE, rollingRestart: 0.015, hang: 0.02 },
+  "compound faults": { ...NO_TROUBLE, compoundFault: 0.04 },
+  "compound faults, cancellations at completion": {
     ...NO_TROUBLE,
     compoundFault: 0.03,
     cancelAtCompletion: 0.5,
     crash: 0.02,
   },
-  "an upgrade": { ...NO_TROUBLE, upgrade: true },
-  "an upgrade among troubles": {
+  "a rolling upgrade": { ...NO_TROUBLE, upgrade: true },
+  "a rolling upgrade among faults": {
     ...NO_TROUBLE,
     upgrade: true,
     crash: 0.03,
@@ -208,7 +208,7 @@
     compoundFault: 0.02,
     cancelAtCompletion: 0.3,
   },
-  everything: {
+  "all faults": {
     crash: 0.03,
     partition: 0.03,
     outage: 0.01,
@@ -227,3 +227,10 @@
     upgrade: true,
   },
 };
+
+/** The faults of the day with this name; a name that no day has is a mistake of the test. */
+export function troubleNamed(name: string): Trouble {
+  const trouble = TROUBLES[name];
+  if (!trouble) throw new RangeError(`there is no day named ${name}`);
+  return trouble;
+}
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { play, TROUBLES } from "./model/days.js";
+import { play, TROUBLES, troubleNamed } from "./model/days.js";
 import type { ModelCluster } from "./model/model-cluster.js";
 
 /** A start sent before the cancellation may begin when its image is there; with a hanging agent, later still. */
 const MAX_LATE_START_MS = 12_000;
 
 /** Troubles that only a large fleet shows in full: played with some three hundred machines. */
-const LARGE = new Set(["many machines together", "down, ended and rolled", "everything"]);
+const LARGE = new Set(["mass failures of machines", "store outages and rolling restarts", "all faults"]);
 const LARGE_SCALE = 20;
 
 /** The rules, and the users' checks at the end of a day. */
@@ -53,11 +53,11 @@
 /** The days on which leaders change most, played again with a standby. */
 const WITH_STANDBY = [
   "crashing controllers",
-  "lonely controllers",
-  "controllers that stand still",
-  "two troubles that meet",
-  "an upgrade among troubles",
-  "everything",
+  "isolated controllers",
+  "paused controllers",
+  "compound faults",
+  "a rolling upgrade among faults",
+  "all faults",
 ];
 
 for (const name of WITH_STANDBY) {
@@ -66,7 +66,7 @@
     const first = Number(process.env.WORLD_FIRST ?? 1);
     const takeovers: string[] = [];
     for (let seed = first; seed < first + seeds; seed++) {
-      const cluster = play({ seed, trouble: TROUBLES[name], standby: true });
+      const cluster = play({ seed, trouble: troubleNamed(name), standby: true });
       takeovers.push(...cluster.log.takeoverSources);
       check(cluster, seed);
     }
@@ -78,9 +78,9 @@
 /** Days on which leaders and versions change, played again with submissions admitted by shares. */
 const WITH_ADMISSION = [
   "crashing controllers",
-  "cuts and outages",
-  "an upgrade among troubles",
-  "everything",
+  "partitions and store outages",
+  "a rolling upgrade among faults",
+  "all faults",
 ];
 
 for (const name of WITH_ADMISSION) {
@@ -88,6 +88,6 @@
     const seeds = Number(process.env.WORLD_SEEDS ?? 2);
     const first = Number(process.env.WORLD_FIRST ?? 1);
     for (let seed = first; seed < first + seeds; seed++)
-      check(play({ seed, trouble: TROUBLES[name], admission: true }), seed);
+      check(play({ seed, trouble: troubleNamed(name), admission: true }), seed);
   });
 }
--- a/test/standby-world.test.ts
+++ b/test/standby-world.test.ts
@@ -55,7 +55,7 @@
   );
 }
 
-test("the standby dies at any step of its takeover: the third node leads, and no task runs twice", () => {
+test("the standby crashes at any step of its failover: the third node leads, and no task runs twice", () => {
   for (const afterMs of [0, 20, 50, 100, 150, 200, 300, 500, 1000]) {
     const cluster = busyCluster(afterMs + 1);
     const [standby] = warmStandbys(cluster);
@@ -71,7 +71,7 @@
   }
 });
 
-test("two followers that don't hear each other both stand by; one of them leads, and no task runs twice", () => {
+test("two followers partitioned from each other are both warm standbys; one of them leads, and no task runs twice", () => {
   for (let seed = 1; seed <= 4; seed++) {
     const cluster = busyCluster(seed);
     const leader = leaderOf(cluster);
@@ -91,7 +91,7 @@
   }
 });
 
-test("a leader that stands still for 20 s wakes amid placing: the standby has led since, and nothing of the old one counts", () => {
+test("a leader paused for 20 s resumes amid placing: the standby has led since, and nothing of the previous leader takes effect", () => {
   for (let seed = 1; seed <= 6; seed++) {
     const cluster = busyCluster(seed);
     const previous = leaderOf(cluster);
--- a/test/trace-digest.test.ts
+++ b/test/trace-digest.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { readFileSync, writeFileSync } from "node:fs";
 import { test } from "node:test";
-import { play, TROUBLES } from "./model/days.js";
+import { play, TROUBLES, troubleNamed } from "./model/days.js";
 import type { ModelCluster } from "./model/model-cluster.js";
 import { TraceDigest } from "./support/trace-digest.js";
 
@@ -22,11 +22,11 @@
 
 const DAYS: readonly Day[] = [
   ...Object.keys(TROUBLES).map((trouble) => ({ trouble })),
-  ...["many machines together", "down, ended and rolled", "everything"].map((trouble) => ({
+  ...["mass failures of machines", "store outages and rolling restarts", "all faults"].map((trouble) => ({
     trouble,
     scale: LARGE_SCALE,
   })),
-  ...["crashing controllers", "two troubles that meet", "an upgrade among troubles", "everything"].flatMap(
+  ...["crashing controllers", "compound faults", "a rolling upgrade among faults", "all faults"].flatMap(
     (trouble) => [
       { trouble, standby: true },
       { trouble, admission: true },
@@ -50,7 +50,7 @@
   const cluster = play({
     ...options,
     seed: SEED,
-    trouble: TROUBLES[trouble],
+    trouble: troubleNamed(trouble),
     observer: (core, node, now, effect) => trace.observe(core, node, now, effect),
   });
   for (const { core } of cluster.nodes) if (core) trace.observeStatus(core, cluster.now);
@@ -62,7 +62,7 @@
 
 for (const day of DAYS) {
   const name = nameOf(day);
-  test(`the trace of a day is as recorded: ${name}`, () => {
+  test(`a day sends the recorded bytes: ${name}`, () => {
     const { digest, effects, cluster } = digestOf(day);
     assert.deepEqual(cluster.violations, []);
     assert.ok(effects > 1000, `${effects} effects`);
