--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -216,7 +216,7 @@
         this.#tick(budget);
         break;
       case "submit":
-        this.jobs.submit(command.uid, command.spec, this.#respondToUser(command.requestId));
+        this.jobs.submit(command.uid, command.submitted, this.#respondToUser(command.requestId));
         break;
       case "poll":
         this.jobs.poll(command.uid, this.#respondToUser(command.requestId));
--- a/src/core/jobs/job-requests.ts
+++ b/src/core/jobs/job-requests.ts
@@ -1,7 +1,7 @@
 import type { Admission } from "../../admission/admission.js";
 import type { Context } from "../context.js";
 import type { StoreEntry } from "../messages/store.js";
-import type { JobSpec } from "../model/job-spec.js";
+import type { SubmittedSpec } from "../messages/users.js";
 import type { ConfigWatch } from "../store/config-watch.js";
 import { CancellationHandler } from "./cancellation.js";
 import { JobLookup } from "./job-lookup.js";
@@ -59,11 +59,10 @@
   }
 
   /**
-   * Submits a job; a repeated submission gets the job's present status. `spec` is the parsed job, or the text of why it
-   * could not be parsed.
+   * Submits a job; a repeated submission gets the job's present status, even if it is malformed.
    */
-  submit(uid: string, spec: JobSpec | string, respond: Respond): void {
-    this.#submissions.submit(uid, spec, respond);
+  submit(uid: string, submitted: SubmittedSpec, respond: Respond): void {
+    this.#submissions.submit(uid, submitted, respond);
   }
 
   /** Sends the rejections gathered since the last call; to be called once a tick. */
--- a/src/core/jobs/submission.ts
+++ b/src/core/jobs/submission.ts
@@ -1,6 +1,7 @@
 import type { Admission, Decision } from "../../admission/admission.js";
 import type { Context } from "../context.js";
 import type { StoreEntry, StoreResponse } from "../messages/store.js";
+import type { SubmittedSpec } from "../messages/users.js";
 import type { JobSpec } from "../model/job-spec.js";
 import { type JobRecord, KEYS, newJobRecord } from "../store/records.js";
 import { type FoundJob, type JobLookup, statusOfEnded } from "./job-lookup.js";
@@ -60,17 +61,18 @@
     });
   }
 
-  /** Handles a submission; `spec` is the parsed job, or the text of why it could not be parsed. */
-  submit(uid: string, spec: JobSpec | string, respond: Respond): void {
+  /** Handles a submission. A malformed one of a known job gets that job's status. */
+  submit(uid: string, submitted: SubmittedSpec, respond: Respond): void {
     const cached = this.#lookup.cachedAnswer(uid);
     if (cached.kind === "ended") {
       respond({ kind: "accepted", known: true, status: statusOfEnded(uid, cached.end) });
       return;
     }
-    if (typeof spec === "string") {
-      this.#rejectUnlessKnown(uid, { kind: "invalid", error: spec }, respond);
+    if (!submitted.ok) {
+      this.#rejectUnlessKnown(uid, { kind: "invalid", error: submitted.error }, respond);
       return;
     }
+    const { spec } = submitted;
     this.#validator.validate(spec, (rejection) => {
       if (rejection === null) this.#admit(spec, respond);
       else this.#rejectUnlessKnown(uid, rejection, respond);
--- a/src/core/messages/commands.ts
+++ b/src/core/messages/commands.ts
@@ -1,9 +1,9 @@
-import type { JobSpec } from "../model/job-spec.js";
 import type { AdminRequest } from "./administration.js";
 import type { Heartbeat } from "./agents.js";
 import type { CloudResponse } from "./cloud.js";
 import type { PeerMessage } from "./peers.js";
 import type { StoreResponse } from "./store.js";
+import type { SubmittedSpec } from "./users.js";
 
 /** Everything that happens to a controller: requests, responses, messages and the passing of time. */
 export type Command =
@@ -12,7 +12,7 @@
       readonly kind: "submit";
       readonly requestId: number;
       readonly uid: string;
-      readonly spec: JobSpec | string;
+      readonly submitted: SubmittedSpec;
     }
   | { readonly kind: "poll"; readonly requestId: number; readonly uid: string }
   | { readonly kind: "cancel"; readonly requestId: number; readonly uid: string }
--- a/src/core/messages/users.ts
+++ b/src/core/messages/users.ts
@@ -1,4 +1,11 @@
-/** What users are answered. */
+import type { JobSpec } from "../model/job-spec.js";
+
+/** What users submit and are answered. */
+
+/** A submitted job as it was decoded: the job, or what is wrong with it, by the field's name. */
+export type SubmittedSpec =
+  | { readonly ok: true; readonly spec: JobSpec }
+  | { readonly ok: false; readonly error: string };
 
 /** The phase of a job as its user sees it. */
 export type JobPhase = "queued" | "running" | "done" | "cancelled";
--- a/src/core/store/records.ts
+++ b/src/core/store/records.ts
@@ -131,7 +131,7 @@
 export type BucketRecord = v.InferOutput<typeof bucketRecord>;
 /** The leader, with its process's incarnation and its fencing token at its election. */
 export type LeaderRecord = v.InferOutput<typeof leaderRecord>;
-/** The one replica migration in progress; `startedAt` is wall time in milliseconds. */
+/** The one replica migration in progress; `startedAt` is by the monotonic clock of the leader that began it. */
 export type MigrationRecord = v.InferOutput<typeof migrationRecord>;
 
 /** The value of the migration key while no migration is in progress. */
@@ -145,15 +145,25 @@
   };
 }
 
+/** Decodes the record of an unfinished job. */
 export const readJob: (value: unknown) => JobRecord | null = decoder(jobRecord);
+/** Decodes a job's final record. */
 export const readFinal = decoder(finalRecord);
+/** Decodes the record of consecutive tasks of a job. */
 export const readChunk = decoder(chunkRecord);
+/** Decodes a record of machines. */
 export const readBucket = decoder(bucketRecord);
+/** Decodes the leader record. */
 export const readLeader = decoder(leaderRecord);
+/** Decodes the epoch record, which holds the last fencing token. */
 export const readEpoch = decoder(epochRecord);
+/** Decodes the migration record. */
 export const readMigration = decoder(migrationRecord);
+/** Decodes the machine modes that operators have set. */
 export const readModes = decoder(modesRecord);
+/** Decodes the record of the feature gate. */
 export const readFeatures = decoder(featuresRecord);
+/** Decodes the machine types. */
 export const readTypes: (value: unknown) => MachineType[] | null = decoder(v.array(machineType));
 
 /** The record of a job accepted at this wall time. */
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import type { JobStatus } from "../core/messages/users.js";
+import type { JobStatus, SubmittedSpec } from "../core/messages/users.js";
 import type { JobShape, JobSpec, Priority } from "../core/model/job-spec.js";
 import { roundUpDemand } from "../core/model/resources.js";
 
@@ -49,18 +49,14 @@
   return UID.test(value);
 }
 
-/** A submitted job, or what is wrong with it. */
-type SubmittedSpec =
-  | { readonly ok: true; readonly spec: JobSpec }
-  | { readonly ok: false; readonly error: string };
-
 /**
- * A submission's uid, null if it has no well-formed one, and its job or, as a text that names the field, what is wrong
- * with it. A malformed job is handed on under its uid: the controller may know that uid already.
+ * A submission's uid, null if it has no well-formed one, and its job or what is wrong with it. A malformed job is handed on under its uid: the controller may know that uid already.
  */
-export function decodeJobSubmission(body: unknown): { uid: string | null; spec: JobSpec | string } {
-  const result = decodeSpec(body);
-  return { uid: decodeUid(body), spec: result.ok ? result.spec : result.error };
+export function decodeJobSubmission(body: unknown): {
+  uid: string | null;
+  submitted: SubmittedSpec;
+} {
+  return { uid: decodeUid(body), submitted: decodeSpec(body) };
 }
 
 /** The wire form of a job as its user sees it. */
--- a/src/shell/controller-loop.ts
+++ b/src/shell/controller-loop.ts
@@ -5,8 +5,7 @@
 import type { AdminRequest, AdminResponse } from "../core/messages/administration.js";
 import type { Command } from "../core/messages/commands.js";
 import type { PeerMessage } from "../core/messages/peers.js";
-import type { UserResponse } from "../core/messages/users.js";
-import type { JobSpec } from "../core/model/job-spec.js";
+import type { SubmittedSpec, UserResponse } from "../core/messages/users.js";
 import { decodeHeartbeat } from "../protocol/agents.js";
 import { AgentClient, CloudClient, StoreClient } from "./clients.js";
 import { CommandQueue } from "./command-queue.js";
@@ -127,9 +126,9 @@
     return this.#pending.users.size >= MAX_PENDING_USERS || this.#lagMs > OVERLOAD_LAG_MS;
   }
 
-  /** Submits a job, or the text of what is wrong with it. */
-  submit(uid: string, spec: JobSpec | string, respond: (response: UserResponse) => void): void {
-    this.#queue.push({ kind: "submit", requestId: this.#pending.users.add(respond), uid, spec });
+  /** Submits a job. */
+  submit(uid: string, submitted: SubmittedSpec, respond: (response: UserResponse) => void): void {
+    this.#queue.push({ kind: "submit", requestId: this.#pending.users.add(respond), uid, submitted });
   }
 
   /** Looks up a job. */
--- a/src/shell/request-handler.ts
+++ b/src/shell/request-handler.ts
@@ -1,6 +1,5 @@
 import type { AdminRequest, AdminResponse } from "../core/messages/administration.js";
-import type { UserResponse } from "../core/messages/users.js";
-import type { JobSpec } from "../core/model/job-spec.js";
+import type { SubmittedSpec, UserResponse } from "../core/messages/users.js";
 
 /** A page of metrics with its content type. */
 export interface MetricsPage {
@@ -14,8 +13,8 @@
   readonly ready: boolean;
   /** Whether this node is so far behind that it must shed requests. */
   readonly overloaded: boolean;
-  /** Submits a job, or the text of what is wrong with it: even then the controller says whether the uid is known. */
-  submit(uid: string, spec: JobSpec | string, respond: (response: UserResponse) => void): void;
+  /** Submits a job. Of a malformed one, too, the controller says whether its uid is known. */
+  submit(uid: string, submitted: SubmittedSpec, respond: (response: UserResponse) => void): void;
   /** Looks up a job. */
   poll(uid: string, respond: (response: UserResponse) => void): void;
   /** Cancels a job. */
--- a/src/shell/user-routes.ts
+++ b/src/shell/user-routes.ts
@@ -13,10 +13,10 @@
   const jsonBody = express.json({ limit: bodyLimit, type: () => true, strict: false });
 
   app.post("/api/jobs", shed, jsonBody, (req, res) => {
-    const { uid, spec } = decodeJobSubmission(req.body);
+    const { uid, submitted } = decodeJobSubmission(req.body);
     if (uid === null) {
-      writeUserResponse(res, { kind: "invalid", error: typeof spec === "string" ? spec : "uid: missing" });
-    } else handler.submit(uid, spec, (response) => writeUserResponse(res, response));
+      writeUserResponse(res, { kind: "invalid", error: submitted.ok ? "uid: missing" : submitted.error });
+    } else handler.submit(uid, submitted, (response) => writeUserResponse(res, response));
   });
   app.get("/api/jobs/:id", shed, (req, res) => {
     const uid = req.params.id;
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -107,7 +107,7 @@
       kind: "submit",
       requestId: 9000 + i,
       uid: `j-${7000 + i}`,
-      spec: jobSpec(`j-${7000 + i}`),
+      submitted: { ok: true, spec: jobSpec(`j-${7000 + i}`) },
     });
   harness.handle({ kind: "tick" });
 
--- a/test/model/users.ts
+++ b/test/model/users.ts
@@ -1,5 +1,5 @@
 import type { Command } from "../../src/core/messages/commands.js";
-import type { UserResponse } from "../../src/core/messages/users.js";
+import type { SubmittedSpec, UserResponse } from "../../src/core/messages/users.js";
 import type { JobSpec } from "../../src/core/model/job-spec.js";
 import type { ControllerNode, Controllers } from "./controllers.js";
 import { type ConfirmedEnd, confirmedEndOf, newJob, type SubmittedJob, type SubmittedJobs } from "./jobs.js";
@@ -93,9 +93,11 @@
     const job = this.#jobs.get(uid);
     if (!job || job.acceptedAt === null) return;
     const before = confirmedEndOf(job);
-    const spec = this.#simulation.chance(0.3) ? "shape: missing" : job.spec;
+    const submitted: SubmittedSpec = this.#simulation.chance(0.3)
+      ? { ok: false, error: "shape: missing" }
+      : { ok: true, spec: job.spec };
     this.#request(
-      (requestId) => ({ kind: "submit", requestId, uid, spec }),
+      (requestId) => ({ kind: "submit", requestId, uid, submitted }),
       (response) => {
         if (response?.kind === "accepted" && response.known)
           this.#noteStatus(job, response.status.phase, before);
@@ -108,9 +110,11 @@
   /** Submits a job that fits no machine, or one that lacks a field: neither is ever accepted. */
   submitInvalid(invalid: JobSpec): void {
     const { uid } = invalid;
-    const spec = this.#simulation.chance(0.5) ? "pieces: missing" : invalid;
+    const submitted: SubmittedSpec = this.#simulation.chance(0.5)
+      ? { ok: false, error: "pieces: missing" }
+      : { ok: true, spec: invalid };
     this.#request(
-      (requestId) => ({ kind: "submit", requestId, uid, spec }),
+      (requestId) => ({ kind: "submit", requestId, uid, submitted }),
       (response) => {
         if (response?.kind === "accepted") this.#rules.report("accepted_odd", uid);
       },
@@ -156,7 +160,7 @@
   #trySubmit(job: SubmittedJob, retries: number): void {
     const { spec } = job;
     this.#request(
-      (requestId) => ({ kind: "submit", requestId, uid: spec.uid, spec }),
+      (requestId) => ({ kind: "submit", requestId, uid: spec.uid, submitted: { ok: true, spec } }),
       (response) => {
         if (response?.kind === "accepted") {
           job.acceptedAt ??= this.#simulation.now;
--- a/test/submissions.test.ts
+++ b/test/submissions.test.ts
@@ -14,7 +14,12 @@
   harness.submit(jobSpec("j-1"));
   assert.equal(harness.submit(jobSpec("j-1", { team: "nobody" }))?.kind, "accepted");
 
-  harness.handle({ kind: "submit", requestId: 500, uid: "j-1", spec: "cpus: missing" });
+  harness.handle({
+    kind: "submit",
+    requestId: 500,
+    uid: "j-1",
+    submitted: { ok: false, error: "cpus: missing" },
+  });
   assert.equal(harness.submit(jobSpec("j-2", { team: "nobody" }))?.kind, "unsatisfiable");
   assert.equal(
     harness.submit(jobSpec("j-3", { need: { cpu: 99_000, gpu: 0, ram: 0 } }))?.kind,
@@ -97,11 +102,11 @@
     snapshot_s: 0,
     stow_s: 0,
   };
-  const parse = (awaits: unknown) => decodeJobSubmission({ ...body, awaits }).spec;
+  const parse = (awaits: unknown) => decodeJobSubmission({ ...body, awaits }).submitted;
   const dependenciesOf = (awaits: unknown) => {
-    const spec = parse(awaits);
-    assert.ok(typeof spec !== "string", String(spec));
-    return spec.awaits;
+    const submitted = parse(awaits);
+    assert.ok(submitted.ok, JSON.stringify(submitted));
+    return submitted.spec.awaits;
   };
 
   assert.equal(dependenciesOf(undefined), undefined);
@@ -110,8 +115,10 @@
   assert.deepEqual(dependenciesOf(["j-000398", "j-000405", "j-000398"]), ["j-000398", "j-000405"]);
 
   const tooMany = Array.from({ length: 101 }, (_, i) => `j-${i}`);
-  for (const invalid of ["j-1", 7, {}, ["x-1"], [null], [["j-1"]], ["j-"], tooMany])
-    assert.match(String(parse(invalid)), /^awaits/, JSON.stringify(invalid));
+  for (const invalid of ["j-1", 7, {}, ["x-1"], [null], [["j-1"]], ["j-"], tooMany]) {
+    const submitted = parse(invalid);
+    assert.match(submitted.ok ? "" : submitted.error, /^awaits/, JSON.stringify(invalid));
+  }
 });
 
 test("while a node of the previous version is heard, a job with dependencies is refused as unavailable", () => {
--- a/test/support/controller-harness.ts
+++ b/test/support/controller-harness.ts
@@ -136,7 +136,7 @@
   /** Submits a job; undefined while there is no response. */
   submit(spec: JobSpec): UserResponse | undefined {
     const requestId = this.#nextRequestId++;
-    this.handle({ kind: "submit", requestId, uid: spec.uid, spec });
+    this.handle({ kind: "submit", requestId, uid: spec.uid, submitted: { ok: true, spec } });
     // Rejections are gathered until the next tick.
     if (!this.#userResponses.has(requestId) && this.#admission) this.handle({ kind: "tick" });
     return this.#userResponses.get(requestId);
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -10,8 +10,8 @@
 } from "../src/config/operator.js";
 import { parseSettings, SettingsError } from "../src/config/settings.js";
 import type { AdminRequest } from "../src/core/messages/administration.js";
+import type { SubmittedSpec } from "../src/core/messages/users.js";
 import { NameRegistry } from "../src/core/model/interner.js";
-import type { JobSpec } from "../src/core/model/job-spec.js";
 import { decodeHeartbeat, encodeAgentCommands } from "../src/protocol/agents.js";
 import { decodeCloudResponse } from "../src/protocol/cloud.js";
 import { decodeJobSubmission } from "../src/protocol/jobs.js";
@@ -91,12 +91,12 @@
 
 test("jobs: a well-formed submission is decoded, and each error names its field", () => {
   const good = decodeJobSubmission(JOB);
-  assert.ok(typeof good.spec === "object");
-  assert.deepEqual(good.spec.need, { cpu: 1100, gpu: 0, ram: 2000 });
+  assert.ok(good.submitted.ok);
+  assert.deepEqual(good.submitted.spec.need, { cpu: 1100, gpu: 0, ram: 2000 });
 
   const { racks, due_s, yard, ...sparse } = JOB;
   assert.deepEqual([racks, due_s, yard], [null, null, null]);
-  assert.ok(typeof decodeJobSubmission(sparse).spec === "object", "a field that may be null may be missing");
+  assert.ok(decodeJobSubmission(sparse).submitted.ok, "a field that may be null may be missing");
 
   for (const [field, value] of Object.entries({
     uid: "x-1",
@@ -109,8 +109,8 @@
     racks: "g8",
     bundle: "",
   })) {
-    const { spec } = decodeJobSubmission({ ...JOB, [field]: value });
-    assert.ok(typeof spec === "string" && spec.startsWith(field), `${field}: ${JSON.stringify(spec)}`);
+    const { submitted } = decodeJobSubmission({ ...JOB, [field]: value });
+    assert.ok(!submitted.ok && submitted.error.startsWith(field), `${field}: ${JSON.stringify(submitted)}`);
   }
   for (const body of [null, 5, "j-1", [JOB], undefined]) assert.equal(decodeJobSubmission(body).uid, null);
 });
@@ -181,9 +181,9 @@
   ready = true;
   overloaded = false;
   asked: unknown[] = [];
-  submit(uid: string, spec: JobSpec | string, then: Parameters<RequestHandler["submit"]>[2]): void {
+  submit(uid: string, submitted: SubmittedSpec, then: Parameters<RequestHandler["submit"]>[2]): void {
     this.asked.push(uid);
-    if (typeof spec === "string") then({ kind: "invalid", error: spec });
+    if (!submitted.ok) then({ kind: "invalid", error: submitted.error });
     else if (uid === "j-77")
       then({ kind: "throttled", error: "its team's share is used up", retryAfterS: 12 });
     else then({ kind: "accepted", known: false, status: { uid, phase: "queued", done: 0, running: 0 } });
