--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -5,68 +5,73 @@
 import { type AdmissionPolicy, policyOf, type TeamPolicy } from "./policy.js";
 import { RetryReservations } from "./retry-reservations.js";
 
-/** The Retry-After where capacity comes only when other jobs end: nothing can be reserved. */
-const RETRY_AFTER_FULL_S = 10;
-/** The sending times of this many reports are kept, for the leases that answer them. */
+/** Retry-After if capacity becomes free only when other jobs end, so that no reservation can be made. */
+const RETRY_AFTER_WITHOUT_RATE_S = 10;
+/**
+ * Number of reports whose sending times are kept. The TTL of a lease counts from when the report it answers was sent.
+ */
 const REPORTS_KEPT = 8;
-/** A leader heard within this time, but without an admission message, has it switched off or is of an older version. */
-const LEADER_FRESH_MS = 3500;
-/** Peak demand decays by this factor with each heartbeat, as submissions come in bursts. */
+/**
+ * A leader whose last heartbeat is at most this old and had no admission message has admission disabled or runs the
+ * previous version.
+ */
+const MAX_LEADER_HEARTBEAT_AGE_MS = 3500;
+/** Peak demand decays by this factor per heartbeat rather than resetting, because submissions arrive in bursts. */
 const DEMAND_DECAY = 0.8;
 
-/** Whether a submission is admitted. */
+/** The result of an admission check. */
 export type Decision =
-  /** Admitted. `permitSpent` is false where no permit of this node was needed. */
-  | { readonly kind: "take"; readonly permitSpent: boolean }
-  /** Rejected for now: to be repeated after so many seconds. */
+  /** Admitted. `permitSpent` is false if no permit of this node was spent. */
+  | { readonly kind: "admit"; readonly permitSpent: boolean }
+  /** Rejected; the client may retry after this many seconds. */
   | { readonly kind: "wait"; readonly retryAfterS: number };
 
-/** What a node's decisions rest on at the moment. */
+/** What a node's admission decisions are currently based on. */
 export type AdmissionMode =
-  /** The permits that the leader issued. */
+  /** Permits issued by the leader. */
   | "slice"
-  /** Each team's guaranteed minimum, as no permit lease is valid. */
+  /** The guaranteed minimum of each team, because no permit lease is valid. */
   | "floor"
-  /** Every submission is admitted, as the leader issues no permits. */
+  /** Every submission is admitted, because the leader issues no permits. */
   | "open";
 
 interface TeamCounts {
-  /** Submissions since the last heartbeat. */
+  /** Submissions since the last heartbeat of this node. */
   submitted: number;
-  /** Peak of submissions in a heartbeat lately. */
+  /** Decaying maximum of submissions per heartbeat interval. */
   peakDemand: number;
   admitted: number;
   refused: number;
   lastRetryAfterS: number;
 }
 
-/** What a leader is asked for when it issues permits. */
-export interface LoadSource {
+/** Provides the unfinished jobs that the leader takes into account when it issues permits. */
+export interface OpenJobSource {
   /** Unfinished jobs by team. */
   openJobs(): ReadonlyMap<string, number>;
 }
 
 /**
- * Fair admission: which submissions this node accepts now. Every node spends only permits that it holds, and the leader
- * issues them by one policy for all. Repeated submissions of accepted jobs, cancellations, polls, agents' heartbeats and
- * lease renewals are not subject to it. No safety rule depends on it: a wrong count admits too many jobs or too few.
+ * Fair admission: decides which submissions this node accepts now. Each node spends only permits that it holds; the
+ * leader issues them to all nodes under one policy. Repeated submissions of accepted jobs, cancellations, polls, agent
+ * heartbeats and lease renewals are not subject to admission. No safety invariant depends on it: a wrong count only
+ * admits too many or too few jobs.
  */
 export class Admission {
   readonly #ctx: Context;
-  /** This node's incarnation. */
   readonly #incarnation: string;
   readonly #permits = new PermitPool();
   readonly #reservations = new RetryReservations();
   readonly #counts = new Map<string, TeamCounts>();
-  /** When the last reports were sent, by sequence number. */
+  /** Sending times of the last reports, by sequence number. */
   readonly #reportSentAt = new Map<number, number>();
   #sequence = 0;
-  /** Null while this node may not issue permits. */
+  /** Null while this node is not allowed to issue permits. */
   #issuer: PermitIssuer | null = null;
-  /** The leases to send with the next heartbeats, by node. */
+  /** Leases to send with the next heartbeats, by node. */
   #leases: ReadonlyMap<string, PermitLease> = new Map();
-  /** When each peer was last heard, and whether its heartbeat had an admission message. */
-  readonly #peers = new Map<string, { readonly heardAt: number; readonly hasAdmission: boolean }>();
+  /** Time of each peer's last heartbeat, and whether it carried an admission message. */
+  readonly #peers = new Map<string, { readonly lastHeartbeatAt: number; readonly hasAdmission: boolean }>();
   #leader: string | null = null;
   #report: AdmissionReport;
 
@@ -81,29 +86,35 @@
     return policyOf(this.#ctx.settings, this.#ctx.deployment);
   }
 
-  /** What decisions rest on at the moment. */
+  /** What admission decisions are currently based on. */
   get mode(): AdmissionMode {
     const { now, deployment } = this.#ctx;
     if (this.#permits.isValid(now)) return "slice";
     if (this.#leader === null || this.#leader === deployment.node) return "floor";
     const leader = this.#peers.get(this.#leader);
-    const isOpen = leader !== undefined && now - leader.heardAt < LEADER_FRESH_MS && !leader.hasAdmission;
+    const isOpen =
+      leader !== undefined &&
+      now - leader.lastHeartbeatAt < MAX_LEADER_HEARTBEAT_AGE_MS &&
+      !leader.hasAdmission;
     return isOpen ? "open" : "floor";
   }
 
-  /** Decides on a submission that this node does not know as accepted, and spends a permit if it is admitted. */
+  /**
+   * Decides whether to admit a submission that is not already recorded as accepted at this node. Spends a permit if one
+   * is needed.
+   */
   decide(uid: string, team: string): Decision {
     const { now } = this.#ctx;
     const counts = this.#countsOf(team);
     counts.submitted++;
     const reservation = this.#reservations.redeem(uid, now);
-    const unbound = this.#permits.available(team, now) - this.#reservations.boundPermits(team, now);
-    if (reservation !== null || unbound >= 1 || this.mode === "open") {
-      // The permit for another node's reservation is spent there; in open mode there may be none to spend.
-      const permitSpent = reservation === "own" || (reservation === null && unbound >= 1);
+    const freePermits = this.#permits.available(team, now) - this.#reservations.earmarkedPermits(team, now);
+    if (reservation !== null || freePermits >= 1 || this.mode === "open") {
+      // The permit for another node's reservation is spent at that node. In open mode there may be no permit to spend.
+      const permitSpent = reservation === "own" || (reservation === null && freePermits >= 1);
       if (permitSpent) this.#permits.spend(team, now);
       counts.admitted++;
-      return { kind: "take", permitSpent };
+      return { kind: "admit", permitSpent };
     }
     counts.refused++;
     counts.lastRetryAfterS = this.#reserve(uid, team);
@@ -112,26 +123,28 @@
 
   #reserve(uid: string, team: string): number {
     const ratePerS = this.#ratePerS(team);
-    return ratePerS > 0 ? this.#reservations.reserve(uid, team, ratePerS, this.#ctx.now) : RETRY_AFTER_FULL_S;
+    return ratePerS > 0
+      ? this.#reservations.reserve(uid, team, ratePerS, this.#ctx.now)
+      : RETRY_AFTER_WITHOUT_RATE_S;
   }
 
-  /** The rate at which this node can make reservations; 0 where that depends on when other jobs end. */
+  /** The rate at which this node can make reservations; 0 if capacity becomes free only when other jobs end. */
   #ratePerS(team: string): number {
     if (this.#permits.isValid(this.#ctx.now)) return this.#permits.ratePerS(team);
     return this.#policy.teams.find(({ name }) => name === team)?.minimumRatePerS ?? 0;
   }
 
-  /** Reverts a decision: the job was accepted before, or could not be written. */
+  /** Reverts an admission, because the job was already accepted or its record could not be written. */
   rollBack(team: string, permitSpent: boolean): void {
     if (permitSpent) this.#permits.refund(team, this.#ctx.now);
     this.#countsOf(team).admitted--;
   }
 
   /**
-   * To be called before each heartbeat: makes this node's report and, while it leads, issues permits. `fencingToken`
-   * is that of its term, or null if it may not issue permits.
+   * Must be called before each heartbeat. Builds this node's report and, while it is the leader, issues permits.
+   * `fencingToken` is the fencing token of its term, or null if it is not allowed to issue permits.
    */
-  tick(leader: string | null, fencingToken: number | null, load: LoadSource): void {
+  tick(leader: string | null, fencingToken: number | null, load: OpenJobSource): void {
     const { now } = this.#ctx;
     this.#leader = leader;
     const policy = this.#policy;
@@ -149,7 +162,7 @@
     } else this.#issue(fencingToken, policy, load);
   }
 
-  #issue(fencingToken: number, policy: AdmissionPolicy, load: LoadSource): void {
+  #issue(fencingToken: number, policy: AdmissionPolicy, load: OpenJobSource): void {
     const { now, deployment } = this.#ctx;
     if (this.#issuer?.fencingToken !== fencingToken)
       this.#issuer = new PermitIssuer(fencingToken, policy, now);
@@ -162,7 +175,7 @@
 
   #maxHeld(team: string): number {
     const target = targetPermits(this.#countsOf(team).peakDemand);
-    return target + this.#reservations.boundPermits(team, this.#ctx.now);
+    return target + this.#reservations.earmarkedPermits(team, this.#ctx.now);
   }
 
   #makeReport(): AdmissionReport {
@@ -178,7 +191,7 @@
       acknowledgedToken: this.#permits.fencingToken,
       teams,
       newReservations: this.#reservations.takeUnannounced(now),
-      redeemedReservations: this.#reservations.takeRedeemedOfPeers(),
+      redeemedReservations: this.#reservations.takeRedeemedPeerReservations(),
     };
   }
 
@@ -192,18 +205,18 @@
     };
   }
 
-  /** The admission message of the next heartbeat to a peer. */
+  /** The admission message for the next heartbeat to a peer. */
   messageFor(peer: string): AdmissionMessage {
     return { report: this.#report, lease: this.#leases.get(peer) };
   }
 
-  /** A heartbeat of a peer has come; `message` is its admission message, undefined if it has none. */
+  /** Processes a peer's heartbeat. `message` is its admission message, or undefined if it has none. */
   onPeerHeartbeat(from: string, message: AdmissionMessage | undefined): void {
     const { now } = this.#ctx;
-    this.#peers.set(from, { heardAt: now, hasAdmission: message !== undefined });
+    this.#peers.set(from, { lastHeartbeatAt: now, hasAdmission: message !== undefined });
     if (!message) return;
     this.#issuer?.onReport(from, message.report, now);
-    this.#reservations.addOfPeer(message.report.newReservations, now);
+    this.#reservations.addPeerReservations(message.report.newReservations, now);
     for (const uid of message.report.redeemedReservations) {
       const team = this.#reservations.onRedeemedByPeer(uid);
       if (team !== null) this.#permits.spend(team, now);
@@ -211,13 +224,13 @@
     if (message.lease) this.#applyLease(message.lease);
   }
 
-  /** Applies a lease, unless the report that it answers is so old that its sending time was dropped. */
+  /** Applies a lease, unless the sending time of the report that it answers is no longer kept. */
   #applyLease(lease: PermitLease): void {
     const reportedAt = this.#reportSentAt.get(lease.reportSequence);
     if (reportedAt !== undefined) this.#permits.apply(lease, reportedAt);
   }
 
-  /** The admission part of the node's status. */
+  /** The admission section of the node's status. */
   status(): Record<string, unknown> {
     const { mode, ratePerS, maxOpenJobs, teams } = this.report();
     const rounded = Math.round(ratePerS * 100) / 100;
@@ -229,7 +242,7 @@
     };
   }
 
-  /** The state of admission, for metrics and status. */
+  /** The admission state for metrics and status. */
   report(): AdmissionStatus {
     const { now } = this.#ctx;
     const policy = this.#policy;
@@ -258,28 +271,28 @@
   }
 }
 
-/** The state of admission at this node. */
+/** The admission state of this node. */
 export interface AdmissionStatus {
   readonly mode: AdmissionMode;
-  /** Jobs accepted a second by all nodes together, at most. */
+  /** Maximum number of jobs accepted per second by all nodes together. */
   readonly ratePerS: number;
-  /** Unfinished jobs of all teams up to which new ones are accepted. */
+  /** Limit on unfinished jobs of all teams; at the limit no new jobs are accepted. */
   readonly maxOpenJobs: number;
   readonly teams: readonly TeamStatus[];
 }
 
-/** One team's part in an {@link AdmissionStatus}. */
+/** The entry of one team in an {@link AdmissionStatus}. */
 export interface TeamStatus {
   readonly name: string;
   readonly weight: number;
-  /** What could be accepted at this moment. */
+  /** Number of submissions that this node could accept now. */
   readonly available: number;
   /** Submissions accepted since the node started. */
   readonly admitted: number;
   /** Submissions rejected since the node started. */
   readonly refused: number;
-  /** Retry reservations that stand. */
+  /** Outstanding retry reservations made by this node. */
   readonly waiting: number;
-  /** The last Retry-After that was sent, in seconds; 0 before the first. */
+  /** The last Retry-After sent, in seconds; 0 before the first. */
   readonly lastRetryAfterS: number;
 }
--- a/src/admission/messages.ts
+++ b/src/admission/messages.ts
@@ -1,67 +1,67 @@
 /**
- * What nodes tell each other about admission, as an optional part of their heartbeats that older versions ignore.
- * Times are durations, so that no two clocks need to agree. src/protocol/admission.ts has their wire form.
+ * Admission messages between nodes, sent as an optional part of peer heartbeats that the previous version ignores.
+ * Times are durations, so clocks need not be synchronised. src/protocol/admission.ts defines the wire form.
  */
 
-/** From a node to its peers. Demand and permits concern the leader alone, reservations concern every node. */
+/** Sent by a node to all peers. Only the leader uses demand and permits; every node uses the reservations. */
 export interface AdmissionReport {
-  /** The node's incarnation: another one after each start, whose counts begin at zero. */
+  /** The node's incarnation. It changes with each start, and all counts restart at zero. */
   readonly incarnation: string;
-  /** Numbers the reports of this incarnation; a permit lease names the report that it answers. */
+  /** Sequence number of the report within this incarnation; a permit lease refers to the report that it answers. */
   readonly sequence: number;
-  /** The last permit lease that the node applied, with its fencing token; 0 before the first. */
+  /** Id and fencing token of the last permit lease that the node applied; 0 before the first. */
   readonly acknowledgedLease: number;
   readonly acknowledgedToken: number;
   readonly teams: readonly TeamReport[];
-  /** New retry reservations: a rejected submission may be repeated in so many milliseconds, at any node. */
+  /** New retry reservations. The rejected submission may be retried at any node. */
   readonly newReservations: readonly ReservationNotice[];
-  /** Submissions accepted here on a reservation of another node, which spends the permit. */
+  /** Submissions accepted at this node under another node's reservation; that other node spends the permit. */
   readonly redeemedReservations: readonly string[];
 }
 
-/** One team's demand and permits at a node. */
+/** The demand and permits of one team at one node. */
 export interface TeamReport {
   readonly team: string;
-  /** Peak demand: the most submissions that lately asked for admission between two reports. */
+  /** Decaying maximum of submissions between two reports. */
   readonly peakDemand: number;
-  /** Unspent permits; below 0 where the node has honoured reservations beyond its permits. */
+  /** Unspent permits; negative if the node honoured more reservations than it held permits for. */
   readonly held: number;
-  /** Reservations of this node that stand; it keeps permits for them, or will. */
+  /** Outstanding reservations made by this node. It earmarks a permit for each shortly before it is due. */
   readonly reserved: number;
-  /** Permits spent since the incarnation started. */
+  /** Permits spent since the start of the incarnation. */
   readonly spent: number;
 }
 
-/** A retry reservation, as peers learn of it. */
+/** A retry reservation as announced to peers. */
 export interface ReservationNotice {
   readonly uid: string;
-  /** Milliseconds until the submission may be repeated. */
+  /** Milliseconds until the submission may be retried. */
   readonly dueInMs: number;
 }
 
-/** From the leader to one node: permits that are added to those it holds, and the time to live of all of them. */
+/** Sent by the leader to one node: permits to add to those it holds, and the TTL of all permits that it then holds. */
 export interface PermitLease {
-  /** The leader's fencing token. */
+  /** Fencing token of the leader. */
   readonly fencingToken: number;
   readonly id: number;
-  /** The sequence number of the report that it answers: `ttlMs` counts from when the node sent that report. */
+  /** Sequence number of the report that this lease answers; `ttlMs` counts from when the node sent that report. */
   readonly reportSequence: number;
   readonly ttlMs: number;
   readonly permits: readonly TeamPermits[];
 }
 
-/** The part of a permit lease that concerns one team. */
+/** The permits of one team in a permit lease. */
 export interface TeamPermits {
   readonly team: string;
-  /** Permits added. */
+  /** Number of permits to add. */
   readonly count: number;
-  /** Admissions a second that the node can expect from now on; 0 where they depend on when other jobs end. */
+  /** Expected admissions per second at the node; 0 if capacity becomes free only when other jobs end. */
   readonly ratePerS: number;
 }
 
-/** The admission part of a heartbeat. */
+/** The admission part of a peer heartbeat. */
 export interface AdmissionMessage {
   readonly report: AdmissionReport;
-  /** Present in heartbeats of the leader only. */
+  /** Only present in heartbeats of the leader. */
   readonly lease?: PermitLease | undefined;
 }
--- a/src/admission/permit-holder.ts
+++ b/src/admission/permit-holder.ts
@@ -1,8 +1,8 @@
 import type { AdmissionReport, TeamReport } from "./messages.js";
 
-/** A node is issued permits only while its last report is at most this old. */
+/** A node is issued permits only while its last report is no older than this. */
 const MAX_REPORT_AGE_MS = 3000;
-/** Beyond this many unacknowledged leases a node is issued none, as they hardly reach it. */
+/** A node with this many unacknowledged leases is issued no more, because they probably do not reach it. */
 const MAX_UNACKNOWLEDGED = 3;
 
 interface IssuedLease {
@@ -11,23 +11,23 @@
   readonly permits: ReadonlyMap<string, number>;
 }
 
-/** The leader's account of one node's permits, which errs towards more than the node holds. */
+/** The leader's view of the permits that one node holds. Where it is uncertain, it overestimates them. */
 export class PermitHolder {
   /** The node's last report. */
   report: AdmissionReport;
   #reportedAt: number;
   #unacknowledged: IssuedLease[] = [];
-  /** When the last permit that was issued to the node, by any leader, has expired by every clock. */
+  /** When all permits issued to the node by any leader have expired, by the leader's clock and by the node's. */
   #expiresAt: number;
 
-  /** `expiresAt`: when what the node holds of an earlier leader's permits has expired. */
+  /** `expiresAt` is when permits that the node may hold from a previous leader have expired. */
   constructor(report: AdmissionReport, now: number, expiresAt: number) {
     this.report = report;
     this.#reportedAt = now;
     this.#expiresAt = expiresAt;
   }
 
-  /** Applies a later report of the same incarnation. Returns how many permits it has spent since the one before. */
+  /** Applies a later report of the same incarnation. Returns the number of permits spent since the previous report. */
   onReport(report: AdmissionReport, fencingToken: number, now: number): number {
     if (report.sequence <= this.report.sequence) return 0;
     let spent = 0;
@@ -40,23 +40,23 @@
     return spent;
   }
 
-  /** Whether the node reports, and acknowledges what it is issued. */
-  canBeIssued(now: number): boolean {
+  /** Whether the node may be issued permits: it reports and acknowledges its leases. */
+  isEligible(now: number): boolean {
     return now - this.#reportedAt <= MAX_REPORT_AGE_MS && this.#unacknowledged.length < MAX_UNACKNOWLEDGED;
   }
 
-  /** Records a lease that is being sent to the node; `permits` are by team. */
+  /** Records a lease that is being sent to the node. `permits` is by team. */
   issue(id: number, permits: ReadonlyMap<string, number>, expiresAt: number): void {
     this.#unacknowledged.push({ id, expiresAt, permits });
     this.#expiresAt = expiresAt;
   }
 
-  /** Drops unacknowledged leases that have expired; to be called before anything is counted. */
+  /** Drops expired unacknowledged leases. Must be called before permits are counted. */
   removeExpired(now: number): void {
     this.#unacknowledged = this.#unacknowledged.filter(({ expiresAt }) => now < expiresAt);
   }
 
-  /** Permits of a team that the node holds, or may hold as they are on their way. */
+  /** Permits of a team that the node holds or that are in unacknowledged leases. */
   outstanding(team: string, now: number): number {
     if (now >= this.#expiresAt) return 0;
     let sum = Math.max(0, teamReport(this.report, team)?.held ?? 0);
@@ -64,12 +64,12 @@
     return sum;
   }
 
-  /** The node's retry reservations of a team; it honours them whether it holds permits or not. */
+  /** The node's retry reservations for a team. The node honours them even without permits. */
   reserved(team: string, now: number): number {
     return now >= this.#expiresAt ? 0 : (teamReport(this.report, team)?.reserved ?? 0);
   }
 
-  /** Submissions of a team that lately asked the node for admission between two reports. */
+  /** Decaying maximum of a team's submissions at the node between two reports. */
   demand(team: string): number {
     return teamReport(this.report, team)?.peakDemand ?? 0;
   }
--- a/src/admission/permit-issuer.ts
+++ b/src/admission/permit-issuer.ts
@@ -4,99 +4,104 @@
 import { MAX_RESERVATION_S } from "./retry-reservations.js";
 import { allocate } from "./shares.js";
 
-/** The time to live of a node's permits, from the sending of the report that the lease answers. */
+/** TTL of a node's permits, counted from when the node sent the report that the lease answers. */
 const LEASE_TTL_MS = 4000;
-/** Clocks drift apart by up to 0.05%, and the leader errs late: a permit must expire at the node before it does here. */
+/**
+ * Clocks drift apart by up to 0.05%. The leader expires permits later than the node does, so that a permit is never
+ * reissued while the node may still spend it.
+ */
 const DRIFT_FACTOR = 1.001;
 const EXPIRY_MARGIN_MS = 10;
-/** Permits of each team that a node is to hold without any demand, so that a first submission need not wait. */
+/** Target number of permits per team and node without demand, so that a first submission is admitted immediately. */
 const BASE_PERMITS = 2;
-/** Permits that it is to hold beyond that, as a multiple of its demand in the second before. */
+/** Target number of permits beyond {@link BASE_PERMITS}, as a multiple of the node's peak demand per report. */
 const DEMAND_FACTOR = 2;
-/** Rates are shared in fractions of a permit: a team with less than one a second gets one every few seconds. */
+/** Rates are allocated in fractions of a permit, so a team with less than one per second gets one every few seconds. */
 const FRACTIONS_PER_PERMIT = 100;
-/** A demand that no team reaches: for shares of the capacity that is left to be reserved. */
+/** A demand larger than any real one, to compute each team's full share of the capacity for reservations. */
 const UNLIMITED_DEMAND = 1e9;
 
-/** The permits that a node is to hold at most, given its demand; it releases what is beyond. */
+/** The maximum number of permits that a node should hold for its demand; it releases any excess. */
 export function targetPermits(demand: number): number {
   return BASE_PERMITS + DEMAND_FACTOR * demand;
 }
 
-/** One team's demand in a round of issuing. Arrays are by node, in the order of the nodes. */
+/** The demand of one team in one issuing round. Arrays are indexed by node. */
 interface TeamDemand {
   readonly name: string;
   readonly weight: number;
   readonly demand: readonly number[];
-  /** How many more permits each node is to hold. */
+  /** Permits that each node lacks to reach its target. */
   readonly wanted: readonly number[];
-  /** Unfinished jobs, and permits and reservations that may yet become some. */
+  /** Unfinished jobs, plus permits and reservations that may still turn into jobs. */
   readonly used: number;
-  /** Permits in escrow, at nodes or on their way to them. */
+  /** Permits in escrow: held by nodes or in transit to them. */
   readonly outstanding: number;
 }
 
-/** What one team is given in a round of issuing. Arrays are by node. */
+/** The allocation of one team in one issuing round. Arrays are indexed by node. */
 interface TeamAllocation {
   readonly name: string;
   readonly demand: readonly number[];
   readonly permits: readonly number[];
-  /** The admission rate that all nodes together can expect. */
+  /** Expected admissions per second over all nodes. */
   readonly ratePerS: number;
-  /** Unfinished jobs that the team may still have beyond these permits. */
+  /** Number of further unfinished jobs that the team may have once these permits are spent. */
   readonly remainingJobs: number;
 }
 
-/** The state of the cluster that a round of issuing depends on. */
+/** The cluster state that an issuing round depends on. */
 export interface IssueInput {
   readonly policy: AdmissionPolicy;
-  /** Unfinished jobs by team, those of teams that are no longer in the settings among them. */
+  /** Unfinished jobs by team, including teams that are no longer configured. */
   readonly openJobs: ReadonlyMap<string, number>;
-  /** All nodes, whether they report or not. */
+  /** Number of all nodes, including those that do not report. */
   readonly nodeCount: number;
   readonly now: number;
 }
 
 /**
- * Issues permits to all nodes, at the leader. Permits are in escrow (A1): one that a node holds, or may hold, is issued to
- * no other until the node has reported it spent or released, or until it has expired by the leader's clock, which is
- * later than by the node's (A2). So two nodes never spend the same capacity.
+ * Issues permits to all nodes; runs on the leader. Permits are held in escrow (A1): a permit that a node holds or may
+ * hold is not issued to another node until the first has reported it spent or released, or until it has expired. It
+ * expires later by the leader's clock than by the node's (A2). Two nodes therefore never spend the same capacity.
  */
 export class PermitIssuer {
   readonly fencingToken: number;
   readonly #holders = new Map<string, PermitHolder>();
-  /** Permits that may be spent or issued now, those in escrow included: a token bucket. */
+  /** Token bucket of permits that may be issued or spent now, including those in escrow. */
   #bucket: number;
   #refilledAt: number;
-  /** Fractions of a permit that each team has saved up. */
+  /** Accumulated fractions of a permit, by team. */
   readonly #credit = new Map<string, number>();
   #nextLeaseId = 1;
   #round = 0;
 
-  /** Permits of an earlier leader may still be spent: this one begins with a second's worth (A3). */
+  /**
+   * Permits issued by a previous leader may still be spent, so the bucket starts with the permits of one second (A3).
+   */
   constructor(fencingToken: number, policy: AdmissionPolicy, now: number) {
     this.fencingToken = fencingToken;
     this.#bucket = policy.ratePerS;
     this.#refilledAt = now;
   }
 
-  /** Applies a node's report; what it has spent since the one before leaves the bucket. */
+  /** Applies a node's report and removes the permits spent since its previous report from the bucket. */
   onReport(node: string, report: AdmissionReport, now: number): void {
     const known = this.#holders.get(node);
     if (known?.report.incarnation === report.incarnation)
       this.#bucket -= known.onReport(report, this.fencingToken, now);
-    // An ended incarnation spends nothing more, and the jobs that it accepted are on record.
+    // The previous incarnation has ended: it spends no more permits, and the jobs that it accepted have records.
     else this.#holders.set(node, new PermitHolder(report, now, now + LEASE_TTL_MS));
   }
 
   /**
-   * Issues leases to all nodes that report, by node: up to the permits that each is to hold, as far as the teams' shares
-   * of the rate and of the unfinished jobs allow.
+   * Issues leases to all eligible nodes and returns them by node. Fills up each node to its target, as far as the
+   * teams' shares of the rate and of the unfinished jobs allow.
    */
   issue({ policy, openJobs, nodeCount, now }: IssueInput): Map<string, PermitLease> {
     for (const holder of this.#holders.values()) holder.removeExpired(now);
-    const nodes = [...this.#holders].filter(([, holder]) => holder.canBeIssued(now));
-    // A node that does not report may accept its guaranteed minimum: its part of the rate is not issued (A4).
+    const nodes = [...this.#holders].filter(([, holder]) => holder.isEligible(now));
+    // A node that does not report may admit the guaranteed minimum, so its part of the rate is withheld (A4).
     const ratePerS = policy.ratePerS * Math.min(1, nodes.length / nodeCount);
     this.#refill(ratePerS, policy.burst, now);
     const holders = nodes.map(([, holder]) => holder);
@@ -105,14 +110,14 @@
     const leases = new Map<string, PermitLease>();
     for (const [index, [node, holder]] of nodes.entries()) {
       const permits = allocations.map((allocation) => permitsOfNode(allocation, index));
-      leases.set(node, this.#lease(holder, permits, now));
+      leases.set(node, this.#issueLease(holder, permits, now));
     }
     return leases;
   }
 
   #refill(ratePerS: number, burst: number, now: number): void {
-    const earned = ((now - this.#refilledAt) * ratePerS) / 1000;
-    this.#bucket = Math.min(burst, this.#bucket + earned);
+    const newPermits = ((now - this.#refilledAt) * ratePerS) / 1000;
+    this.#bucket = Math.min(burst, this.#bucket + newPermits);
     this.#refilledAt = now;
   }
 
@@ -151,12 +156,12 @@
     });
   }
 
-  /** Whole permits for each team, for all nodes together. Fractions are saved up as credit. */
+  /** Computes the whole permits of each team over all nodes. Fractions carry over to the next round as credit. */
   #allocatePermits(teams: readonly TeamDemand[], maxNewJobs: readonly number[]): number[] {
     const escrow = sum(teams.map(({ outstanding }) => outstanding));
     const credit = sum([...this.#credit.values()]);
     const free = Math.max(0, this.#bucket - escrow - credit);
-    // What a team holds does not count against its share of the rate: it must be able to hold some at every node.
+    // Permits that a team already holds do not reduce its share of the rate, so that it can hold some at every node.
     const claims = teams.map(({ weight, wanted }, index) => {
       return { weight, demand: Math.min(sum(wanted), maxNewJobs[index] ?? 0) * FRACTIONS_PER_PERMIT };
     });
@@ -169,7 +174,7 @@
     });
   }
 
-  #lease(holder: PermitHolder, permits: readonly TeamPermits[], now: number): PermitLease {
+  #issueLease(holder: PermitHolder, permits: readonly TeamPermits[], now: number): PermitLease {
     const id = this.#nextLeaseId++;
     const expiresAt = now + LEASE_TTL_MS * DRIFT_FACTOR + EXPIRY_MARGIN_MS;
     holder.issue(id, new Map(permits.map(({ team, count }) => [team, count])), expiresAt);
@@ -178,22 +183,24 @@
   }
 }
 
-/** A node's part of what its team is given. It can expect a part of the team's rate, by its part of the demand. */
+/**
+ * The part of a team's allocation that goes to one node. Its expected rate is proportional to its share of the demand.
+ */
 function permitsOfNode(allocation: TeamAllocation, node: number): TeamPermits {
   const { name, demand, permits, ratePerS, remainingJobs } = allocation;
-  const part = expectedDemand(demand[node] ?? 0) / sum(demand.map(expectedDemand));
-  // Reservations must not exceed the jobs that the team may still have while they stand.
-  const reservableJobs = Math.floor(remainingJobs * part);
+  const demandShare = expectedDemand(demand[node] ?? 0) / sum(demand.map(expectedDemand));
+  // Outstanding reservations must not exceed the number of further jobs that the team may have.
+  const reservableJobs = Math.floor(remainingJobs * demandShare);
   return {
     team: name,
     count: permits[node] ?? 0,
-    ratePerS: Math.min(ratePerS * part, reservableJobs / MAX_RESERVATION_S),
+    ratePerS: Math.min(ratePerS * demandShare, reservableJobs / MAX_RESERVATION_S),
   };
 }
 
 /**
- * By team, how much of a capacity is left of its share beyond what it uses, as far as it wants more, or wants
- * `extraDemand` more than that.
+ * The unused part of each team's share of a capacity. A team's demand is what it uses plus the permits that its nodes
+ * lack plus `extraDemand`.
  */
 function remainingShares(teams: readonly TeamDemand[], capacity: number, extraDemand = 0): number[] {
   const claims = teams.map(({ weight, used, wanted }) => ({
@@ -204,12 +211,12 @@
   return teams.map(({ used }, index) => Math.max(0, (shares[index] ?? 0) - used));
 }
 
-/** A node without demand may get some at any time. */
+/** Counts a node without demand as 1, because it may receive a submission at any time. */
 function expectedDemand(demand: number): number {
   return Math.max(1, demand);
 }
 
-/** The admission rate that each team can expect, by its demand. */
+/** The expected admission rate of each team, given its demand. */
 function expectedRates(ratePerS: number, teams: readonly TeamDemand[]): number[] {
   const claims = teams.map(({ weight, demand }) => {
     return { weight, demand: sum(demand.map(expectedDemand)) * FRACTIONS_PER_PERMIT };
@@ -218,17 +225,17 @@
   return fractions.map((count) => count / FRACTIONS_PER_PERMIT);
 }
 
-/** Divides a team's permits among the nodes by what they want. Another node is the first of equals in each round. */
+/** Divides a team's permits among the nodes by the permits they lack. Ties go to a different node in each round. */
 function divideAmongNodes(permits: number, wanted: readonly number[], round: number): number[] {
   const order = wanted.map((_, index) => (index + round) % wanted.length);
   const claims = order.map((node) => ({ weight: 1, demand: wanted[node] ?? 0 }));
   const allocated = allocate(permits, claims);
   const counts = wanted.map(() => 0);
-  for (const [place, node] of order.entries()) counts[node] = allocated[place] ?? 0;
+  for (const [position, node] of order.entries()) counts[node] = allocated[position] ?? 0;
   return counts;
 }
 
-/** The unfinished jobs that there may be of the policy's teams: those of teams no longer in the settings take some, too. */
+/** The limit on unfinished jobs of the policy's teams, less the jobs of teams that are no longer configured. */
 function openJobCapacity(
   { maxOpenJobs, teams }: AdmissionPolicy,
   openJobs: ReadonlyMap<string, number>,
--- a/src/admission/permit-pool.ts
+++ b/src/admission/permit-pool.ts
@@ -1,35 +1,38 @@
 import type { PermitLease } from "./messages.js";
 import type { AdmissionPolicy } from "./policy.js";
 
-/** Without a lease a team may save up its guaranteed minimum for this long, and one job at least; a node starts with that. */
+/**
+ * Without a lease, a team accrues its guaranteed minimum for up to this long, but can always accrue one job. A node
+ * starts with the full amount.
+ */
 const MINIMUM_BURST_S = 10;
 
 interface TeamPool {
-  /** Leased permits that are not spent. */
+  /** Unspent leased permits. */
   held: number;
-  /** Admissions a second that the leader expects here; 0 where it can't tell. */
+  /** Admissions per second that the leader expects at this node; 0 if it cannot predict them. */
   ratePerS: number;
-  /** Permits spent since this node started. */
+  /** Permits spent since the start of this node. */
   spent: number;
-  /** Jobs that may be accepted without a lease: the guaranteed minimum, saved up. */
-  minimum: number;
+  /** Jobs that may be accepted without a lease: the accrued guaranteed minimum. */
+  accruedMinimum: number;
 }
 
 /**
- * What one node may accept of each team: leased permits while the lease is valid, else the guaranteed minimum by the
- * node's own clock.
+ * Tracks how many jobs of each team this node may accept: leased permits while the lease is valid, otherwise the
+ * guaranteed minimum, which accrues by the node's own clock.
  */
 export class PermitPool {
-  readonly #teams = new Map<string, TeamPool>();
+  readonly #poolsByTeam = new Map<string, TeamPool>();
   #expiresAt = Number.NEGATIVE_INFINITY;
   #refilledAt = Number.NEGATIVE_INFINITY;
-  /** The fencing token and the id of the last lease applied; 0 before the first. */
+  /** Fencing token and id of the last applied lease; 0 before the first. */
   fencingToken = 0;
   leaseId = 0;
 
   /**
-   * Adds the permits of a lease, unless one as new has been applied. `reportedAt` is when the report was sent that the
-   * lease answers: its time to live counts from there, so a lease that is late has expired at once.
+   * Adds the permits of a lease, unless the same or a newer lease has been applied. The TTL counts from `reportedAt`,
+   * when the report that the lease answers was sent, so a lease that arrives late may have expired already.
    */
   apply({ fencingToken, id, ttlMs, permits }: PermitLease, reportedAt: number): void {
     if (fencingToken < this.fencingToken || (fencingToken === this.fencingToken && id <= this.leaseId))
@@ -44,76 +47,76 @@
     this.#expiresAt = reportedAt + ttlMs;
   }
 
-  /** Expires permits and refills the guaranteed minimum of each team. */
+  /** Expires permits and accrues the guaranteed minimum of each team. */
   tick(policy: AdmissionPolicy, now: number): void {
     if (now >= this.#expiresAt) this.#expire();
-    const passedS = Math.max(0, Math.min(MINIMUM_BURST_S, (now - this.#refilledAt) / 1000));
+    const elapsedS = Math.max(0, Math.min(MINIMUM_BURST_S, (now - this.#refilledAt) / 1000));
     this.#refilledAt = now;
     for (const { name, minimumRatePerS } of policy.teams) {
       const pool = this.#pool(name);
       const maxMinimum = Math.max(1, minimumRatePerS * MINIMUM_BURST_S);
-      pool.minimum = Math.min(maxMinimum, pool.minimum + minimumRatePerS * passedS);
+      pool.accruedMinimum = Math.min(maxMinimum, pool.accruedMinimum + minimumRatePerS * elapsedS);
     }
   }
 
-  /** Returns a team's permits beyond `maxHeld` to the leader, by no longer reporting them as held. */
+  /** Returns a team's permits in excess of `maxHeld` to the leader by no longer reporting them as held. */
   releaseBeyond(team: string, maxHeld: number): void {
     const pool = this.#pool(team);
     pool.held = Math.min(pool.held, maxHeld);
   }
 
-  /** True while the permits of the last lease may be spent. */
+  /** True while the last lease has not expired and its permits may be spent. */
   isValid(now: number): boolean {
     return now < this.#expiresAt;
   }
 
-  /** How many jobs of a team may be accepted now. */
+  /** Number of jobs of a team that may be accepted now. */
   available(team: string, now: number): number {
-    const { held, minimum } = this.#pool(team);
-    return Math.floor(this.isValid(now) ? held : minimum);
+    const { held, accruedMinimum } = this.#pool(team);
+    return Math.floor(this.isValid(now) ? held : accruedMinimum);
   }
 
-  /** Spends a permit, if need be one that is not there: a reservation is honoured in any case. */
+  /** Spends a permit. The balance may become negative, because reservations are honoured in any case. */
   spend(team: string, now: number): void {
     const pool = this.#pool(team);
     pool.spent++;
     if (this.isValid(now)) pool.held--;
-    else pool.minimum--;
+    else pool.accruedMinimum--;
   }
 
-  /** Gives a permit back that was spent on a job which was not accepted. The count of spent permits never decreases. */
+  /** Returns a permit spent on a job that was not accepted. The count of spent permits never decreases. */
   refund(team: string, now: number): void {
     const pool = this.#pool(team);
     if (this.isValid(now)) pool.held++;
-    else pool.minimum++;
+    else pool.accruedMinimum++;
   }
 
-  /** Admissions of a team a second that the leader expects here; 0 where it can't tell. */
+  /** Admissions per second of a team that the leader expects at this node; 0 if it cannot predict them. */
   ratePerS(team: string): number {
     return this.#pool(team).ratePerS;
   }
 
-  /** Leased permits of a team that are not spent; below 0 where reservations were honoured beyond them. */
+  /** Unspent leased permits of a team; negative if more reservations were honoured than permits were held. */
   held(team: string): number {
     return this.#pool(team).held;
   }
 
-  /** Permits of a team spent since this node started. */
+  /** Permits of a team spent since the start of this node. */
   spent(team: string): number {
     return this.#pool(team).spent;
   }
 
   #expire(): void {
-    for (const pool of this.#teams.values()) pool.held = 0;
+    for (const pool of this.#poolsByTeam.values()) pool.held = 0;
     this.#expiresAt = Number.NEGATIVE_INFINITY;
   }
 
   #pool(team: string): TeamPool {
-    let pool = this.#teams.get(team);
+    let pool = this.#poolsByTeam.get(team);
     if (!pool) {
-      // The first tick cuts the minimum down to its bound.
-      pool = { held: 0, ratePerS: 0, spent: 0, minimum: Number.POSITIVE_INFINITY };
-      this.#teams.set(team, pool);
+      // The next tick caps the accrued minimum at its limit.
+      pool = { held: 0, ratePerS: 0, spent: 0, accruedMinimum: Number.POSITIVE_INFINITY };
+      this.#poolsByTeam.set(team, pool);
     }
     return pool;
   }
--- a/src/admission/policy.ts
+++ b/src/admission/policy.ts
@@ -2,40 +2,40 @@
 import type { Deployment } from "../core/model/deployment.js";
 
 /**
- * Writes to the store that a job is budgeted for. It takes about six: the submission, a start, its done mark, its final
- * record and the removal of two keys. The rest is headroom, so that starts need not wait for other jobs' records.
+ * Store writes budgeted per job. A job takes about six: the submission, a start, its done marker, its final record and
+ * the removal of two keys. The rest is headroom, so that task starts do not wait for the record writes of other jobs.
  */
 const WRITES_PER_JOB = 8;
-/** One CPU, in the thousandths that resources are counted in. */
+/** The weight of one CPU; CPUs are counted in thousandths. */
 const MIN_WEIGHT = 1000;
-/** Unspent permits are kept for this many seconds, so that quiet times pay for short bursts. */
+/** Unspent permits accumulate for up to this many seconds, so that short bursts after idle periods are admitted. */
 const BURST_S = 10;
-/** The guaranteed minimum of each team at each node without a permit lease, in jobs a second. */
+/** Lower limit of the guaranteed minimum per team and node without a permit lease, in jobs per second. */
 const MIN_RATE_PER_S = 0.2;
 
-/** The operators' bounds on admission. Every node computes the same from the same settings. */
+/** Limits on admission. Every node computes the same policy from the same settings. */
 export interface AdmissionPolicy {
-  /** Jobs accepted a second, by all nodes together. */
+  /** Jobs accepted per second by all nodes together. */
   readonly ratePerS: number;
-  /** Permits that may be unspent at any time. */
+  /** Maximum number of unspent permits at any time. */
   readonly burst: number;
-  /** Unfinished jobs of all teams together, up to which new ones are accepted. */
+  /** Limit on unfinished jobs of all teams together; at the limit no new jobs are accepted. */
   readonly maxOpenJobs: number;
   readonly teams: readonly TeamPolicy[];
 }
 
-/** One team's part in an {@link AdmissionPolicy}. */
+/** The entry of one team in an {@link AdmissionPolicy}. */
 export interface TeamPolicy {
   readonly name: string;
-  /** Relative to the other teams'. */
+  /** Relative to the weights of the other teams. */
   readonly weight: number;
-  /** The guaranteed minimum: jobs of this team a second that one node accepts while it has no valid lease. */
+  /** The guaranteed minimum: jobs of this team per second that one node accepts without a valid lease. */
   readonly minimumRatePerS: number;
 }
 
 /**
- * Computes the policy. Weights are the operators', or else the teams' guaranteed CPUs, one at least, so that only the
- * operators can leave a team out.
+ * Computes the policy. A team's weight is the configured one, or else its guaranteed CPUs, but at least one CPU, so
+ * that a weight of 0 can only come from the operators.
  */
 export function policyOf(settings: OperatorSettings, deployment: Deployment): AdmissionPolicy {
   const writesPerS = Math.min(
--- a/src/admission/retry-reservations.ts
+++ b/src/admission/retry-reservations.ts
@@ -1,42 +1,42 @@
 import type { ReservationNotice } from "./messages.js";
 
-/** The longest Retry-After: with it nothing is reserved. */
+/** The longest Retry-After. It is sent when no reservation could be made. */
 export const MAX_RETRY_AFTER_S = 30;
-/** How far ahead reservations are made; beyond it the queue is full. */
+/** How far in the future a reservation may be due. The queue of a team is full beyond this. */
 export const MAX_RESERVATION_S = MAX_RETRY_AFTER_S - 1;
 const MIN_RETRY_AFTER_S = 1;
-/** Retry-After is in whole seconds: who keeps to it comes at most this much before the time, or this much after. */
+/** Retry-After is rounded to whole seconds, so a retry may arrive this much before its reservation is due or after. */
 const EARLY_TOLERANCE_MS = 200;
 const LATE_TOLERANCE_MS = 5000;
-/** Permits are kept for a reservation from this long before it is due. */
-const BINDING_LEAD_MS = 1000;
-/** Bound permits are counted again only after this long. */
+/** How long before a reservation is due a permit is earmarked for it. */
+const EARMARK_LEAD_MS = 1000;
+/** How long a count of earmarked permits is cached. */
 const COUNT_MAX_AGE_MS = 100;
 const MAX_RESERVATIONS = 4096;
-/** New and redeemed reservations in one report each; the rest follows with the next ones. */
+/** Limit on new and on redeemed reservations per report; the rest is sent with the next reports. */
 const MAX_NOTICES = 200;
 
 interface Reservation {
   readonly team: string;
   readonly dueAt: number;
-  /** False for a reservation of another node, which keeps the permit for it. */
+  /** False for a reservation made by another node, which earmarks the permit for it. */
   readonly isOwn: boolean;
 }
 
 /**
- * When rejected submissions may be repeated. Each has a place in its team's queue at the node that rejected it. From the
- * time of that place on the node keeps a permit for the submission, and every node accepts it.
+ * Tracks when rejected submissions may be retried. Each has a slot in its team's queue at the node that rejected it.
+ * Shortly before the slot is due, that node earmarks a permit for the submission. When it is due, any node accepts it.
  */
 export class RetryReservations {
   readonly #byUid = new Map<string, Reservation>();
-  /** The time of the next free place in each team's queue. */
+  /** When the next free slot in each team's queue is due. */
   readonly #nextDueAt = new Map<string, number>();
   readonly #unannounced: string[] = [];
-  readonly #redeemedOfPeers: string[] = [];
-  /** Counts of bound permits by team. Kept for a moment, as there may be thousands of reservations. */
-  readonly #boundCounts = new Map<string, { readonly countedAt: number; count: number }>();
+  readonly #redeemedPeerReservations: string[] = [];
+  /** Earmarked permits by team. Cached briefly, because there may be thousands of reservations. */
+  readonly #earmarkedCounts = new Map<string, { readonly countedAt: number; count: number }>();
 
-  /** Redeems the reservation of a submission, if it has one that is due. Returns whose reservation it was. */
+  /** Redeems the reservation of a submission if one is due. Returns whether this node or another one made it. */
   redeem(uid: string, now: number): "own" | "other" | null {
     const reservation = this.#byUid.get(uid);
     if (!reservation) return null;
@@ -44,11 +44,14 @@
     if (now < dueAt - EARLY_TOLERANCE_MS || now > dueAt + LATE_TOLERANCE_MS) return null;
     this.#remove(uid, reservation);
     if (isOwn) return "own";
-    this.#redeemedOfPeers.push(uid);
+    this.#redeemedPeerReservations.push(uid);
     return "other";
   }
 
-  /** A peer has redeemed a reservation. Returns the team whose permit is to be spent here, if it was made here. */
+  /**
+   * Removes a reservation that a peer has redeemed. If this node made it, returns the team whose permit must be spent
+   * here.
+   */
   onRedeemedByPeer(uid: string): string | null {
     const reservation = this.#byUid.get(uid);
     if (!reservation) return null;
@@ -58,30 +61,30 @@
 
   #remove(uid: string, { team, isOwn }: Reservation): void {
     this.#byUid.delete(uid);
-    const bound = this.#boundCounts.get(team);
-    if (isOwn && bound && bound.count > 0) bound.count--;
+    const earmarked = this.#earmarkedCounts.get(team);
+    if (isOwn && earmarked && earmarked.count > 0) earmarked.count--;
   }
 
-  /** Takes the peers' reservations that were redeemed here and not reported yet. */
-  takeRedeemedOfPeers(): string[] {
-    return this.#redeemedOfPeers.splice(0, MAX_NOTICES);
+  /** Takes the peers' reservations that were redeemed at this node and have not been reported yet. */
+  takeRedeemedPeerReservations(): string[] {
+    return this.#redeemedPeerReservations.splice(0, MAX_NOTICES);
   }
 
-  /** Permits of a team that are kept for reservations which are due, or about to be. */
-  boundPermits(team: string, now: number): number {
-    const known = this.#boundCounts.get(team);
+  /** Permits of a team that are earmarked for reservations that are due or will be due soon. */
+  earmarkedPermits(team: string, now: number): number {
+    const known = this.#earmarkedCounts.get(team);
     if (known && now - known.countedAt < COUNT_MAX_AGE_MS) return known.count;
     let count = 0;
     for (const reservation of this.#byUid.values())
-      if (reservation.isOwn && reservation.team === team && reservation.dueAt - now <= BINDING_LEAD_MS)
+      if (reservation.isOwn && reservation.team === team && reservation.dueAt - now <= EARMARK_LEAD_MS)
         count++;
-    this.#boundCounts.set(team, { countedAt: now, count });
+    this.#earmarkedCounts.set(team, { countedAt: now, count });
     return count;
   }
 
   /**
-   * The Retry-After of a rejected submission in seconds, with a reservation at that time. Its team must have an admission
-   * rate above 0. A submission repeated early keeps its reservation. Where the queue is full nothing is reserved.
+   * Makes a reservation for a rejected submission and returns its Retry-After in seconds. `ratePerS` must be positive.
+   * A submission that is retried early keeps its reservation. If the queue is full, no reservation is made.
    */
   reserve(uid: string, team: string, ratePerS: number, now: number): number {
     const known = this.#byUid.get(uid);
@@ -96,7 +99,7 @@
     return toRetryAfterS(dueAt - now);
   }
 
-  /** Takes the reservations made here that have not been announced to the peers yet. */
+  /** Takes the reservations made by this node that have not been announced to the peers yet. */
   takeUnannounced(now: number): ReservationNotice[] {
     return this.#unannounced.splice(0, MAX_NOTICES).flatMap((uid): ReservationNotice[] => {
       const reservation = this.#byUid.get(uid);
@@ -104,8 +107,8 @@
     });
   }
 
-  /** Adds reservations of a peer. Their team is not announced, as their permits are kept at the peer. */
-  addOfPeer(notices: readonly ReservationNotice[], now: number): void {
+  /** Adds reservations made by a peer. They are announced without a team, because the peer earmarks the permits. */
+  addPeerReservations(notices: readonly ReservationNotice[], now: number): void {
     for (const { uid, dueInMs } of notices) {
       if (this.#byUid.size >= MAX_RESERVATIONS || this.#byUid.has(uid)) continue;
       const dueAt = now + Math.min(dueInMs, MAX_RETRY_AFTER_S * 1000);
@@ -113,12 +116,12 @@
     }
   }
 
-  /** Drops reservations whose time is over. */
+  /** Drops expired reservations. */
   removeExpired(now: number): void {
     for (const [uid, { dueAt }] of this.#byUid) if (now > dueAt + LATE_TOLERANCE_MS) this.#byUid.delete(uid);
   }
 
-  /** The number of reservations of a team that were made here and not redeemed yet. */
+  /** Number of reservations for a team that were made by this node and have not been redeemed. */
   countOwn(team: string): number {
     let count = 0;
     for (const reservation of this.#byUid.values())
--- a/src/admission/round-robin-turns.ts
+++ b/src/admission/round-robin-turns.ts
@@ -1,48 +1,52 @@
-/** What round-robin turns depend on in a job. */
+/** The properties of a job that round-robin turns depend on. */
 export interface WaitingJob {
   readonly spec: { readonly team: string; readonly jobClass: string };
-  /** When it joined its queue, by the same clock as the other times here. */
+  /** When the job joined its queue, by the same clock as the `now` parameters of {@link RoundRobinTurns}. */
   readonly queuedSince: number;
 }
 
 /**
- * Round-robin turns between queues. The jobs of one class of one team form a queue. A queue with waiting jobs of which no
- * task has started for some time has a turn: its oldest job goes before all that have none, whatever its size. This bounds
- * what others can put in front of a queue's next task: what they start within that time, and then one job of each other
- * queue.
+ * Round-robin turns between queues. All jobs of one class of one team form a queue. If a queue has waiting jobs and
+ * none of its tasks has started for some time, it gets a turn: its oldest job goes before all jobs without a turn,
+ * whatever its size. This bounds the work that can delay a queue's next task: the tasks that start within that time,
+ * and then one job of each other queue.
  */
 export class RoundRobinTurns {
-  /** When a task of each queue last started. */
+  /** Time of the last task start in each queue. */
   readonly #lastStartAt = new Map<string, number>();
 
-  /** A task of the job has started, or was found running by a new leader. */
+  /** Records that a task of the job has started, or that a new leader has found it running. */
   onStarted(job: WaitingJob, now: number): void {
     const queue = queueOf(job);
     this.#lastStartAt.set(queue, Math.max(now, this.#lastStartAt.get(queue) ?? Number.NEGATIVE_INFINITY));
   }
 
   /**
-   * Restores the turns of a new leader from the jobs with tasks that have started. When they started is not on record, but
-   * it was not before they were accepted, so a turn may come early after a change of leader, never late.
+   * Restores the turns at a new leader from the jobs with started tasks. Start times are not stored, so the time when
+   * the job was queued is used instead. It is never later than the start, so after a failover a turn may come early,
+   * but never late.
    */
-  restore(begun: Iterable<WaitingJob>): void {
-    for (const job of begun) this.onStarted(job, job.queuedSince);
+  restore(startedJobs: Iterable<WaitingJob>): void {
+    for (const job of startedJobs) this.onStarted(job, job.queuedSince);
   }
 
-  /** Each job's place in its queue, the oldest first, from 0. Jobs are taken by place, one of each queue after the other. */
-  places<J extends WaitingJob>(waiting: readonly J[]): Map<J, number> {
+  /**
+   * The position of each job in its queue; the oldest has position 0. Jobs are served in order of position, one from
+   * each queue at a time.
+   */
+  queuePositions<J extends WaitingJob>(waiting: readonly J[]): Map<J, number> {
     const lengths = new Map<string, number>();
-    const places = new Map<J, number>();
+    const positions = new Map<J, number>();
     for (const job of [...waiting].sort((a, b) => a.queuedSince - b.queuedSince)) {
       const queue = queueOf(job);
-      const place = lengths.get(queue) ?? 0;
-      places.set(job, place);
-      lengths.set(queue, place + 1);
+      const position = lengths.get(queue) ?? 0;
+      positions.set(job, position);
+      lengths.set(queue, position + 1);
     }
-    return places;
+    return positions;
   }
 
-  /** The jobs that have a turn: the oldest of each queue of which nothing has started for at least `afterMs`. */
+  /** The jobs that have a turn: the oldest job of each queue in which no task has started for at least `afterMs`. */
   due<J extends WaitingJob>(waiting: readonly J[], afterMs: number, now: number): Set<J> {
     const oldest = new Map<string, J>();
     for (const job of waiting) {
@@ -55,7 +59,7 @@
     return due;
   }
 
-  /** The longest time in milliseconds that a queue of the team has waited with nothing starting; 0 if nothing waits. */
+  /** The longest time that any queue of the team has waited without a task start; 0 if no job is waiting. */
   longestWaitMs(team: string, waiting: readonly WaitingJob[], now: number): number {
     let longestMs = 0;
     for (const job of waiting) {
@@ -64,7 +68,7 @@
     return longestMs;
   }
 
-  /** How long a job has waited with nothing of its queue starting. */
+  /** How long a job has waited without a task start in its queue. */
   #waitMs(job: WaitingJob, now: number): number {
     return now - Math.max(job.queuedSince, this.#lastStartAt.get(queueOf(job)) ?? Number.NEGATIVE_INFINITY);
   }
--- a/src/admission/shares.ts
+++ b/src/admission/shares.ts
@@ -1,18 +1,19 @@
-/** What one of several claimants asks of a common capacity. */
+/** The claim of one of several claimants on a shared capacity. */
 export interface Claim {
-  /** Relative to the others'; a claimant of weight 0 gets what the others leave. */
+  /** Relative to the other weights. A claimant of weight 0 only gets what the others leave over. */
   readonly weight: number;
-  /** The most that it gets, in whole units. */
+  /** Upper limit on the share, in whole units. */
   readonly demand: number;
 }
 
 /**
- * Weighted max-min fair shares in whole units, in the order of the claims. No claimant gets more than its demand; nothing
- * is left over while one has unmet demand; and each gets at least its weighted part of the capacity, rounded down, or its
- * demand if that is less. Equals are served in the order of the claims.
+ * Computes weighted max-min fair shares in whole units, in the order of the claims. No claimant gets more than its
+ * demand. No capacity is left over while a claimant has unmet demand. Each claimant gets at least its weighted part of
+ * the capacity, rounded down, or its demand if that is less. Ties are broken by the order of the claims.
  *
- * Units go one by one to the claimant with the largest weight for each unit that it would then have (the divisor method
- * of D'Hondt), so that more weight never brings less. Weighted parts are given at once and only the rest one by one.
+ * Units are assigned one by one to the claimant with the largest quotient of its weight and the units that it would
+ * then have (the D'Hondt method), so a higher weight never results in a smaller share. The weighted parts are assigned
+ * at once, and only the rest one by one.
  */
 export function allocate(capacity: number, claims: readonly Claim[]): number[] {
   const shares = claims.map(() => 0);
@@ -24,7 +25,7 @@
   return shares;
 }
 
-/** Adds to the shares of the claimants with the given indices; returns what is left of the capacity. */
+/** Increases the shares of the claimants with the given indices. Returns the remaining capacity. */
 function allocateAmong(
   capacity: number,
   claims: readonly Claim[],
@@ -34,9 +35,9 @@
   const hasUnmetDemand = (index: number) => shareOf(shares, index) < demandOf(claims, index);
   let unmet = claimants.filter((index) => demandOf(claims, index) > 0);
   let left = Math.max(0, capacity);
-  // Until no claimant is satisfied: what satisfied ones leave raises the weighted parts of the others.
-  for (let before = unmet.length + 1; unmet.length < before && unmet.length > 0; ) {
-    before = unmet.length;
+  // Repeats until no further claimant is satisfied: capacity that satisfied claimants leave raises the others' parts.
+  for (let previousCount = unmet.length + 1; unmet.length < previousCount && unmet.length > 0; ) {
+    previousCount = unmet.length;
     left = allocateWeightedParts(left, claims, unmet, shares);
     unmet = unmet.filter(hasUnmetDemand);
   }
@@ -49,7 +50,10 @@
   return left;
 }
 
-/** Raises each share to its weighted part, rounded down, or to the demand if that is less; returns what is left. */
+/**
+ * Raises each share to its weighted part, rounded down, or to the demand if that is less. Returns the remaining
+ * capacity.
+ */
 function allocateWeightedParts(
   capacity: number,
   claims: readonly Claim[],
@@ -68,19 +72,19 @@
   return left;
 }
 
-/** The claimant that the next unit goes to. */
+/** The claimant that gets the next unit. */
 function nextClaimant(
   claims: readonly Claim[],
   claimants: readonly number[],
   shares: readonly number[],
 ): number {
-  let first = claimants[0] ?? 0;
+  let next = claimants[0] ?? 0;
   for (const index of claimants)
-    if (quotient(claims, shares, index) > quotient(claims, shares, first)) first = index;
-  return first;
+    if (quotient(claims, shares, index) > quotient(claims, shares, next)) next = index;
+  return next;
 }
 
-/** D'Hondt's quotient: the weight for each unit, with one unit more. */
+/** The D'Hondt quotient: the weight divided by the share plus one unit. */
 function quotient(claims: readonly Claim[], shares: readonly number[], index: number): number {
   return weightOf(claims, index) / (shareOf(shares, index) + 1);
 }
--- a/src/core/jobs/submission.ts
+++ b/src/core/jobs/submission.ts
@@ -24,7 +24,7 @@
   readonly onJobAccepted: (entry: StoreEntry) => void;
 }
 
-type AdmittedDecision = Extract<Decision, { kind: "take" }>;
+type AdmittedDecision = Extract<Decision, { kind: "admit" }>;
 
 /** A submission that is being written. */
 interface PendingWrite {
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -179,7 +179,7 @@
     const { settings, wallMs } = this.#ctx;
     const due = this.turns.due(pending, settings.admission_turn_s * 1000, wallMs);
     for (const job of pending) job.hasRoundRobinTurn = due.has(job);
-    return this.turns.places(pending);
+    return this.turns.queuePositions(pending);
   }
 
   #serve(entry: QueuedJob): void {
--- a/test/retry-reservations.test.ts
+++ b/test/retry-reservations.test.ts
@@ -17,7 +17,7 @@
       for (let i = 0; i < 10; i++) {
         const id = `j-1${++uid}`;
         const decision = cluster.node(name).admission.decide(id, "red");
-        if (decision.kind === "take") continue;
+        if (decision.kind === "admit") continue;
 
         assert.ok(decision.retryAfterS >= 1 && decision.retryAfterS <= 30);
 
@@ -36,7 +36,7 @@
       // Each retry goes to another node than the one that refused it.
       const due = returningAt.get(second)?.filter((_, i) => i % NODES.length === nodeIndex) ?? [];
       for (const id of due) {
-        if (cluster.node(name).admission.decide(id, "red").kind === "take") acceptedOnReturn++;
+        if (cluster.node(name).admission.decide(id, "red").kind === "admit") acceptedOnReturn++;
         else refusedAgain++;
       }
     }
--- a/test/support/admission-cluster.ts
+++ b/test/support/admission-cluster.ts
@@ -108,7 +108,7 @@
     for (let i = 0; i < count; i++) {
       const uid = this.#dueRetry(team) ?? `j-${++this.#uid}`;
       const decision = this.node(name).admission.decide(uid, team);
-      if (decision.kind === "take") accepted++;
+      if (decision.kind === "admit") accepted++;
       else this.#refused.push({ uid, team, at: this.now + decision.retryAfterS * 1000 });
     }
     this.openJobs.set(team, (this.openJobs.get(team) ?? 0) + accepted);
