--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -191,7 +191,7 @@
       this.leaderTerm?.finishBatch(budget);
     });
     const effects = this.ctx.takeEffects();
-    if (this.leaderTerm) this.#failover.noteEffects(effects, this.leaderTerm.agents.areRecordsLoaded);
+    if (this.leaderTerm) this.#failover.observeEffects(effects, this.leaderTerm.agents.areRecordsLoaded);
     return effects;
   }
 
--- a/src/core/peer-table.ts
+++ b/src/core/peer-table.ts
@@ -96,7 +96,7 @@
   /** How ready each peer is to lead from its cache of the records. */
   standbys(): PeerStandby[] {
     return [...this.#peers].map(([node, peer]) => {
-      return { node, isHeard: this.#isHeard(peer), warmth: peer.standby };
+      return { node, isAlive: this.#isHeard(peer), warmth: peer.standby };
     });
   }
 
--- a/src/standby/cache-feed.ts
+++ b/src/standby/cache-feed.ts
@@ -3,25 +3,25 @@
 import { RecordReader } from "../core/store/record-reader.js";
 import { CACHED_PREFIXES, type CachedPrefix, type RecordCache } from "./record-cache.js";
 
-/** How long the store holds a watch open without a change, and how much longer an answer is waited for. */
+/** How long the store holds a watch open if nothing changes, and how much longer to wait for its response. */
 const WATCH_WAIT_MS = 5000;
 const WATCH_GRACE_MS = 1500;
-/** The pause between watches, so that many changes come with one response. */
+/** Delay between watches, so that one response carries many changes. */
 const WATCH_PAUSE_MS = 400;
 const RETRY_MS = 1000;
 
-/** How far the copy of one prefix is. `reason` says why it is not up to date, for the status. */
+/** How far one prefix of the cache is up to date. `reason` says why it is not, for the status. */
 type Progress =
-  /** The records are to be read from the beginning, or are being read. */
+  /** All records have yet to be read, or are being read. */
   | { readonly kind: "reading"; readonly reason: string }
-  /** The records are there; no watch since then was answered, or the last one was not. */
+  /** All records have been read, but no watch has been answered since, or the last one failed. */
   | { readonly kind: "behind"; readonly reason: string }
   | { readonly kind: "following" };
 
-/** Keeps one prefix of the cache up to date: by one range read, then one watch after another. */
+/** Keeps one prefix of the cache up to date: one range read, followed by successive watches. */
 class PrefixFeed {
   progress: Progress = { kind: "reading", reason: "the records are being read" };
-  /** When the copy was last proved complete; null before the first time. */
+  /** When the cached records were last confirmed to be complete; null before the first time. */
   confirmedAt: number | null = null;
   readonly #ctx: Context;
   readonly #cache: RecordCache;
@@ -38,13 +38,13 @@
     this.#reader = new RecordReader(ctx);
   }
 
-  /** Ends all reading; a response that is under way is dropped. */
+  /** Stops reading and watching; a response to the call in flight is ignored. */
   stop(): void {
     this.#isStopped = true;
     this.#reader.stop();
   }
 
-  /** Makes the next call to the store if it is due; there is one at a time. */
+  /** Makes the next call to the store if it is due. At most one call is in flight at a time. */
   tick(): void {
     this.#reader.tick();
     if (this.#isCallInFlight || this.#isStopped || this.#ctx.now < this.#nextCallAt) return;
@@ -53,23 +53,23 @@
     else this.#watch();
   }
 
-  /** Adds pages as they come, so that too many records are noticed before all of them are in memory. */
+  /** Adds each page as it arrives, so that the memory limit is detected before all records are in memory. */
   #read(): void {
-    this.#cache.begin(this.#prefix);
+    this.#cache.beginLoad(this.#prefix);
     const addPage = (entries: readonly StoreEntry[]) => {
-      this.#cache.add(this.#prefix, entries);
+      this.#cache.addPage(this.#prefix, entries);
       return !this.#cache.isTooLarge;
     };
     this.#reader.readPages(this.#prefix, addPage, (firstRevision) => {
-      // Watching goes on from the revision of the first page: what changed while the others were read comes again.
-      this.#cache.complete(this.#prefix, firstRevision);
+      // Watches from the revision of the first page, to receive changes that were made while the others were read.
+      this.#cache.completeLoad(this.#prefix, firstRevision);
       this.progress = { kind: "behind", reason: "the changes since the first read are yet to come" };
       this.#scheduleNextCall(0);
     });
   }
 
   #watch(): void {
-    const after = this.#cache.through(this.#prefix);
+    const after = this.#cache.prefixCompleteThrough(this.#prefix);
     const waitMs = this.progress.kind === "behind" ? 0 : WATCH_WAIT_MS;
     const request = { kind: "watch", prefix: this.#prefix, after, waitMs } as const;
     this.#ctx.callStore(request, waitMs + WATCH_GRACE_MS, (response) => {
@@ -78,7 +78,7 @@
     });
   }
 
-  /** Applies the changes after a revision; false if the copy could not be brought up to date. */
+  /** Applies the changes after a revision. Returns false if the prefix could not be brought up to date. */
   #applyResponse(response: StoreResponse, after: number): boolean {
     if (response.kind === "events" && response.revision >= after) {
       this.#cache.apply(this.#prefix, response.events, response.revision);
@@ -100,7 +100,7 @@
   }
 }
 
-/** Keeps the cache up to date with the store, for as long as this node is the standby. */
+/** Keeps the cache up to date with the store while this node is the standby. */
 export class CacheFeed {
   readonly #ctx: Context;
   readonly #feeds: readonly PrefixFeed[];
@@ -110,28 +110,28 @@
     this.#feeds = CACHED_PREFIXES.map((prefix) => new PrefixFeed(ctx, cache, prefix));
   }
 
-  /** Ends all reading; the cache is not changed any more. */
+  /** Stops all reading and watching; the cache no longer changes. */
   stop(): void {
     for (const feed of this.#feeds) feed.stop();
   }
 
-  /** Makes the calls to the store that are due. */
+  /** Makes all calls to the store that are due. */
   tick(): void {
     for (const feed of this.#feeds) feed.tick();
   }
 
-  /** Why the cache is not up to date; null while it is. */
+  /** Why the cache is not up to date; null if it is. */
   get problem(): string | null {
     for (const { progress } of this.#feeds) if (progress.kind !== "following") return progress.reason;
     return null;
   }
 
-  /** True once all prefixes were read: one more watch of each then brings the cache up to date. */
+  /** True once all prefixes have been read, so that one more watch of each brings the cache up to date. */
   get isComplete(): boolean {
     return this.#feeds.every(({ progress }) => progress.kind !== "reading");
   }
 
-  /** The milliseconds since all of the cache was last proved complete; null if it was not yet. */
+  /** Milliseconds since the whole cache was last confirmed to be complete; null before the first time. */
   get lagMs(): number | null {
     let oldestAt = Number.POSITIVE_INFINITY;
     for (const { confirmedAt } of this.#feeds) {
--- a/src/standby/failover-timeline.ts
+++ b/src/standby/failover-timeline.ts
@@ -1,4 +1,4 @@
-/** The phases of a failover, in their order. Status and metrics show them under these names. */
+/** The phases of a failover, in order. Status and metrics use these names. */
 export const PHASES = ["leaderGone", "elected", "confirmed", "ready", "firstAnswer", "firstStart"] as const;
 
 /** One of the {@link PHASES}. */
@@ -7,12 +7,12 @@
 /** When this node reached each phase of its last failover. */
 export class FailoverTimeline {
   readonly #reachedAt = new Map<Phase, number>();
-  /** Where the term's records came from. */
+  /** Whether the records of the term came from the cache (warm) or from the store (cold). */
   source: "cold" | "warm" | null = null;
   /** Why the cache was not used; null if it was. */
   coldReason: string | null = null;
 
-  /** Starts anew: the previous leader's key was removed. */
+  /** Starts a new timeline when the previous leader's key has been removed. */
   begin(now: number): void {
     this.#reachedAt.clear();
     this.source = null;
@@ -20,17 +20,20 @@
     this.#reachedAt.set("leaderGone", now);
   }
 
-  /** Records that a phase is reached; only the first time counts. */
-  note(phase: Phase, now: number): void {
+  /** Records when a phase is reached; later calls for the same phase have no effect. */
+  markReached(phase: Phase, now: number): void {
     if (!this.#reachedAt.has(phase)) this.#reachedAt.set(phase, now);
   }
 
-  /** True once the last phases are reached. */
+  /** True once the last two phases have been reached. */
   get isOver(): boolean {
     return this.#reachedAt.has("firstStart") && this.#reachedAt.has("firstAnswer");
   }
 
-  /** The phases reached, each with the milliseconds since the previous leader's key was removed. */
+  /**
+   * The phases reached so far, each with the milliseconds since the previous leader's key was removed, or since the
+   * election if this node did not see the removal.
+   */
   phases(): [Phase, number][] {
     const beginAt = this.#reachedAt.get("leaderGone") ?? this.#reachedAt.get("elected");
     if (beginAt === undefined) return [];
@@ -40,7 +43,7 @@
     });
   }
 
-  /** The failover part of the node's status. */
+  /** The failover section of the node's status. */
   report(): Record<string, unknown> {
     const durations = this.phases().map(([phase, durationMs]) => [`${phase}_ms`, durationMs] as const);
     if (durations.length === 0) return {};
--- a/src/standby/failover.ts
+++ b/src/standby/failover.ts
@@ -6,71 +6,71 @@
 import { isStandby, type PeerStandby, type Warmth } from "./role.js";
 import { Standby, type StandbyReport } from "./standby.js";
 
-/** A node without a warm cache campaigns this much later if a peer has one. */
+/** A node without a warm cache delays its campaign by this much if a peer has one. */
 const CAMPAIGN_DELAY_MS = 600;
 
-/** What this node knows of its peers. */
-export interface Peers {
-  /** Each peer's part in the standby. */
+/** Provides the standby state of this node's peers. */
+export interface PeerStandbySource {
+  /** The standby state of each peer. */
   standbys(): PeerStandby[];
 }
 
-/** This node's part in a failover: the role of the standby, the delay of a campaign, and the records of a new term. */
+/** Manages failover at this node: the standby role, the campaign delay, and the record source of a new term. */
 export class Failover {
   /** The phases of this node's last failover. */
   readonly timeline = new FailoverTimeline();
   readonly #ctx: Context;
-  readonly #peers: Peers;
-  /** Null where the standby is not switched on. */
+  readonly #peers: PeerStandbySource;
+  /** Null if the standby is disabled. */
   readonly #standby: Standby | null;
   #isStandby = false;
 
-  /** `maxCacheBytes` is what the standby's cache may take; 0 where the standby is not switched on. */
-  constructor(ctx: Context, peers: Peers, maxCacheBytes: number) {
+  /** `maxCacheBytes` is the memory limit of the standby cache; 0 disables the standby. */
+  constructor(ctx: Context, peers: PeerStandbySource, maxCacheBytes: number) {
     this.#ctx = ctx;
     this.#peers = peers;
     this.#standby = maxCacheBytes > 0 ? new Standby(ctx, maxCacheBytes) : null;
   }
 
-  /** Whether this node could lead from its cache; undefined where the standby is not switched on. */
+  /** Whether this node could start a term from its cache; undefined if the standby is disabled. */
   get warmth(): Warmth | undefined {
     return this.#standby?.warmth;
   }
 
-  /** Updates the role and lets the standby work. `leader` is null while nobody leads. */
+  /** Updates the standby role and advances the standby. `leader` is null while there is no leader. */
   tick(leader: string | null): void {
     if (!this.#standby) return;
-    // Without a leader the roles stay: this is when the cache is needed.
+    // Keeps the role while there is no leader, because that is when the cache is needed.
     if (leader !== null)
       this.#isStandby = isStandby(this.#ctx.deployment.node, leader, this.#peers.standbys());
     this.#standby.tick(this.#isStandby);
   }
 
-  /** The leader's key was removed: a failover begins. */
+  /** Starts the failover timeline; called when the leader's key has been removed. */
   onLeaderKeyRemoved(): void {
     this.timeline.begin(this.#ctx.now);
   }
 
-  /** This node was elected. */
+  /** Called when this node has been elected. */
   onElected(): void {
-    this.timeline.note("elected", this.#ctx.now);
+    this.timeline.markReached("elected", this.#ctx.now);
   }
 
-  /** How long to wait before campaigning, so that a node with a warm cache wins. `leader` is the previous leader. */
+  /** How long to delay a campaign so that a node with a warm cache wins. `leader` is the previous leader. */
   campaignDelayMs(leader: string | null): number {
     if (!this.#standby || this.#standby.warmth === "warm") return 0;
     const isPeerWarm = this.#peers
       .standbys()
-      .some(({ node, isHeard, warmth }) => node !== leader && isHeard && warmth === "warm");
+      .some(({ node, isAlive, warmth }) => node !== leader && isAlive && warmth === "warm");
     return isPeerWarm ? CAMPAIGN_DELAY_MS : 0;
   }
 
-  /** The source of the records for a term whose election had this revision; `cold` reads them from the store. */
+  /** The record source for the term whose election has this store revision. `cold` reads the records from the store. */
   recordSource(revision: number, cold: RecordSource): RecordSource {
     const onSourceChosen = (source: "warm" | "cold", reason: string | null) => {
       this.timeline.source = source;
       this.timeline.coldReason = reason;
-      this.timeline.note("confirmed", this.#ctx.now);
+      this.timeline.markReached("confirmed", this.#ctx.now);
     };
     this.#isStandby = false;
     if (this.#standby) return this.#standby.recordSource(revision, cold, { onSourceChosen });
@@ -78,28 +78,27 @@
     return cold;
   }
 
-  /** Records the phases that the leader's effects show. `isReady`: the cluster state has been built. */
-  noteEffects(effects: readonly Effect[], isReady: boolean): void {
+  /** Records the phases that are visible in the leader's effects. `isReady` is true once the cluster state is built. */
+  observeEffects(effects: readonly Effect[], isReady: boolean): void {
     if (this.timeline.isOver) return;
     const { now } = this.#ctx;
-    if (isReady) this.timeline.note("ready", now);
+    if (isReady) this.timeline.markReached("ready", now);
     for (const effect of effects) {
       const commands = commandsOf(effect);
       if (commands === null) continue;
-      if (effect.kind !== "sendAgentCommands") this.timeline.note("firstAnswer", now);
-      if (commands.some(({ kind }) => kind === "start")) this.timeline.note("firstStart", now);
+      if (effect.kind !== "sendAgentCommands") this.timeline.markReached("firstAnswer", now);
+      if (commands.some(({ kind }) => kind === "start")) this.timeline.markReached("firstStart", now);
     }
   }
 
   /**
-   * The state of the standby; null where it is not switched on. `latestRevision` is the latest revision of the store that
-   * this node knows of.
+   * The state of the standby; null if it is disabled. `latestRevision` is the latest store revision known to this node.
    */
   standbyReport(latestRevision: number): StandbyReport | null {
     return this.#standby?.report(latestRevision) ?? null;
   }
 
-  /** The standby and failover parts of the node's status. */
+  /** The standby and failover sections of the node's status. */
   status(latestRevision: number): Record<string, unknown> {
     const takeover = this.timeline.report();
     const report = this.standbyReport(latestRevision);
@@ -110,7 +109,7 @@
   }
 }
 
-/** The commands to an agent that an effect carries; null if it is for no agent, or rejects a heartbeat. */
+/** The commands that an effect sends to an agent; null if it is not sent to an agent or rejects a heartbeat. */
 function commandsOf(effect: Effect): readonly AgentCommand[] | null {
   if (effect.kind === "sendAgentCommands") return effect.commands;
   if (effect.kind !== "replyToAgent" && effect.kind !== "replyToForwardedHeartbeat") return null;
--- a/src/standby/record-cache.ts
+++ b/src/standby/record-cache.ts
@@ -2,13 +2,13 @@
 import type { StoredRecords } from "../core/store/record-reader.js";
 import { KEYS } from "../core/store/records.js";
 
-/** The key prefixes of the records that a leader's term starts from. */
+/** Key prefixes of the records that a leader loads at the start of its term. */
 export const CACHED_PREFIXES = [KEYS.machinesPrefix, KEYS.chunksPrefix, KEYS.jobsPrefix] as const;
 
 /** One of the {@link CACHED_PREFIXES}. */
 export type CachedPrefix = (typeof CACHED_PREFIXES)[number];
 
-/** The memory that an entry takes beside its value: key, version and the entry itself. */
+/** Estimated memory of an entry without its value: key, version and the entry object. */
 const ENTRY_BYTES = 150;
 const NUMBER_BYTES = 8;
 const CONTAINER_BYTES = 32;
@@ -21,47 +21,47 @@
 /** The records under one prefix. */
 class Section {
   readonly records = new Map<string, CachedRecord>();
-  /** The revision through which the section has every change; 0 while it is not complete. */
+  /** The section contains all changes up to and including this revision; 0 until it is complete. */
   completeThrough = 0;
 }
 
 /**
- * A copy of records of the store: keys, values and versions, nothing derived from them. It proves nothing about liveness:
- * only fencing tokens, heartbeats and leases do.
+ * A cache of store records: keys, values and versions, but no derived state. Its contents are no evidence of liveness;
+ * only fencing tokens, heartbeats and leases are.
  */
 export class RecordCache {
   readonly #sections = new Map<CachedPrefix, Section>(
     CACHED_PREFIXES.map((prefix) => [prefix, new Section()]),
   );
   readonly #maxBytes: number;
-  /** The memory that the cache takes, estimated. */
+  /** Estimated memory use of the cache. */
   bytes = 0;
 
-  /** `maxBytes` bounds nothing by itself: the user of the cache has to look at `isTooLarge`. */
+  /** The cache does not enforce `maxBytes` itself; its user must check `isTooLarge`. */
   constructor(maxBytes = Number.POSITIVE_INFINITY) {
     this.#maxBytes = maxBytes;
   }
 
-  /** True if the cache has outgrown its bound. */
+  /** True if the cache exceeds its memory limit. */
   get isTooLarge(): boolean {
     return this.bytes > this.#maxBytes;
   }
 
-  /** The number of records. */
+  /** Number of cached records. */
   get size(): number {
     let sum = 0;
     for (const { records } of this.#sections.values()) sum += records.size;
     return sum;
   }
 
-  /** The revision through which one prefix has every change; 0 while it is not complete. */
-  through(prefix: CachedPrefix): number {
+  /** One prefix contains all changes up to and including this revision; 0 until it is complete. */
+  prefixCompleteThrough(prefix: CachedPrefix): number {
     return this.#section(prefix).completeThrough;
   }
 
-  /** The revision through which all prefixes have every change; 0 while one is not complete. */
+  /** All prefixes contain all changes up to and including this revision; 0 until all of them are complete. */
   get completeThrough(): number {
-    return Math.min(...CACHED_PREFIXES.map((prefix) => this.through(prefix)));
+    return Math.min(...CACHED_PREFIXES.map((prefix) => this.prefixCompleteThrough(prefix)));
   }
 
   /** Drops all records. */
@@ -73,27 +73,31 @@
     this.bytes = 0;
   }
 
-  /** Drops the records of a prefix before they are read from the beginning. */
-  begin(prefix: CachedPrefix): void {
+  /** Drops the records of a prefix before all of them are read again. */
+  beginLoad(prefix: CachedPrefix): void {
     const section = this.#section(prefix);
     for (const key of [...section.records.keys()]) this.#remove(section, key);
     section.completeThrough = 0;
   }
 
-  /** Adds one page of the records under a prefix. */
-  add(prefix: CachedPrefix, entries: readonly StoreEntry[]): void {
+  /** Adds one page of records under a prefix. */
+  addPage(prefix: CachedPrefix, entries: readonly StoreEntry[]): void {
     const section = this.#section(prefix);
     for (const entry of entries) this.#put(section, entry);
   }
 
-  /** All pages were added. `revision` is that of the first page: later changes may be missing from it. */
-  complete(prefix: CachedPrefix, revision: number): void {
+  /**
+   * Marks a prefix as complete once all pages are added. `revision` is that of the first page, as later changes may be
+   * missing.
+   */
+  completeLoad(prefix: CachedPrefix, revision: number): void {
     this.#section(prefix).completeThrough = revision;
   }
 
   /**
-   * Applies all changes under a prefix from where it was complete `through` a later revision. Idempotent and independent
-   * of order: a change that was applied before, or a result older than the cache, changes nothing.
+   * Applies all changes under a prefix from the revision at which it was complete up to and including `through`.
+   * Idempotent and independent of order: changes that were already applied and results older than the cache have no
+   * effect.
    */
   apply(prefix: CachedPrefix, events: readonly WatchEvent[], through: number): void {
     const section = this.#section(prefix);
@@ -104,13 +108,13 @@
       const known = section.records.get(key);
       if (versionOf(event) <= (known?.entry.version ?? 0)) continue;
       if (event.kind === "removed") this.#remove(section, key);
-      // A key that is absent in a complete section was removed: a put from before that must not restore it.
+      // A key that is missing from a complete section has been removed, so an older put must not restore it.
       else if (versionOf(event) > section.completeThrough || known) this.#put(section, event.entry);
     }
     section.completeThrough = through;
   }
 
-  /** All records, in the order of keys, as a range read returns them. */
+  /** All records in key order, as a range read returns them. */
   records(): StoredRecords {
     const sorted = (prefix: CachedPrefix) =>
       [...this.#section(prefix).records.values()]
@@ -125,7 +129,7 @@
 
   #section(prefix: CachedPrefix): Section {
     const section = this.#sections.get(prefix);
-    if (!section) throw new RangeError(`no records are cached under ${prefix}`);
+    if (!section) throw new RangeError(`records under ${prefix} are not cached`);
     return section;
   }
 
@@ -148,7 +152,7 @@
   return event.kind === "put" ? event.entry.version : event.version;
 }
 
-/** Estimates the memory that a value takes; cheaper than serialising it. */
+/** Estimates the memory use of a value; this is cheaper than serialising it. */
 function estimateBytes(value: unknown): number {
   if (typeof value === "string") return CONTAINER_BYTES + value.length;
   if (typeof value !== "object" || value === null) return NUMBER_BYTES;
--- a/src/standby/role.ts
+++ b/src/standby/role.ts
@@ -1,21 +1,23 @@
-/** Whether a node could lead from its cache. Nodes without the standby say neither. */
+/** Whether a node could start a term from its cache. Nodes with the standby disabled report neither value. */
 export type Warmth = "cold" | "warm";
 
-/** What this node knows of a peer's part in the standby. */
+/** The standby state of a peer, as known to this node. */
 export interface PeerStandby {
   readonly node: string;
-  readonly isHeard: boolean;
-  /** Undefined for a peer that can't be a standby: it is switched off there, or the peer is of an older version. */
+  /** True if a heartbeat of the peer arrived recently. */
+  readonly isAlive: boolean;
+  /** Undefined for a peer that cannot be the standby: it has the standby disabled or runs the previous version. */
   readonly warmth: Warmth | undefined;
 }
 
 /**
- * Whether this node is the standby: the first by name of those that can be and do not lead, so that all nodes that hear
- * each other agree. Nodes that don't may both be the standby, which costs requests and nothing else.
+ * Whether this node is the standby: the first by name of the alive nodes that have the standby enabled and do not lead.
+ * Nodes that receive each other's heartbeats therefore agree. Nodes that do not may both be the standby, which only
+ * costs extra requests.
  */
-export function isStandby(self: string, leader: string | null, peers: readonly PeerStandby[]): boolean {
-  if (leader === self) return false;
+export function isStandby(nodeName: string, leader: string | null, peers: readonly PeerStandby[]): boolean {
+  if (leader === nodeName) return false;
   return !peers.some(
-    ({ node, isHeard, warmth }) => isHeard && warmth !== undefined && node !== leader && node < self,
+    ({ node, isAlive, warmth }) => isAlive && warmth !== undefined && node !== leader && node < nodeName,
   );
 }
--- a/src/standby/standby.ts
+++ b/src/standby/standby.ts
@@ -5,32 +5,32 @@
 import type { Warmth } from "./role.js";
 import { WarmStart } from "./warm-start.js";
 
-/** A node reads the records only after it has been the standby for this long, as roles change while nodes start. */
+/** A node reads the records only after it has been the standby for this long, because roles change during startup. */
 const SETTLE_MS = 3000;
-/** A node whose ticks are this far apart is overloaded, and does not feed its cache for a while. */
+/** A node whose ticks are further apart than this is overloaded and stops updating its cache for a while. */
 const MAX_TICK_GAP_MS = 600;
 const OVERLOAD_PAUSE_MS = 3000;
-/** A cache that has outgrown its bound is filled again after this. */
+/** Delay before a cache that exceeded its memory limit is filled again. */
 const TOO_LARGE_RETRY_MS = 300_000;
 
-/** What a {@link Standby} reports of a failover. */
+/** Receives the failover events of a {@link Standby}. */
 export interface FailoverEvents {
-  /** Where the records of the term come from, and why not from the cache; null if they do. */
+  /** Called when the record source of the term is known. `reason` is why the cache was not used; null if it was. */
   onSourceChosen(source: "warm" | "cold", reason: string | null): void;
 }
 
-/** The state of the standby, for status and metrics. */
+/** The state of the standby for status and metrics. */
 export interface StandbyReport {
-  /** True if this node could lead from its cache. */
+  /** True if this node could start a term from its cache. */
   readonly warm: boolean;
-  /** Why the cache is cold; null while it is warm. */
+  /** Why the cache is cold; null if it is warm. */
   readonly why: string | null;
   readonly records: number;
-  /** The memory that the cache takes, estimated. */
+  /** Estimated memory use of the cache. */
   readonly bytes: number;
-  /** Revisions by which the cache is behind; null while it is empty. */
+  /** Number of revisions by which the cache is behind the store; null while it is empty. */
   readonly lagRevisions: number | null;
-  /** Seconds since the cache was last proved complete; null if it was not yet. */
+  /** Seconds since the cache was last confirmed to be complete; null before the first time. */
   readonly lagS: number | null;
 }
 
@@ -40,7 +40,7 @@
   | { readonly kind: "following"; readonly feed: CacheFeed }
   | { readonly kind: "tooLarge"; readonly until: number; readonly bytes: number };
 
-/** Caches the records while another node leads, so that this one can lead without reading all of them. */
+/** Caches the records while another node leads, so that this node can start a term without reading all of them. */
 export class Standby {
   readonly #ctx: Context;
   readonly #maxBytes: number;
@@ -55,13 +55,13 @@
     this.#cache = new RecordCache(maxBytes);
   }
 
-  /** Advances the state; `isStandby` is whether this node has the role. */
+  /** Advances the state. `isStandby` is true if this node has the standby role. */
   tick(isStandby: boolean): void {
     const { now } = this.#ctx;
     if (now - this.#tickedAt > MAX_TICK_GAP_MS) this.#overloadedUntil = now + OVERLOAD_PAUSE_MS;
     this.#tickedAt = now;
     if (!isStandby) {
-      this.drop();
+      this.deactivate();
       return;
     }
     switch (this.#state.kind) {
@@ -73,7 +73,7 @@
           this.#state = { kind: "following", feed: new CacheFeed(this.#ctx, this.#cache) };
         break;
       case "following":
-        if (this.#cache.isTooLarge) this.#giveUp(this.#state.feed);
+        if (this.#cache.isTooLarge) this.#dropOversizedCache(this.#state.feed);
         else if (now >= this.#overloadedUntil && this.#ctx.storeFailingSince === null)
           this.#state.feed.tick();
         break;
@@ -83,15 +83,15 @@
     }
   }
 
-  /** Stops the feed and frees the cache. */
-  drop(): void {
+  /** Stops the feed and clears the cache. */
+  deactivate(): void {
     if (this.#state.kind === "idle") return;
     if (this.#state.kind === "following") this.#state.feed.stop();
     this.#state = { kind: "idle" };
     this.#cache.clear();
   }
 
-  #giveUp(feed: CacheFeed): void {
+  #dropOversizedCache(feed: CacheFeed): void {
     const { bytes } = this.#cache;
     feed.stop();
     this.#cache.clear();
@@ -102,12 +102,12 @@
     });
   }
 
-  /** Whether this node could lead from its cache. */
+  /** Whether this node could start a term from its cache. */
   get warmth(): Warmth {
     return this.#coldReason() === null ? "warm" : "cold";
   }
 
-  /** Why the cache is cold; null while it is warm. */
+  /** Why the cache is cold; null if it is warm. */
   #coldReason(): string | null {
     const state = this.#state;
     switch (state.kind) {
@@ -124,8 +124,8 @@
   }
 
   /**
-   * The source of the records for a term whose election had this revision: the cache if it has been filled, else `cold`.
-   * The cache is handed over; this node would fill a new one.
+   * The record source for the term whose election has this store revision: the cache if all records have been read into
+   * it, otherwise `cold`. The source takes over the cache; the standby continues with a new, empty one.
    */
   recordSource(revision: number, cold: RecordSource, events: FailoverEvents): RecordSource {
     const state = this.#state;
@@ -143,7 +143,7 @@
     });
   }
 
-  /** The state of the standby. `latestRevision` is the latest revision of the store that this node knows of. */
+  /** The state of the standby. `latestRevision` is the latest store revision known to this node. */
   report(latestRevision: number): StandbyReport {
     const lagMs = this.#state.kind === "following" ? this.#state.feed.lagMs : null;
     const reason = this.#coldReason();
--- a/src/standby/warm-start.ts
+++ b/src/standby/warm-start.ts
@@ -4,25 +4,26 @@
 import { KEYS } from "../core/store/records.js";
 import { CACHED_PREFIXES, type CachedPrefix, type RecordCache } from "./record-cache.js";
 
-/** The timeout of each attempt to bring the cache up to date; after the last the records are read without it. */
+/** Timeouts of the attempts to bring the cache up to date. After the last one, the records are read from the store. */
 const ATTEMPT_TIMEOUTS_MS = [300, 700, 1500];
 
-/** Why a cache could not be used for a failover. */
+/** Why the cache could not be used for a failover. */
 export type Refusal = "changes no longer kept" | "no answer" | "the state service went back";
 
-/** The outcome of a {@link WarmStart}. */
+/** Receives the outcome of a {@link WarmStart}. */
 export interface WarmStartEvents {
-  /** The cache is proved to be up to date. */
+  /** The cache has been confirmed to be up to date. */
   confirmed(): void;
-  /** It could not be proved up to date: the records are read from the store. */
+  /** The cache could not be confirmed to be up to date, so the records are read from the store. */
   refused(reason: Refusal): void;
 }
 
 /**
- * Loads the records of a term from the standby's cache, once it is proved to be complete (docs/design/warm-standby.md).
- * Every write of an earlier leader is conditioned on its leader key, which the election replaced, so none is carried out
- * after the revision of the election. One watch of each prefix without waiting brings what changed since the cached
- * revision; a response at the revision of the election or later has all of it.
+ * Loads the records of a term from the standby cache, once the cache is confirmed to be complete
+ * (docs/design/warm-standby.md). Every write of a previous leader is conditioned on its leader key. The election
+ * replaced that key, so no such write succeeds after the election's revision. One watch without waiting per prefix
+ * returns all changes since the cached revision; a response at the election's revision or later includes every write of
+ * previous leaders.
  */
 export class WarmStart implements RecordSource {
   readonly #ctx: Context;
@@ -31,7 +32,7 @@
   readonly #cold: RecordSource;
   readonly #events: WarmStartEvents;
 
-  /** `cold` reads the records from the store, if the cache can't be used. */
+  /** `cold` reads the records from the store if the cache cannot be used. */
   constructor(
     ctx: Context,
     cache: RecordCache,
@@ -46,9 +47,9 @@
     this.#events = events;
   }
 
-  /** Yields the records; the cache is empty afterwards. */
+  /** Loads the records and clears the cache. */
   load(onLoaded: (loaded: LoadedRecords) => void): void {
-    const askedAt = this.#ctx.now;
+    const requestedAt = this.#ctx.now;
     let prefixesLeft: number = CACHED_PREFIXES.length;
     let refusal: Refusal | null = null;
     const onPrefixDone = (problem: Refusal | null) => {
@@ -58,8 +59,8 @@
         this.#events.confirmed();
         onLoaded({
           records: this.#cache.records(),
-          revision: this.#cache.through(KEYS.jobsPrefix),
-          requestedAt: askedAt,
+          revision: this.#cache.prefixCompleteThrough(KEYS.jobsPrefix),
+          requestedAt,
         });
       } else {
         this.#ctx.log("info", "standby cache not used", { reason: refusal });
@@ -77,7 +78,7 @@
       onDone("no answer");
       return;
     }
-    const after = this.#cache.through(prefix);
+    const after = this.#cache.prefixCompleteThrough(prefix);
     this.#ctx.callStore({ kind: "watch", prefix, after, waitMs: 0 }, timeoutMs, (response) => {
       const refusal = this.#applyResponse(response, prefix, after);
       if (refusal === "no answer") this.#bringUpToDate(prefix, attempt + 1, onDone);
@@ -88,7 +89,7 @@
   #applyResponse(response: StoreResponse, prefix: CachedPrefix, after: number): Refusal | null {
     if (response.kind === "compacted") return "changes no longer kept";
     if (response.kind !== "events") return "no answer";
-    // A response from before the election proves nothing.
+    // A response from before the election may lack later writes of the previous leader.
     if (response.revision < Math.max(this.#electionRevision, after)) return "the state service went back";
     this.#cache.apply(prefix, response.events, response.revision);
     return null;
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -305,9 +305,9 @@
 });
 
 test("the standby is the first node by name that is heard and does not lead, nodes of the previous version excepted", () => {
-  const peer = (node: string, isHeard: boolean, warmth: "cold" | "warm" | undefined) => ({
+  const peer = (node: string, isAlive: boolean, warmth: "cold" | "warm" | undefined) => ({
     node,
-    isHeard,
+    isAlive,
     warmth,
   });
   assert.equal(isStandby("n1", "n0", [peer("n0", true, "cold"), peer("n2", true, "cold")]), true);
