--- a/src/core/scheduling/feasible-machines.ts
+++ b/src/core/scheduling/feasible-machines.ts
@@ -5,10 +5,10 @@
 import type { Resources } from "../model/resources.js";
 import type { GpuHeadroomGuard } from "./gpu-headroom-guard.js";
 
-/** Which of the feasible machines may be considered. */
+/** Selects which feasible machines may be considered. */
 export type MachineFilter = (machine: Machine) => boolean;
 
-/** The filter that lets every machine pass. */
+/** Accepts every machine. */
 export const anyMachine: MachineFilter = () => true;
 
 /** Finds the machines on which a task of a job may be placed. */
@@ -18,14 +18,14 @@
   readonly #gpuHeadroom: GpuHeadroomGuard;
   /** The schedulable machines of this round, by type. */
   #schedulableByType = new Map<string, Machine[]>();
-  /** Those with capacity for the least demand of any job of the round: in a loaded cluster, few. */
+  /** Schedulable machines with capacity for the smallest demand in the round, by type; few in a loaded cluster. */
   #withCapacityByType = new Map<string, Machine[]>();
   /**
-   * True if the last search was narrowed by what belongs to its job alone (shape, image, failures): other
-   * jobs of the same demand may find machines where it found none.
+   * True if properties of the job itself (shape, image, failures) restricted the last search, so that other
+   * jobs with the same demand may still find feasible machines.
    */
   isJobSpecific = false;
-  /** Counts the machines examined for some job: the work of the rounds. */
+  /** Number of machines examined in all searches, a measure of scheduling work. */
   machinesExamined = 0;
 
   constructor(ctx: Context, clusterState: ClusterState, gpuHeadroom: GpuHeadroomGuard) {
@@ -34,10 +34,7 @@
     this.#gpuHeadroom = gpuHeadroom;
   }
 
-  /**
-   * Lists the schedulable machines for a round, and those of them with capacity for the least demand of these
-   * jobs.
-   */
+  /** Indexes the schedulable machines for a round, and those with capacity for the smallest demand of `jobs`. */
   beginRound(jobs: readonly Job[]): void {
     this.#schedulableByType = new Map();
     this.#withCapacityByType = new Map();
@@ -50,12 +47,13 @@
     const leastNeed = { cpu, gpu: 0, ram };
     for (const machine of this.#clusterState.machines.values()) {
       if (!this.isSchedulable(machine)) continue;
-      listOf(this.#schedulableByType, machine.typeName).push(machine);
-      if (machine.hasCapacityFor(leastNeed)) listOf(this.#withCapacityByType, machine.typeName).push(machine);
+      getOrCreateList(this.#schedulableByType, machine.typeName).push(machine);
+      if (machine.hasCapacityFor(leastNeed))
+        getOrCreateList(this.#withCapacityByType, machine.typeName).push(machine);
     }
   }
 
-  /** Do the job's own constraints (types, zone, spot) allow this machine, whatever capacity it has? */
+  /** Returns whether the job's constraints (types, zone, spot) allow this machine, regardless of free capacity. */
   mayRunOn(job: Job, machine: Machine): boolean {
     const { types, zone, spot } = job.spec;
     return (
@@ -65,7 +63,7 @@
     );
   }
 
-  /** May tasks be placed on this machine? Only while it sends heartbeats and shows that commands reach it (I7). */
+  /** Returns whether tasks may be placed here: the machine must send heartbeats and be reachable for commands (I7). */
   isSchedulable(machine: Machine): boolean {
     const { now, deployment } = this.#ctx;
     return (
@@ -73,7 +71,7 @@
       !machine.isLeaseExpired &&
       machine.mode === "open" &&
       machine.type !== null &&
-      // A heartbeat without this term's fencing token may be a late copy, so it is a hint of presence only (I4).
+      // A heartbeat without this term's fencing token may be a delayed copy and doesn't prove presence (I4).
       machine.fencedAt !== null &&
       machine.unreachableSince === null &&
       machine.reclaimDueAt === null &&
@@ -83,14 +81,13 @@
   }
 
   /**
-   * The machines with capacity for a task of the job, by type, in the order of the cluster state. What tasks
-   * of a priority lower than `below` use counts as free capacity, for preemption. Drops reservations that
-   * have expired.
+   * Returns the feasible machines for a task of the job, by type, in cluster-state order. For preemption,
+   * capacity used by tasks with a priority below `below` counts as free. Removes expired reservations.
    */
   findFor(job: Job, below = 0): Machine[] {
     const found: Machine[] = [];
     this.isJobSpecific = job.spec.shape === "service";
-    // Within a round free capacity only shrinks, but for preemption: without that few machines are examined.
+    // Free capacity only shrinks within a round, so without preemption the smaller index is sufficient.
     for (const machines of (below === 0 ? this.#withCapacityByType : this.#schedulableByType).values()) {
       const type = machines[0]?.type;
       if (!type || !fitsMachineType(job.spec, type)) continue;
@@ -100,7 +97,7 @@
     return found;
   }
 
-  /** Adds the feasible ones of these machines, all of a type that the job fits, to those found. */
+  /** Appends the feasible machines to `found`; all of `machines` have one type, which fits the job. */
   #collect(job: Job, below: number, machines: readonly Machine[], found: Machine[]): void {
     for (const machine of machines) {
       if (!machine.hasCapacityFor(job.spec.need, below) || !this.mayRunOn(job, machine)) continue;
@@ -110,17 +107,17 @@
     }
   }
 
-  /** Keeps so many machines of a type with capacity for such a GPU task; see {@link GpuHeadroomGuard}. */
+  /** Sets the GPU headroom of a machine type; see {@link GpuHeadroomGuard.setHeadroom}. */
   setGpuHeadroom(type: string, need: Resources | null, machines: number): void {
     this.#gpuHeadroom.setHeadroom(type, need, machines);
   }
 
-  /** Must a job that needs no GPU stay off this machine? See {@link GpuHeadroomGuard}. */
+  /** Returns whether a job without GPUs must avoid this machine; see {@link GpuHeadroomGuard.wouldWasteGpus}. */
   wouldWasteGpus(job: Job, machine: Machine): boolean {
     return this.#gpuHeadroom.wouldWasteGpus(job, machine);
   }
 
-  /** Is the machine reserved for a job that this one must not overtake? Drops an expired reservation. */
+  /** Returns whether a reservation excludes this job from the machine. Removes an expired reservation. */
   #isReservedForOther(job: Job, machine: Machine): boolean {
     const { reservation } = machine;
     if (reservation === null) return false;
@@ -134,14 +131,14 @@
     );
   }
 
-  /** Has the job failed here? False once it has failed on half of all machines: then the fault is its own. */
+  /** Returns whether the job failed here. Ignored after failures on half of all machines: the job is at fault then. */
   #hasFailedOn(job: Job, machine: Machine): boolean {
     return (
       job.failedMachines.has(machine.index) && job.failedMachines.size < this.#clusterState.machines.size / 2
     );
   }
 
-  /** Would this job's image fetch share the bandwidth with one that a gang of higher priority waits for? */
+  /** Returns whether this job's image fetch would compete for bandwidth with that of a higher-priority gang. */
   #wouldSlowFetch(job: Job, machine: Machine): boolean {
     if (machine.images.has(job.spec.image)) return false;
     for (const { job: other, observedState } of machine.placements) {
@@ -152,7 +149,7 @@
   }
 }
 
-function listOf(lists: Map<string, Machine[]>, key: string): Machine[] {
+function getOrCreateList(lists: Map<string, Machine[]>, key: string): Machine[] {
   let list = lists.get(key);
   if (!list) {
     list = [];
--- a/src/core/scheduling/gang-scheduling.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -11,25 +11,26 @@
 import type { TaskPlacer } from "./task-placer.js";
 import { maxTasksPerZone } from "./zone-spread.js";
 
-/** Image fetches may take longer than the catalogue's rate says, by up to this factor. */
+/** Safety factor on the image fetch time computed from the catalogue's rate. */
 const FETCH_TIME_FACTOR = 1.35;
-/** What each further feasible machine of a zone weighs when a gang's zone is chosen, in seconds of delay. */
+/** Cost of each feasible machine in a zone when a gang's zone is chosen, in seconds of delay. */
 const FREE_MACHINE_WEIGHT_S = 0.5;
 
 /**
- * What became of a gang in a round: all tasks placed; pending until preemption has freed machines that have
- * its image in time; or no feasible set of machines.
+ * The outcome of a scheduling round for a gang: all tasks placed; waiting for preemption to free machines that
+ * will have its image in time; or no feasible set of machines.
  */
 export type GangOutcome = "placed" | "awaitingPreemption" | "noCapacity";
 
-/** A machine for each task of a gang, a machine once per task. */
+/** An assignment of a gang's tasks to machines. */
 interface GangFit {
+  /** One entry per task; a machine appears once for each task assigned to it. */
   readonly machines: readonly Machine[];
   /** In seconds of delay; lower is better. */
   readonly cost: number;
 }
 
-/** Gang scheduling: all tasks of a job at once, or none. */
+/** Schedules gangs: places all tasks of a job at once, or none. */
 export class GangScheduler {
   readonly #ctx: Context;
   readonly #feasibleMachines: FeasibleMachines;
@@ -48,11 +49,11 @@
   }
 
   /**
-   * Places a gang that has no placement and whose whole demand is within its team's quota limit.
+   * Places a gang that has no placements and whose total demand is within its team's quota limit.
    *
-   * Images of gangs are large: fetching one can take longer than the start objective allows. While the
-   * objective can still be met, machines that have the image in time come first, by preemption if need be;
-   * only then any machine.
+   * Gang images are large, and fetching one can take longer than the start objective allows. While the
+   * objective can still be met, machines that will have the image in time are tried first, if necessary by
+   * preemption; any other machine is a fallback.
    */
   schedule(job: Job, isWithinGuarantee: boolean): GangOutcome {
     const objectiveS = startObjectiveS(this.#ctx, job);
@@ -71,7 +72,7 @@
     return "noCapacity";
   }
 
-  /** Preempts once per attempt for machines that have the image in time; true while that is waited for. */
+  /** Preempts once per attempt on machines with the image in time. Returns true while the gang waits for them. */
   #awaitsMachinesWithImage(job: Job, isWithinGuarantee: boolean, hasImageInTime: MachineFilter): boolean {
     if (job.imageWaitUntil !== null) return job.imageWaitUntil > this.#ctx.now;
     const freed = this.#preemption.preemptFor({
@@ -86,7 +87,7 @@
     return true;
   }
 
-  /** Places all tasks on the best fit among the suitable machines; false if there is none. */
+  /** Places all tasks on the cheapest fit of suitable machines. Returns false if there is none. */
   #place(job: Job, isSuitable: MachineFilter): boolean {
     const fit = this.#findFit(job, isSuitable);
     if (!fit || !this.#placer.hasAttempts()) return false;
@@ -99,7 +100,7 @@
     return true;
   }
 
-  /** The cheapest fit, of all zones for a gang that must stay within one. */
+  /** Returns the cheapest fit. For a gang restricted to one zone, compares the fits of all zones. */
   #findFit(job: Job, isSuitable: MachineFilter): GangFit | null {
     const ranked = this.#scoring.rank(job, this.#feasibleMachines.findFor(job)).filter(isSuitable);
     const zones = job.spec.oneZone ? new Set(ranked.map((machine) => machine.zone)) : [null];
@@ -111,7 +112,7 @@
     return best;
   }
 
-  /** Packs the gang onto the ranked machines, best first, in one zone or, with null, in all. */
+  /** Packs the gang onto the ranked machines, best first, in the given zone or, if null, in all zones. */
   #fitInZone(job: Job, ranked: readonly Machine[], zone: string | null): GangFit | null {
     const { need, tasks } = job.spec;
     const zoneLimit = maxTasksPerZone(job.spec);
@@ -134,8 +135,7 @@
       for (let i = 0; i < slots; i++) machines.push(machine);
     }
     if (machines.length < tasks) return null;
-    // Among equals the zone with the fewest feasible machines: the others stay free for gangs that need more
-    // of one zone.
+    // Prefer the zone with the fewest feasible machines, to leave the larger zones to larger gangs.
     if (zone !== null) cost += feasibleInZone * FREE_MACHINE_WEIGHT_S;
     return { machines, cost };
   }
--- a/src/core/scheduling/gpu-headroom-guard.ts
+++ b/src/core/scheduling/gpu-headroom-guard.ts
@@ -5,18 +5,18 @@
 import { add, fits, type Resources } from "../model/resources.js";
 import { isStarving } from "./queue-order.js";
 
-/** Boots may take longer than the catalogue says, by up to this factor. */
+/** Safety factor on the boot time given in the catalogue. */
 const BOOT_TIME_FACTOR = 1.5;
 
-/** What is to be kept free of a machine type with GPUs. */
+/** The capacity to keep free for GPU tasks on machines of one type. */
 interface Headroom {
-  /** The demand of a typical GPU task; null where none has been seen. */
+  /** The demand of a typical GPU task; null if none has been observed. */
   readonly need: Resources | null;
-  /** How many machines are to have capacity for it. */
+  /** The number of machines that must keep capacity for such a task. */
   readonly machines: number;
 }
 
-/** The number of machines with capacity for a GPU task, with what it was counted from. */
+/** A cached count of machines with capacity for a GPU task, with the inputs that it is valid for. */
 interface FreeMachineCount {
   readonly placementChanges: number;
   readonly machines: readonly Machine[];
@@ -25,7 +25,7 @@
 
 const NO_MACHINES: ReadonlyMap<string, readonly Machine[]> = new Map();
 
-/** Keeps jobs that need no GPU from using up the capacity of GPU machines that GPU jobs will need. */
+/** Prevents jobs without GPUs from using the capacity of GPU machines that is kept for GPU jobs. */
 export class GpuHeadroomGuard {
   readonly #ctx: Context;
   readonly #clusterState: ClusterState;
@@ -43,12 +43,12 @@
     this.#schedulableByType = schedulableByType;
   }
 
-  /** Sets how many machines of a type are to keep capacity for such a GPU task; none if the demand is null. */
+  /** Sets how many machines of a type must keep capacity for a GPU task with this demand; no headroom if null. */
   setHeadroom(type: string, need: Resources | null, machines: number): void {
     this.#headroomByType.set(type, { need, machines });
   }
 
-  /** Would a task of this job, which needs no GPU, take the last capacity for a GPU task on this machine? */
+  /** Returns whether a task of a job without GPUs would use up the last capacity for a GPU task on this machine. */
   wouldBlockGpuTask(job: Job, machine: Machine): boolean {
     if (job.spec.need.gpu > 0 || (machine.type?.size.gpu ?? 0) === 0) return false;
     const need = this.#headroomByType.get(machine.typeName)?.need;
@@ -58,16 +58,15 @@
   }
 
   /**
-   * Must a job that needs no GPU stay off this machine? It may take the capacity of a GPU task only if it can
-   * checkpoint and be preempted, or while more machines than the headroom are free.
+   * Returns whether a job without GPUs must avoid this machine. It may use the capacity of a GPU task only if
+   * it can checkpoint and be preempted, or if more machines than the headroom are free.
    */
   wouldWasteGpus(job: Job, machine: Machine): boolean {
     if (job.spec.need.gpu > 0) return false;
     if (machine.isMarkedForScaleIn) return true;
     if (this.#isServiceAwaitingCpuMachine(job, machine)) return true;
     if (!this.wouldBlockGpuTask(job, machine)) return false;
-    // A starving job is protected from preemption for a while, so it can't make way for a GPU task,
-    // checkpoints or not.
+    // A starving job is protected from preemption for a while after its start, even if it has checkpoints.
     if (job.spec.checkpointS > 0 && !isStarving(this.#ctx, job)) return false;
     const headroom = this.#headroomByType.get(machine.typeName);
     if (!headroom?.need) return false;
@@ -75,8 +74,8 @@
   }
 
   /**
-   * A service never ends, so it would keep a GPU machine for good: it waits for as long as a machine without
-   * GPUs takes to boot.
+   * Returns whether a service should still wait for a machine without GPUs to boot. A service never ends, so
+   * it would occupy the GPU machine permanently.
    */
   #isServiceAwaitingCpuMachine(job: Job, machine: Machine): boolean {
     if (job.spec.shape !== "service" || (machine.type?.size.gpu ?? 0) === 0) return false;
@@ -85,7 +84,7 @@
     return bootS !== null && blockedMs < bootS * BOOT_TIME_FACTOR * 1000;
   }
 
-  /** The boot time in seconds of the quickest type without GPUs that the job fits; null if there is none. */
+  /** Returns the shortest boot time, in seconds, of the types without GPUs that fit the job; null if none does. */
   #shortestCpuBootS({ spec }: Job): number | null {
     let shortestS: number | null = null;
     for (const type of this.#clusterState.machineTypes.values()) {
@@ -95,7 +94,7 @@
     return shortestS;
   }
 
-  /** How many machines of a type have capacity for a GPU task; counted anew only once placements change. */
+  /** Counts the machines of a type with capacity for a GPU task; cached until placements change. */
   #countFree(type: string, need: Resources): number {
     const machines = this.#schedulableByType.get(type) ?? [];
     const { placementChanges } = this.#clusterState;
--- a/src/core/scheduling/guaranteed-quota.ts
+++ b/src/core/scheduling/guaranteed-quota.ts
@@ -2,9 +2,9 @@
 import type { Job } from "../model/job.js";
 
 /**
- * The jobs that are within the guaranteed quotas of their teams: those whose unfinished tasks fit there along
- * with all of the team's jobs before them. `jobs` are the unfinished jobs in the order in which they were
- * queued; the result keeps it.
+ * Returns the jobs within their teams' guaranteed quotas: a job is included if its unfinished tasks and those of
+ * all earlier jobs of the team fit into the quota. `jobs` are the unfinished jobs in queueing order, which the
+ * result preserves.
  */
 export function findGuaranteedJobs(teams: readonly Team[], jobs: readonly Job[]): Set<Job> {
   const demandByTeam = new Map<string, { cpu: number; gpu: number }>();
--- a/src/core/scheduling/machine-scoring.ts
+++ b/src/core/scheduling/machine-scoring.ts
@@ -3,15 +3,15 @@
 import type { Machine } from "../model/machine.js";
 import type { GpuHeadroomGuard } from "./gpu-headroom-guard.js";
 
-/** What taking the capacity of a GPU task weighs for a job that can't checkpoint, in seconds of delay. */
+/** Cost of blocking a GPU task's capacity with a job that can't checkpoint, in seconds of delay. */
 const GPU_WASTE_WEIGHT_S = 60;
-/** The same for a job that can: it leaves the other machines to jobs that may go nowhere else. */
+/** The same for a job that can checkpoint; low, to leave machines without GPUs to jobs that can't use others. */
 const GPU_WASTE_WITH_CHECKPOINT_WEIGHT_S = 5;
-/** What the share of booked CPUs weighs (bin packing), in seconds of delay for a whole machine. */
+/** Weight of the allocated CPU share (bin packing), in seconds of delay for a fully allocated machine. */
 const BIN_PACKING_WEIGHT_S = 5;
-/** What each failure of a machine weighs, in seconds of delay. */
+/** Cost of each failure of a machine, in seconds of delay. */
 const FAILURE_WEIGHT_S = 20;
-/** The priority of production work, which services have as a rule. */
+/** The priority of production work, which most services have. */
 const PRODUCTION_PRIORITY = 3;
 
 /** Scores feasible machines for a job, in seconds of delay. */
@@ -24,11 +24,11 @@
     this.#gpuHeadroom = gpuHeadroom;
   }
 
-  /** The cost of placing a task here, lower is better: failures, image wait, bin packing, GPUs wasted. */
+  /** Returns the cost of a placement here, from failures, image wait, bin packing and wasted GPUs; lower is better. */
   score(job: Job, machine: Machine): number {
     let seconds = machine.failures * FAILURE_WEIGHT_S + this.imageWaitS(job, machine);
-    // A service that must fetch its image anyway brings it where its further replicas will find capacity: on
-    // machines full of production work the image would serve no other.
+    // A service that must fetch its image prefers machines where further replicas will fit. On machines full
+    // of production work no other replica could use the cached image.
     if (job.spec.shape === "service" && !machine.images.has(job.spec.image))
       seconds += BIN_PACKING_WEIGHT_S * machine.bookedShareOf(PRODUCTION_PRIORITY);
     else seconds -= BIN_PACKING_WEIGHT_S * machine.bookedShare();
@@ -38,7 +38,7 @@
     return seconds;
   }
 
-  /** The machines in the order of their scores, the best first. */
+  /** Sorts machines by score, best first. */
   rank(job: Job, machines: readonly Machine[]): Machine[] {
     return machines
       .map((machine) => ({ machine, score: this.score(job, machine) }))
@@ -46,7 +46,7 @@
       .map(({ machine }) => machine);
   }
 
-  /** Seconds until the job's image is on the machine: 0 if it is cached, else by the catalogue's fetch rate. */
+  /** Returns the seconds until the job's image is on the machine: 0 if cached, else by the catalogue's fetch rate. */
   imageWaitS(job: Job, machine: Machine): number {
     const image = machine.images.get(job.spec.image);
     if (image) return Math.max(0, image.readyAt - this.#ctx.now) / 1000;
--- a/src/core/scheduling/negative-fit-cache.ts
+++ b/src/core/scheduling/negative-fit-cache.ts
@@ -2,15 +2,15 @@
 import type { Job } from "../model/job.js";
 import { fits, type Resources } from "../model/resources.js";
 
-/** A demand for which no feasible machines were found: so much for each of so many tasks. */
+/** A demand for which no feasible machines were found: the need per task and the number of tasks. */
 interface FailedFit {
   readonly need: Resources;
   readonly tasks: number;
 }
 
 /**
- * Negative-result cache of a round: within it free capacity only shrinks, so a job that asks for as much as
- * one that did not fit, or for more, need not be tried.
+ * Caches the demands that did not fit in this round. Free capacity only shrinks within a round, so a job that
+ * needs at least as much as one that did not fit need not be tried.
  */
 export class NegativeFitCache {
   readonly #ctx: Context;
@@ -20,14 +20,14 @@
     this.#ctx = ctx;
   }
 
-  /** Forgets all results: to be called where free capacity may have grown. */
+  /** Removes all results. Must be called whenever free capacity may have grown. */
   clear(): void {
     this.#failedByConstraints.clear();
   }
 
-  /** Is it known that so many tasks of the job don't fit? */
+  /** Returns whether this number of the job's tasks is known not to fit. */
   has(job: Job, tasks: number): boolean {
-    // Its own failures or reservations give such a job another choice of machines than the one that failed.
+    // A job with failures or reservations has a different set of feasible machines than the job that failed to fit.
     if (job.failedMachines.size > 0 || job.reservationUntil > this.#ctx.now) return false;
     const { need } = job.spec;
     return (this.#failedByConstraints.get(constraintsKey(job)) ?? []).some(
@@ -35,9 +35,9 @@
     );
   }
 
-  /** Records that so many tasks of the job don't fit. */
+  /** Records that this number of the job's tasks does not fit. */
   add(job: Job, tasks: number): void {
-    // Tasks placed before narrow the zones for this job alone: that says nothing of other jobs.
+    // Earlier placements restrict the zones of this job only, so the result doesn't apply to other jobs.
     if (job.placements.size > 0 && (job.spec.spread || job.spec.oneZone)) return;
     const key = constraintsKey(job);
     const failedFit = { need: job.spec.need, tasks };
@@ -47,7 +47,7 @@
   }
 }
 
-/** All that decides on feasible machines but the demand: jobs with the same key differ in nothing else. */
+/** Identifies everything except the demand that determines a job's feasible machines. */
 function constraintsKey({ spec, effectivePriority }: Job): string {
   const { types, zone, spot, shape, oneZone, spread, checkpointS } = spec;
   return [
--- a/src/core/scheduling/objectives.ts
+++ b/src/core/scheduling/objectives.ts
@@ -2,30 +2,30 @@
 import type { Job } from "../model/job.js";
 
 /**
- * The part of the time to an objective after which it is at risk. A job that has missed one objective is
- * pursued again only from then on.
+ * Fraction of the time to an objective after which the objective is at risk. A job that has missed one
+ * objective is deferred until the next one is at risk.
  */
-const AT_RISK_PART = 0.6;
+const AT_RISK_FRACTION = 0.6;
 
-/** How a job stands to its service-level objectives. The numbers are a sort key: the lowest is served first. */
-export const OBJECTIVE_STANDING = {
-  /** None is missed, or one is and the next is at risk. */
-  pursued: 0,
-  /** One is missed, and there is ample time to the next. */
+/** Status of a job's service-level objectives. The numbers are a sort key: the lowest is scheduled first. */
+export const OBJECTIVE_STATUS = {
+  /** No objective is missed, or one is missed and the next is at risk. */
+  prioritized: 0,
+  /** One objective is missed, and there is enough time until the next. */
   deferrable: 1,
-  /** All are missed. */
+  /** All objectives are missed. */
   missed: 2,
 } as const;
 
-/** One of the values of {@link OBJECTIVE_STANDING}. */
-export type ObjectiveStanding = (typeof OBJECTIVE_STANDING)[keyof typeof OBJECTIVE_STANDING];
+/** One of the values of {@link OBJECTIVE_STATUS}. */
+export type ObjectiveStatus = (typeof OBJECTIVE_STATUS)[keyof typeof OBJECTIVE_STATUS];
 
-/** Seconds of wall time since the job was queued: since its acceptance or the end of its last dependency. */
+/** Returns the wall time, in seconds, since the job's acceptance or the end of its last dependency. */
 export function jobAgeS(ctx: Context, job: Job): number {
   return (ctx.wallMs - job.queuedSince) / 1000;
 }
 
-/** The shortest start objective of this job's class, in seconds from queueing; null if there is none. */
+/** Returns the shortest start objective of the job's class, in seconds from queueing; null if there is none. */
 export function startObjectiveS(ctx: Context, job: Job): number | null {
   let shortestS: number | null = null;
   for (const { kind, jobClass, withinS } of ctx.deployment.objectives) {
@@ -35,7 +35,7 @@
   return shortestS;
 }
 
-/** Does the job have a deadline, or its class an objective for its completion? */
+/** Returns whether the job has a deadline or its class a completion objective. */
 export function hasCompletionObjective(ctx: Context, job: Job): boolean {
   if (job.effectiveDeadlineAt !== null) return true;
   return ctx.deployment.objectives.some(
@@ -43,18 +43,18 @@
   );
 }
 
-/** The start objective of jobs within their guaranteed quota, in seconds from queueing; null if there is none. */
+/** Returns the start objective of jobs within guaranteed quota, in seconds from queueing; null if there is none. */
 export function guaranteedStartObjectiveS(ctx: Context): number | null {
   const objective = ctx.deployment.objectives.find(({ kind }) => kind === "guarantee");
   return objective ? (objective.withinS ?? 0) : null;
 }
 
-/** Where a job of this age stands to its deadline and the objectives of its class. */
-export function objectiveStanding(ctx: Context, job: Job, ageS: number): ObjectiveStanding {
+/** Evaluates the deadline of a job of this age and the objectives of its class. */
+export function objectiveStatus(ctx: Context, job: Job, ageS: number): ObjectiveStatus {
   const { spec } = job;
-  // The tasks of an array start one by one: the pending ones have a start objective of their own.
+  // The tasks of an array start individually, so the start objective applies until none is pending.
   const hasStarted = spec.shape === "array" ? job.pendingCount === 0 : job.countRunning() > 0;
-  // However many machines a job gets, it takes at least the time of one task.
+  // Regardless of the number of machines, a job takes at least the run time of one task.
   const taskS = ctx.estimates.estimateS(spec);
   const deadlineS = deadlineDueS(job, taskS);
   let hasMissed = deadlineS <= ageS;
@@ -65,27 +65,27 @@
     if (dueS <= ageS) hasMissed = true;
     else if (dueS < nextDueS) nextDueS = dueS;
   }
-  if (!hasMissed) return OBJECTIVE_STANDING.pursued;
-  if (nextDueS === Number.POSITIVE_INFINITY) return OBJECTIVE_STANDING.missed;
-  return ageS > nextDueS * AT_RISK_PART ? OBJECTIVE_STANDING.pursued : OBJECTIVE_STANDING.deferrable;
+  if (!hasMissed) return OBJECTIVE_STATUS.prioritized;
+  if (nextDueS === Number.POSITIVE_INFINITY) return OBJECTIVE_STATUS.missed;
+  return ageS > nextDueS * AT_RISK_FRACTION ? OBJECTIVE_STATUS.prioritized : OBJECTIVE_STATUS.deferrable;
 }
 
-/** The age in seconds at which the job must start for its deadline; infinite without one. */
+/** Returns the age in seconds by which the job must start to meet its deadline; infinite without a deadline. */
 function deadlineDueS({ effectiveDeadlineAt, queuedSince }: Job, taskS: number): number {
   if (effectiveDeadlineAt === null) return Number.POSITIVE_INFINITY;
   return (effectiveDeadlineAt - queuedSince) / 1000 - taskS;
 }
 
-/** The age in seconds at which a job must start for an objective of its class; infinite where that is settled. */
+/** Returns the age in seconds by which a job must start to meet an objective; infinite if that no longer applies. */
 function objectiveDueS(kind: string, withinS: number, taskS: number, hasStarted: boolean): number {
   if (kind === "finished") return withinS - taskS;
   return kind === "wait" && !hasStarted ? withinS : Number.POSITIVE_INFINITY;
 }
 
-/** Is the next objective of the job at risk, though it can still be met? */
+/** Returns whether the job's next objective is at risk but can still be met. */
 export function isDeadlineAtRisk(ctx: Context, job: Job): boolean {
   const ageS = jobAgeS(ctx, job);
   const objectiveS = startObjectiveS(ctx, job);
-  if (objectiveS !== null && ageS < objectiveS) return ageS > objectiveS * AT_RISK_PART;
-  return objectiveStanding(ctx, job, ageS) === OBJECTIVE_STANDING.pursued;
+  if (objectiveS !== null && ageS < objectiveS) return ageS > objectiveS * AT_RISK_FRACTION;
+  return objectiveStatus(ctx, job, ageS) === OBJECTIVE_STATUS.prioritized;
 }
--- a/src/core/scheduling/pending-reasons.ts
+++ b/src/core/scheduling/pending-reasons.ts
@@ -3,8 +3,8 @@
 import { isStarving } from "./queue-order.js";
 
 /**
- * Why tasks of a job are pending, in the words that the status shows to operators. The texts are an interface
- * of the operators: none may be reworded.
+ * Why tasks of a job are pending, as shown to operators in the status. The texts are part of the operator
+ * interface and must not change.
  */
 export const PENDING_REASONS = {
   recordUnreadable: "a record of it can't be read",
@@ -19,14 +19,14 @@
 export type PendingReason = (typeof PENDING_REASONS)[keyof typeof PENDING_REASONS];
 
 /**
- * Sets a job's pending reason for the status. A starving job is logged as well, once for each reason: reasons
- * alternate from round to round, and a line for each change would fill the log.
+ * Sets the pending reason that the status shows for a job. For a starving job, also logs each reason once:
+ * reasons alternate from round to round, and logging every change would flood the log.
  */
 export function recordPendingReason(ctx: Context, job: Job, reason: PendingReason): void {
   if (isStarving(ctx, job) && !job.loggedReasons.has(reason)) {
     job.loggedReasons.add(reason);
     const pendingS = Math.round((ctx.wallMs - job.queuedSince) / 1000);
-    ctx.log("info", "job pending for long", { job: job.uid, reason, pending_s: pendingS });
+    ctx.log("info", "job is starving", { job: job.uid, reason, pending_s: pendingS });
   }
   job.pendingReason = reason;
 }
--- a/src/core/scheduling/placement-dependencies.ts
+++ b/src/core/scheduling/placement-dependencies.ts
@@ -5,7 +5,7 @@
 import type { Preemption } from "./preemption.js";
 import type { TaskPlacer } from "./task-placer.js";
 
-/** What the gang scheduler and the task scheduler place tasks with: the same parts, shared in a round. */
+/** The components shared by the gang scheduler and the task scheduler. */
 export interface PlacementDependencies {
   readonly ctx: Context;
   readonly feasibleMachines: FeasibleMachines;
--- a/src/core/scheduling/preemption-policy.ts
+++ b/src/core/scheduling/preemption-policy.ts
@@ -3,17 +3,17 @@
 import type { Priority } from "../model/job-spec.js";
 import { guaranteedStartObjectiveS, jobAgeS } from "./objectives.js";
 
-/** Jobs of this priority and above may preempt. */
+/** The lowest priority that may preempt. */
 const MIN_PREEMPTING_PRIORITY: Priority = 2;
-/** With more time than this beyond its own run time a dependency doesn't preempt for its dependents' deadline. */
+/** A dependency with more slack than this doesn't preempt for the deadline of its dependents. */
 const INHERITED_PRIORITY_SLACK_S = 25;
-/** The part of the guaranteed start objective for which an array waits before it preempts. */
-const ARRAY_DEFERRAL_PART = 0.4;
+/** Fraction of the guaranteed start objective for which an array waits before it preempts. */
+const ARRAY_DEFERRAL_FRACTION = 0.4;
 
 /**
- * The priority with which a job may preempt others. A priority inherited from a dependent job counts in the
- * queue order at once, but in preemption only when the time to that job's deadline gets short: many victims
- * can't checkpoint.
+ * Returns the priority with which a job may preempt others. A priority inherited from a dependent job affects
+ * the queue order immediately, but preemption only when that job's deadline is near, because many victims can't
+ * checkpoint.
  */
 export function preemptionPriority(
   ctx: Context,
@@ -24,17 +24,17 @@
   return slackS < INHERITED_PRIORITY_SLACK_S ? effectivePriority : spec.priority;
 }
 
-/** May the job preempt tasks of lower priority? */
+/** Returns whether the job may preempt tasks of lower priority. */
 export function mayPreempt(ctx: Context, job: Job): boolean {
   return preemptionPriority(ctx, job) >= MIN_PREEMPTING_PRIORITY;
 }
 
 /**
- * Does an array within its guaranteed quota still wait before it preempts? Where hundreds of tasks end in a
- * second, nearly all of it starts in time on capacity that frees up by itself, and no work is lost.
+ * Returns whether an array within its guaranteed quota should wait before it preempts. When hundreds of tasks
+ * end per second, nearly all of the array starts in time on capacity that becomes free, without lost work.
  */
 export function isPreemptionDeferred(ctx: Context, job: Job): boolean {
   if (job.spec.shape !== "array") return false;
   const objectiveS = guaranteedStartObjectiveS(ctx) ?? 0;
-  return jobAgeS(ctx, job) < objectiveS * ARRAY_DEFERRAL_PART;
+  return jobAgeS(ctx, job) < objectiveS * ARRAY_DEFERRAL_FRACTION;
 }
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -8,35 +8,35 @@
 import { preemptionPriority } from "./preemption-policy.js";
 import { maxTasksPerZone } from "./zone-spread.js";
 
-/** For how long the freed capacity is reserved for the job that preempted. */
+/** How long freed capacity stays reserved for the preempting job. */
 const RESERVATION_MS = 15_000;
-/** How soon a job that has looked for victims may look again. */
-const RETRY_MS = 500;
-/** What passes between stopping a victim and starting a task on its capacity, the checkpoint aside. */
+/** The minimum time between two searches for victims for the same job. */
+const RETRY_DELAY_MS = 500;
+/** The time from stopping a victim to starting a task on its capacity, not counting the checkpoint. */
 const HANDOVER_S = 1;
 
-/** For what tasks are to be preempted. */
+/** A request to preempt tasks for a job. */
 export interface PreemptionRequest {
   readonly job: Job;
-  /** The most tasks of the job to free capacity for. */
+  /** The maximum number of the job's tasks to free capacity for. */
   readonly count: number;
-  /** Lets a job within its guaranteed quota preempt tasks of its own priority of teams beyond theirs. */
+  /** Also allows victims of equal priority, from teams beyond their guaranteed quotas. */
   readonly isWithinGuarantee: boolean;
   readonly isSuitable: MachineFilter;
   /**
-   * Seconds within which capacity is needed: victims whose checkpoint takes longer aren't given the time.
-   * Null: no limit.
+   * Seconds within which the capacity is needed: victims whose checkpoint takes longer, other than gangs, are
+   * stopped without one. Null means no limit.
    */
   readonly maxSaveS: number | null;
 }
 
-/** The plans chosen for a job, in one zone or in all. */
+/** The plans chosen for a job, in one zone or in all zones. */
 interface ChosenPlans {
   readonly plans: readonly PreemptionPlan[];
   readonly slots: number;
 }
 
-/** Preemption: stops tasks of lower priority so that tasks of a job fit, at the least loss of work. */
+/** Preempts tasks so that tasks of a job fit, with the least loss of work. */
 export class Preemption {
   readonly #ctx: Context;
   readonly #agents: AgentManager;
@@ -61,30 +61,30 @@
   }
 
   /**
-   * Stops tasks so that up to `count` tasks of the job fit, and reserves the machines for it; returns for how
-   * many tasks. For a gang that is all or none. Nothing is preempted for a job while an earlier preemption
-   * for it is under way.
+   * Preempts tasks so that up to `count` tasks of the job fit, and reserves the machines for the job. Returns
+   * the number of tasks that will fit; for a gang, all or none. Does nothing while an earlier preemption for
+   * the job is in progress.
    */
   preemptFor(request: PreemptionRequest): number {
     const { now } = this.#ctx;
     const { job } = request;
     if (job.preemptionUntil > now) return 0;
-    // Victims not found now can hardly be found in the next round, and the search costs more than its rest.
+    // A repeat in the next round would rarely find victims, and the search costs more than the rest of the round.
     const sinceLastTryMs = now - job.preemptionTriedAt;
-    if (sinceLastTryMs > 0 && sinceLastTryMs < RETRY_MS) return 0;
+    if (sinceLastTryMs > 0 && sinceLastTryMs < RETRY_DELAY_MS) return 0;
     job.preemptionTriedAt = now;
     const plans = this.#planMachines(request);
     const zones = job.spec.oneZone ? new Set(plans.map(({ machine }) => machine.zone)) : [null];
     for (const zone of zones) {
       const chosen = choosePlans(request, plans, zone);
       if (chosen.slots === 0 || (job.spec.shape === "gang" && chosen.slots < job.spec.tasks)) continue;
-      this.#carryOut(request, chosen.plans);
+      this.#executePlans(request, chosen.plans);
       return chosen.slots;
     }
     return 0;
   }
 
-  /** A plan for each machine that can be made to fit the job, the least lost work per task first. */
+  /** Returns a plan for each machine on which the job can be made to fit, by ascending lost work per task. */
   #planMachines({ job, isWithinGuarantee, isSuitable }: PreemptionRequest): PreemptionPlan[] {
     const priority = preemptionPriority(this.#ctx, job);
     const plans: PreemptionPlan[] = [];
@@ -96,10 +96,10 @@
     return plans.sort((a, b) => a.cost / a.slots - b.cost / b.slots);
   }
 
-  /** Reserves the machines, stops the victims, and lets the job wait until they have ended. */
-  #carryOut({ job, maxSaveS }: PreemptionRequest, plans: readonly PreemptionPlan[]): void {
+  /** Reserves the machines, stops the victims and sets how long the job waits for them to end. */
+  #executePlans({ job, maxSaveS }: PreemptionRequest, plans: readonly PreemptionPlan[]): void {
     const { now, deployment } = this.#ctx;
-    const reason = `room for ${job.uid}`;
+    const reason = `preempted for ${job.uid}`;
     let graceS = 0;
     for (const { machine, victims } of plans) {
       machine.reservation = { job, isFirm: false, until: now + RESERVATION_MS };
@@ -118,7 +118,7 @@
     job.preemptionUntil = now + graceS * 1000 + deployment.heartbeatIntervalS * 2000;
   }
 
-  /** Stops a task, with time for a checkpoint if it has any; a gang is stopped as a whole. */
+  /** Stops a task, allowing time for a checkpoint if it writes any. A gang is stopped as a whole. */
   stopGracefully(placement: Placement, reason: string): void {
     const { job } = placement;
     this.#ctx.log("debug", "task stopped", {
@@ -133,7 +133,7 @@
   }
 }
 
-/** Takes plans, the cheapest first, until `count` tasks fit: in one zone or, with null, in all. */
+/** Chooses the cheapest plans until `count` tasks fit, in the given zone or, if null, in all zones. */
 function choosePlans(
   { job, count }: PreemptionRequest,
   candidates: readonly PreemptionPlan[],
--- a/src/core/scheduling/queue-order.ts
+++ b/src/core/scheduling/queue-order.ts
@@ -1,73 +1,73 @@
 import type { Context } from "../context.js";
 import type { Job } from "../model/job.js";
-import { guaranteedStartObjectiveS, jobAgeS, objectiveStanding } from "./objectives.js";
+import { guaranteedStartObjectiveS, jobAgeS, objectiveStatus } from "./objectives.js";
 
-/** A job none of whose tasks has had a machine for longer than this is starving. */
+/** A job is starving once none of its tasks has had a machine for longer than this. */
 const STARVING_AFTER_S = 160;
 /**
- * A job is to start within 240 s of its acceptance. One that has waited for this long hardly can, as its
- * image is still to be fetched.
+ * A job should start within 240 s of its acceptance. After waiting this long it is unlikely to, because its image
+ * must still be fetched.
  */
-const START_HOPELESS_AFTER_S = 200;
-/** From here on a job that has missed its start goes before later ones again: it must not wait for ever. */
-const START_RESCUED_AFTER_S = 420;
+const START_UNATTAINABLE_AFTER_S = 200;
+/** A job that has missed its start is no longer deferred after this wait, so that it can't starve indefinitely. */
+const START_DEFERRED_UNTIL_S = 420;
 
-/** The rank of a starving job: above all but new guaranteed work of the highest priority. */
+/** The minimum rank of a starving job: above all but new guaranteed jobs of the highest priority. */
 const STARVING_RANK = 8;
-/** What one step of priority adds to a job's rank. */
+/** Rank added per priority level. */
 const RANKS_PER_PRIORITY = 2;
-/** What being within the guaranteed quota adds to the rank of a new job: more than one step of priority. */
+/** Rank added for a new job within its guaranteed quota: more than one priority level. */
 const NEW_GUARANTEED_BOOST = 3;
-/** The same later: less than one step of priority. */
+/** Rank added for an older job within its guaranteed quota: less than one priority level. */
 const GUARANTEED_BOOST = 1;
-/** A guaranteed job is new for this long or, if that is longer, until its start objective. */
+/** A guaranteed job counts as new for this long, or until its start objective if that is later. */
 const NEW_GUARANTEED_S = 60;
 
-/** A job and its sort keys, the lower the earlier but for the rank. */
+/** A job and its sort keys. Lower values sort first, except for the rank. */
 interface QueueEntry {
   readonly job: Job;
-  /** From priority, guaranteed quota and ageing; higher goes first. */
+  /** Computed from priority, guaranteed quota and ageing; higher sorts first. */
   readonly rank: number;
-  /** An `ObjectiveStanding`. Of a starving job: 1 if it can't start in time any more, else 0. */
-  readonly standing: number;
-  /** Remaining seconds of task time. Of a starving job: its place among those of its class and team. */
-  readonly length: number;
+  /** An `ObjectiveStatus`; for a starving job, 1 if it has missed its start, else 0. */
+  readonly objectiveStatus: number;
+  /** Remaining work in seconds of task time; for a starving job, its position within its class and team. */
+  readonly workOrPosition: number;
 }
 
 /**
- * Has the job waited for too long? Ageing bounds the wait under constant overload, where an order of the
- * shortest first and of missed objectives last would never start the largest jobs. The wait counts from times
- * on record, so that it survives a failover.
+ * Returns whether the job is starving. Ageing bounds the wait under constant overload, where scheduling the
+ * shortest jobs first and missed objectives last would never start the largest jobs. The wait is computed from
+ * recorded times, so that it survives a failover.
  */
 export function isStarving(ctx: Context, job: Job): boolean {
-  return job.hasRoundRobinTurn || waitedS(ctx, job) > STARVING_AFTER_S;
+  return job.hasRoundRobinTurn || waitS(ctx, job) > STARVING_AFTER_S;
 }
 
-/** For how many seconds no task of a job has had a machine. */
-function waitedS(ctx: Context, job: Job): number {
+/** Returns the seconds for which no task of the job has had a machine. */
+function waitS(ctx: Context, job: Job): number {
   if (job.placements.size > 0) return 0;
   return Math.min(ctx.wallMs - job.queuedSince, ctx.now - job.lastRanAt) / 1000;
 }
 
 /**
- * Has a starving job missed its start? It goes behind those that can still start in time: with more starving
- * jobs than capacity, first come first served would start every one of them too late.
+ * Returns whether a starving job has missed its start and is deferred behind jobs that can still start in time.
+ * With more starving jobs than capacity, first-come, first-served order would start all of them too late.
  */
 export function hasMissedStartDeadline(ctx: Context, job: Job): boolean {
-  const seconds = waitedS(ctx, job);
-  return seconds > START_HOPELESS_AFTER_S && seconds <= START_RESCUED_AFTER_S;
+  const waitedS = waitS(ctx, job);
+  return waitedS > START_UNATTAINABLE_AFTER_S && waitedS <= START_DEFERRED_UNTIL_S;
 }
 
 /**
- * What being within the guaranteed quota adds to a job's rank: a new job goes before work of the next higher
- * priority, an older one only before its equals.
+ * Returns the rank added for being within the guaranteed quota: a new job precedes jobs of the next higher
+ * priority, an older one only jobs of its own priority.
  */
 function guaranteedBoost(ctx: Context, ageS: number): number {
   const objectiveS = guaranteedStartObjectiveS(ctx) ?? 0;
   return ageS <= Math.max(NEW_GUARANTEED_S, objectiveS) ? NEW_GUARANTEED_BOOST : GUARANTEED_BOOST;
 }
 
-/** Seconds of task time that remain, by the corrected estimate. */
+/** Returns the remaining work in seconds of task time, by the corrected estimate. */
 function remainingWorkS(ctx: Context, job: Job): number {
   return (job.spec.tasks - job.doneCount) * Math.max(1, ctx.estimates.estimateS(job.spec));
 }
@@ -84,33 +84,32 @@
     return {
       job,
       rank: Math.max(rank, STARVING_RANK),
-      standing: hasMissedStartDeadline(ctx, job) ? 1 : 0,
-      length: turnPositions.get(job) ?? 0,
+      objectiveStatus: hasMissedStartDeadline(ctx, job) ? 1 : 0,
+      workOrPosition: turnPositions.get(job) ?? 0,
     };
   return {
     job,
     rank,
-    standing: objectiveStanding(ctx, job, ageS),
-    length: job.spec.shape === "service" ? 0 : remainingWorkS(ctx, job),
+    objectiveStatus: objectiveStatus(ctx, job, ageS),
+    workOrPosition: job.spec.shape === "service" ? 0 : remainingWorkS(ctx, job),
   };
 }
 
 function compareEntries(a: QueueEntry, b: QueueEntry): number {
   return (
     b.rank - a.rank ||
-    a.standing - b.standing ||
-    a.length - b.length ||
+    a.objectiveStatus - b.objectiveStatus ||
+    a.workOrPosition - b.workOrPosition ||
     a.job.queuedSince - b.job.queuedSince ||
     a.job.index - b.job.index
   );
 }
 
 /**
- * The order in which pending jobs are served: by priority, guaranteed quota and ageing; then what can still
- * meet an objective; then the shortest first, which gets the most jobs done in time; then the oldest.
+ * Sorts pending jobs into scheduling order: by rank (priority, guaranteed quota and ageing), then by objective
+ * status, then shortest first, which completes the most jobs in time, then oldest first.
  *
- * `turnPositions` holds each job's place among those of its class and team; it is empty where fair admission
- * is off.
+ * `turnPositions` holds each job's position within its class and team; it is empty if fair admission is off.
  */
 export function sortQueue(
   ctx: Context,
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -5,7 +5,7 @@
 import { add, NO_RESOURCES, type Resources } from "../model/resources.js";
 import { hasMissedStartDeadline } from "./queue-order.js";
 
-/** A reservation expires after this long; each round renews it while the gang is pending. */
+/** How long a reservation lasts. Each round renews it while the gang is pending. */
 const RESERVATION_MS = 2000;
 
 /** The remaining quota of a team, reserved for one gang. */
@@ -14,7 +14,7 @@
   readonly until: number;
 }
 
-/** What is reserved for pending gangs: machines, zone by zone, and the remaining quota of their teams. */
+/** Reservations for pending gangs: machines, by zone, and the remaining quota of the gangs' teams. */
 export class Reservations {
   readonly #ctx: Context;
   readonly #byZone = new Map<string, Reservation>();
@@ -25,12 +25,12 @@
   }
 
   /**
-   * Reserves feasible machines for a gang in the zones it can use: for one bound to a single zone, in that
-   * with the most of them. Otherwise smaller jobs would take each machine as it gets free, and the gang would
-   * never have enough at once.
+   * Reserves feasible machines for a gang in the zones it can use; for a gang restricted to one zone, in the
+   * zone with the most feasible machines. Otherwise smaller jobs would take each machine as it becomes free, and
+   * the gang would never find enough machines at the same time.
    *
-   * A firm reservation keeps out work of any priority; starving gangs get one. Of the other gangs only one at
-   * a time has reservations: two that each held part of the cluster would leave both parts idle.
+   * A firm reservation, used for starving gangs, excludes jobs of any priority. Only one of the other gangs may
+   * hold reservations at a time: two gangs that each held part of the cluster would leave both parts idle.
    */
   reserveZone(job: Job, isFirm: boolean, feasible: readonly Machine[]): void {
     if (!isFirm && this.#hasReservationOfOther(job)) return;
@@ -42,14 +42,14 @@
     }
   }
 
-  /** Reserves what is left of its team's quota for a starving gang, unless another gang has reserved it. */
+  /** Reserves the remaining quota of its team for a starving gang, unless another gang's reservation blocks it. */
   reserveQuota(job: Job): void {
     const reservation = this.#quotaByTeam.get(job.spec.team);
-    if (reservation && this.#isHeldAgainst(reservation, job)) return;
+    if (reservation && this.#isBlocking(reservation, job)) return;
     this.#quotaByTeam.set(job.spec.team, { job, until: this.#ctx.now + RESERVATION_MS });
   }
 
-  /** The quota of its team that the job must leave to a starving gang. Services aren't bound by it. */
+  /** Returns the team quota that this job must leave to a starving gang; none for services, which are exempt. */
   reservedQuota(job: Job): Resources {
     const reservation = this.#quotaByTeam.get(job.spec.team);
     if (!reservation || reservation.job === job || job.spec.shape === "service") return NO_RESOURCES;
@@ -58,16 +58,16 @@
   }
 
   #hasReservationOfOther(job: Job): boolean {
-    for (const reservation of this.#byZone.values()) if (this.#isHeldAgainst(reservation, job)) return true;
+    for (const reservation of this.#byZone.values()) if (this.#isBlocking(reservation, job)) return true;
     return false;
   }
 
-  /** The feasible machines by zone, without the zones that are firmly reserved for another gang. */
+  /** Groups the feasible machines by zone, excluding zones firmly reserved for another gang. */
   #groupByZone(job: Job, feasible: readonly Machine[]): Map<string, Machine[]> {
     const machinesByZone = new Map<string, Machine[]>();
     for (const machine of feasible) {
       const reservation = this.#byZone.get(machine.zone);
-      if (reservation?.isFirm && this.#isHeldAgainst(reservation, job)) continue;
+      if (reservation?.isFirm && this.#isBlocking(reservation, job)) continue;
       const machines = machinesByZone.get(machine.zone);
       if (machines) machines.push(machine);
       else machinesByZone.set(machine.zone, [machine]);
@@ -78,7 +78,7 @@
   #chooseZones(job: Job, machinesByZone: ReadonlyMap<string, readonly Machine[]>): string[] {
     const zones = [...machinesByZone.keys()];
     if (!job.spec.oneZone) return zones;
-    // A zone once reserved is kept: with a change the machines gathered there would be lost.
+    // Keep the zone already reserved: changing it would give up the machines reserved there.
     const reserved = zones.find((zone) => this.#byZone.get(zone)?.job === job);
     if (reserved) return [reserved];
     const sizeOf = (zone: string) => machinesByZone.get(zone)?.length ?? 0;
@@ -87,17 +87,17 @@
 
   #reserveMachine(machine: Machine, job: Job, isFirm: boolean): void {
     const { reservation } = machine;
-    if (reservation && this.#isHeldAgainst(reservation, job) && (reservation.isFirm || !isFirm)) return;
+    if (reservation && this.#isBlocking(reservation, job) && (reservation.isFirm || !isFirm)) return;
     const until = this.#ctx.now + RESERVATION_MS;
     machine.reservation = { job, isFirm, until };
     job.reservationUntil = until;
   }
 
   /**
-   * Is the reservation held against this job? Not if it has expired, or is for a job that can't start in time
-   * any more while this one can.
+   * Returns whether the reservation blocks this job. It doesn't if it has expired, or if its holder has missed
+   * its start and this job has not.
    */
-  #isHeldAgainst(reservation: { readonly job: Job; readonly until: number }, job: Job): boolean {
+  #isBlocking(reservation: { readonly job: Job; readonly until: number }, job: Job): boolean {
     const { job: holder, until } = reservation;
     if (holder === job || until <= this.#ctx.now || holder.pendingCount === 0) return false;
     return !hasMissedStartDeadline(this.#ctx, holder) || hasMissedStartDeadline(this.#ctx, job);
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -23,33 +23,33 @@
 import { TaskPlacer } from "./task-placer.js";
 import { TaskScheduler } from "./task-scheduling.js";
 
-/** A starving array gets one part in so many of its pending tasks placed in a round. */
-const STARVING_ARRAY_PARTS = 4;
+/** A starving array may place its pending tasks divided by this number in one round. */
+const STARVING_ARRAY_DIVISOR = 4;
 
-/** A job with pending tasks, in the queue of a round. */
+/** A job with pending tasks in the queue of a round. */
 interface QueuedJob {
   readonly job: Job;
-  /** Is the job within its team's guaranteed quota? */
+  /** True if the job is within its team's guaranteed quota. */
   readonly isWithinGuarantee: boolean;
 }
 
-/** A job that was served, with tasks for which there was no capacity. */
+/** A job with tasks for which a round found no capacity. */
 export interface BlockedJob extends QueuedJob {
-  /** The number of these tasks. */
+  /** The number of tasks without capacity. */
   readonly count: number;
 }
 
-/** A round that ran out of time. */
+/** A round that exceeded its time budget. */
 interface InterruptedRound {
   readonly queue: readonly QueuedJob[];
-  /** The first entry of the queue that was not served. */
+  /** The index of the first queue entry not yet processed. */
   readonly nextIndex: number;
 }
 
 /**
- * Decides which task runs on which machine, in rounds over the queue of pending jobs. A round stops when its
- * time budget is spent, and the next call resumes it. This module owns the round and the quota limit; gangs
- * are placed by {@link GangScheduler}, arrays and services by {@link TaskScheduler}.
+ * Assigns tasks to machines in rounds over the queue of pending jobs. A round is interrupted when its time budget
+ * is spent, and the next call resumes it. This class runs the rounds and enforces the quota limit;
+ * {@link GangScheduler} places gangs, {@link TaskScheduler} places arrays and services.
  */
 export class Scheduler {
   readonly #ctx: Context;
@@ -60,15 +60,15 @@
   readonly #gangs: GangScheduler;
   readonly #tasks: TaskScheduler;
   #interrupted: InterruptedRound | null = null;
-  /** The blocked jobs of the round under way. */
+  /** The blocked jobs of the current round. */
   #blockedInRound: BlockedJob[] = [];
   readonly feasibleMachines: FeasibleMachines;
   readonly preemption: Preemption;
   /** The jobs for which the last complete round found no capacity. */
   blocked: BlockedJob[] = [];
-  /** Counts the times a round ran out of its budget. */
+  /** Number of times that a round exceeded its time budget. */
   interruptedRounds = 0;
-  /** Null where fair admission is off. */
+  /** Null if fair admission is off. */
   readonly turns: RoundRobinTurns | null;
 
   constructor(
@@ -100,14 +100,14 @@
   }
 
   /**
-   * Serves the queue, or what an interrupted round has left of it. False when the budget was spent before the
-   * end: call again. At least one job is served in each call.
+   * Processes the queue, or the rest of it after an interrupted round. Returns false if the time budget was
+   * spent before the end of the queue; call again to resume. Each call processes at least one job.
    */
   runRound(budget: TimeBudget): boolean {
     const { queue, nextIndex } = this.#interrupted ?? { queue: this.#buildQueue(), nextIndex: 0 };
     if (this.#interrupted === null) this.#blockedInRound = [];
     this.#interrupted = null;
-    // Between two calls capacity may have been freed and machines may have come or gone.
+    // Capacity may have been freed, and machines added or removed, since the last call.
     this.#negativeFits.clear();
     this.feasibleMachines.beginRound(queue.map(({ job }) => job));
     for (let i = nextIndex; i < queue.length; i++) {
@@ -117,13 +117,13 @@
         return false;
       }
       const entry = queue[i];
-      if (entry) this.#serve(entry);
+      if (entry) this.#scheduleJob(entry);
     }
     this.blocked = this.#blockedInRound;
     return true;
   }
 
-  /** How many more tasks of this job the quota limit of its team allows. */
+  /** Returns how many more tasks of this job its team's quota limit allows. */
   tasksWithinQuota(job: Job): number {
     const team = this.#ctx.deployment.teams.find(({ name }) => name === job.spec.team);
     if (!team) return 0;
@@ -143,7 +143,7 @@
     return this.#placer.place(job, task, machine);
   }
 
-  /** The jobs with pending tasks that may be placed, in queue order. */
+  /** Returns the jobs with pending tasks that may be placed, in queue order. */
   #buildQueue(): QueuedJob[] {
     const unfinished = [...this.#clusterState.jobs.values()]
       .filter((job) => job.state === "active" && job.dependenciesSatisfied && !job.isComplete)
@@ -158,10 +158,10 @@
     }));
   }
 
-  /** Does the job have pending tasks that may be placed now? */
+  /** Returns whether the job has pending tasks that may be placed now. */
   #isEligible(job: Job): boolean {
     if (job.pendingCount === 0 || job.isFinalRecordQueued) return false;
-    // Its tasks may be running: what can't be read may still hold them (I3).
+    // Tasks in the unreadable record may still be running (I3).
     if (job.hasUnreadableRecord) {
       recordPendingReason(this.#ctx, job, PENDING_REASONS.recordUnreadable);
       return false;
@@ -173,7 +173,7 @@
     return true;
   }
 
-  /** Marks the jobs that have the round-robin turn; returns each job's place in its class and team. */
+  /** Marks the jobs whose round-robin turn is due. Returns each job's position within its class and team. */
   #assignTurns(pending: readonly Job[]): ReadonlyMap<Job, number> {
     if (!this.turns) return new Map();
     const { settings, wallMs } = this.#ctx;
@@ -182,20 +182,20 @@
     return this.turns.places(pending);
   }
 
-  #serve(entry: QueuedJob): void {
+  #scheduleJob(entry: QueuedJob): void {
     const { job } = entry;
     if (job.state !== "active" || job.pendingCount === 0) return;
     job.pendingReason = null;
-    if (job.spec.shape === "gang") this.#serveGang(entry);
-    else this.#serveTasks(entry);
+    if (job.spec.shape === "gang") this.#scheduleGang(entry);
+    else this.#scheduleTasks(entry);
   }
 
-  /** Serves an array or a service: as many tasks as quota and capacity allow. */
-  #serveTasks(entry: QueuedJob): void {
+  /** Schedules an array or a service: as many tasks as quota and capacity allow. */
+  #scheduleTasks(entry: QueuedJob): void {
     const { job } = entry;
-    // An array that goes first only as it is starving gets a part of its tasks placed, so as not to block others.
+    // A starving array places only part of its tasks in a round, so that it doesn't block other jobs.
     const isPartial = job.spec.shape === "array" && isStarving(this.#ctx, job);
-    const wanted = isPartial ? Math.ceil(job.pendingCount / STARVING_ARRAY_PARTS) : job.pendingCount;
+    const wanted = isPartial ? Math.ceil(job.pendingCount / STARVING_ARRAY_DIVISOR) : job.pendingCount;
     const allowed = Math.min(wanted, this.tasksWithinQuota(job));
     if (allowed === 0) {
       recordPendingReason(this.#ctx, job, PENDING_REASONS.quotaLimit);
@@ -205,8 +205,8 @@
     if (placed < allowed) this.#onNoCapacity(entry, allowed - placed);
   }
 
-  /** Serves a gang: all of its tasks or none, and only once nothing of its previous attempt is left (I3). */
-  #serveGang(entry: QueuedJob): void {
+  /** Schedules a gang: all tasks or none, and only after all placements of its previous attempt have ended (I3). */
+  #scheduleGang(entry: QueuedJob): void {
     const { job, isWithinGuarantee } = entry;
     if (job.placements.size > 0) {
       recordPendingReason(this.#ctx, job, PENDING_REASONS.previousAttemptActive);
@@ -214,7 +214,7 @@
     }
     if (Math.min(job.pendingCount, this.tasksWithinQuota(job)) < job.spec.tasks) {
       recordPendingReason(this.#ctx, job, PENDING_REASONS.quotaLimit);
-      // Else smaller jobs would take each bit of the team's quota that is freed, for ever.
+      // Otherwise smaller jobs would take any freed quota of the team, and the gang would starve indefinitely.
       if (isStarving(this.#ctx, job)) this.#reservations.reserveQuota(job);
       return;
     }
@@ -223,7 +223,7 @@
     if (job.spec.tasks > 1) this.#reserveZoneFor(job);
   }
 
-  /** Lists a job as blocked, and preempts for it if it may. */
+  /** Records a job as blocked, and preempts for it if it is allowed to. */
   #onNoCapacity({ job, isWithinGuarantee }: QueuedJob, count: number): void {
     const { now } = this.#ctx;
     job.blockedSince ??= now;
@@ -238,7 +238,7 @@
       this.preemption.preemptFor({ job, count, isWithinGuarantee, isSuitable: anyMachine, maxSaveS: null });
   }
 
-  /** Reserves a zone for a gang that is starving, or whose deadline is at risk. */
+  /** Reserves a zone for a gang that is starving or whose deadline is at risk. */
   #reserveZoneFor(job: Job): void {
     const starving = isStarving(this.#ctx, job);
     if (!starving && !isDeadlineAtRisk(this.#ctx, job)) return;
--- a/src/core/scheduling/task-placer.ts
+++ b/src/core/scheduling/task-placer.ts
@@ -10,27 +10,27 @@
 import type { RecordWriter } from "../store/record-writer.js";
 import { isStarving } from "./queue-order.js";
 
-/** For how long a job that was starving when a task of it was placed is protected from preemption. */
+/** How long a job is protected from preemption after placing a task while starving. */
 const STARVED_PROTECTION_MS = 60_000;
 
-/** What {@link TaskPlacer} works with. */
+/** The dependencies of {@link TaskPlacer}. */
 export interface TaskPlacerDependencies {
   readonly ctx: Context;
   readonly leaderLease: LeaderLease;
   readonly clusterState: ClusterState;
   readonly recordWriter: RecordWriter;
-  /** Null where fair admission is off. */
+  /** Null if fair admission is off. */
   readonly turns: RoundRobinTurns | null;
 }
 
-/** Binds tasks to machines and numbers their attempts. */
+/** Binds tasks to machines and assigns attempt numbers. */
 export class TaskPlacer {
   readonly #ctx: Context;
   readonly #leaderLease: LeaderLease;
   readonly #clusterState: ClusterState;
   readonly #recordWriter: RecordWriter;
   readonly #turns: RoundRobinTurns | null;
-  /** The last attempt numbered under `#counterFencingToken`. */
+  /** The counter of the last attempt number assigned under `#counterFencingToken`. */
   #attemptCounter = 0;
   #counterFencingToken = 0;
 
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Is an attempt number left under the present fencing token? The counter starts anew under each token, so
-   * that a long term never runs out of numbers.
+   * Returns whether an attempt number is left under the current fencing token. Each token restarts the counter,
+   * so that a long term never runs out of numbers.
    */
   hasAttempts(): boolean {
     if (this.#counterFencingToken !== this.#leaderLease.fencingToken) {
@@ -54,21 +54,21 @@
     return isValidCounter(this.#attemptCounter + 1);
   }
 
-  /** The next attempt number; a gang's tasks share one. Throws a RangeError where none is left. */
+  /** Returns the next attempt number; the tasks of a gang share one. Throws a RangeError if none is left. */
   nextAttempt(): number {
-    if (!this.hasAttempts()) throw new RangeError("no attempts are left under this token");
+    if (!this.hasAttempts())
+      throw new RangeError("no attempt number is left under the current fencing token");
     this.#attemptCounter++;
     return attemptNumber(this.#leaderLease.fencingToken, this.#attemptCounter);
   }
 
   /**
-   * Binds a task to a machine in the cluster state and queues the placement for its record. The start command
-   * is sent only once the placement is recorded (I2); from now on the placement holds its task, zone,
-   * capacity and quota (I3).
+   * Binds a task to a machine in the cluster state and queues the record write. The start command is sent only
+   * after the placement is recorded (I2). The task, zone, capacity and quota are in use from now on (I3).
    */
   place(job: Job, task: number, machine: Machine, attempt = this.nextAttempt()): Placement {
     const { now } = this.#ctx;
-    // A job that starts as it is starving would make no progress if what it overtook preempted it at once.
+    // Without protection, jobs that a starving job has overtaken could preempt it before it makes progress.
     if (isStarving(this.#ctx, job)) job.protectedUntil = now + STARVED_PROTECTION_MS;
     const placement: Placement = {
       job,
--- a/src/core/scheduling/task-scheduling.ts
+++ b/src/core/scheduling/task-scheduling.ts
@@ -12,10 +12,10 @@
 import type { TaskPlacer } from "./task-placer.js";
 import { maxTasksPerZone } from "./zone-spread.js";
 
-/** A machine that must fetch a service's image gets at most one part in so many of its replicas at a time. */
-const FETCHING_MACHINE_PARTS = 4;
+/** A machine that must fetch a service's image gets at most the number of replicas divided by this at a time. */
+const FETCHING_MACHINE_DIVISOR = 4;
 
-/** Places the tasks of job arrays and the replicas of services: each by itself, as many as fit. */
+/** Places tasks of arrays and replicas of services individually, as many as fit. */
 export class TaskScheduler {
   readonly #ctx: Context;
   readonly #feasibleMachines: FeasibleMachines;
@@ -33,12 +33,12 @@
     this.#placer = dependencies.placer;
   }
 
-  /** Places up to `count` tasks; returns for how many there is a machine, now or once preemption has freed it. */
+  /** Places up to `count` tasks. Returns the number placed, plus those for which preemption is freeing capacity. */
   schedule(job: Job, count: number): number {
     const objectiveS = startObjectiveS(this.#ctx, job);
     if (objectiveS === null) return this.#placeOnAny(job, count);
     const remainingS = objectiveS - jobAgeS(this.#ctx, job);
-    // A start objective is met only where the image is there in time, and that is worth a preemption.
+    // The start objective can be met only on machines with the image in time, which justifies preemption.
     const hasImageInTime = (machine: Machine) => this.#scoring.imageWaitS(job, machine) <= objectiveS;
     let placed = this.#negativeFits.has(job, 1) ? 0 : this.#place(job, count, hasImageInTime);
     if (placed < count && mayPreempt(this.#ctx, job)) {
@@ -61,7 +61,7 @@
     return placed;
   }
 
-  /** Packs up to `count` tasks onto the suitable machines, best first; returns how many it placed. */
+  /** Packs up to `count` tasks onto the suitable machines, best first. Returns the number of tasks placed. */
   #place(job: Job, count: number, isSuitable: MachineFilter): number {
     const machines = this.#scoring.rank(job, this.#feasibleMachines.findFor(job)).filter(isSuitable);
     const zone = job.spec.oneZone ? zoneOf(job, machines) : null;
@@ -69,7 +69,7 @@
     for (const machine of machines) {
       if (placed >= count) break;
       if (zone !== null && machine.zone !== zone) continue;
-      // The machines were found before the first task was placed: the GPU headroom may be used up by now.
+      // Placements made since the search may have used up the GPU headroom.
       if (placed > 0 && this.#feasibleMachines.wouldWasteGpus(job, machine)) continue;
       for (let slots = slotsOn(machine, job, count - placed); slots > 0; slots--) {
         const task = job.nextPending();
@@ -82,20 +82,20 @@
   }
 }
 
-/** The zone of a job that must stay within one: that of its placements or, without any, the best machine's. */
+/** Returns the zone for a job restricted to one: that of its placements, or of the best machine if it has none. */
 function zoneOf(job: Job, ranked: readonly Machine[]): string | null {
   for (const placement of job.placements.values()) return placement.machine.zone;
   return ranked[0]?.zone ?? null;
 }
 
-/** How many of `count` tasks go onto this machine. */
+/** Returns how many of `count` tasks to place on this machine. */
 function slotsOn(machine: Machine, job: Job, count: number): number {
   const { need, tasks, spread, shape, image } = job.spec;
   let slots = Math.min(count, countFitting(need, machine.freeCapacity()));
   if (spread) slots = Math.min(slots, maxTasksPerZone(job.spec) - job.countInZone(machine.zone));
   if (shape === "service" && !machine.images.has(image)) {
-    // Several machines fetch the image at the same time, so that not all replicas depend on the fetch of one.
-    slots = Math.min(slots, Math.ceil(tasks / FETCHING_MACHINE_PARTS));
+    // Spread the fetch over several machines, so that the replicas don't all depend on a single one.
+    slots = Math.min(slots, Math.ceil(tasks / FETCHING_MACHINE_DIVISOR));
   }
   return slots;
 }
--- a/src/core/scheduling/team-load.ts
+++ b/src/core/scheduling/team-load.ts
@@ -1,7 +1,7 @@
 import type { RoundRobinTurns } from "../../admission/round-robin-turns.js";
 import type { Job } from "../model/job.js";
 
-/** How many of these unfinished jobs each team has, teams that are no longer in the settings included. */
+/** Counts the unfinished jobs of each team, including teams no longer in the settings. */
 export function countUnfinishedJobsByTeam(unfinishedJobs: Iterable<Job>): Map<string, number> {
   const countByTeam = new Map<string, number>();
   for (const { spec } of unfinishedJobs) countByTeam.set(spec.team, (countByTeam.get(spec.team) ?? 0) + 1);
@@ -9,8 +9,8 @@
 }
 
 /**
- * For each team, the longest time in milliseconds for which some class of its jobs has had pending tasks and
- * no start; 0 where nothing is pending.
+ * Returns, for each team, the longest time in milliseconds for which a class of its jobs has had pending tasks
+ * without a task start; 0 if nothing is pending.
  */
 export function longestWaitMsByTeam(
   turns: RoundRobinTurns,
--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -164,7 +164,7 @@
   assert.ok(harness.controller.ctx.wallMs - second.queuedSince < 2000);
   assert.ok(harness.cloudCalls.some(({ kind }) => kind === "create"));
   assert.ok(
-    !harness.logLines.includes("job pending for long"),
+    !harness.logLines.includes("job is starving"),
     "the wait for dependencies does not count as queue time",
   );
 });
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -19,7 +19,7 @@
     harness.sendHeartbeat("A");
     harness.advance(1000);
   }
-  assert.equal(harness.logLines.filter((text) => text === "job pending for long").length, 1);
+  assert.equal(harness.logLines.filter((text) => text === "job is starving").length, 1);
 });
 
 test("a scheduling round that exceeds its time budget resumes where it stopped", () => {
