--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -4,43 +4,43 @@
 import type { MachineType } from "../model/deployment.js";
 import type { Machine } from "../model/machine.js";
 
-/** The machines are listed this often, or less often where the list has many pages. */
+/** Interval between machine listings; longer if the list has many pages. */
 const LIST_INTERVAL_MS = 4000;
-/** The machine types are read this often. */
+/** Interval between reads of the machine types. */
 const TYPES_INTERVAL_MS = 60_000;
-/** Without any machine type nothing can be decided: they are read again soon. */
+/** Interval while no machine types are known, since nothing can be provisioned without them. */
 const TYPES_RETRY_MS = 1000;
-/** A page that was refused is requested again after this. */
+/** Delay before a failed page request is repeated. */
 const PAGE_RETRY_MS = 1000;
-/** The share of the cloud's request rate that lists may use: creation and termination need the rest. */
+/** Share of the cloud's request rate available to listings; the rest is for creation and termination. */
 const LIST_RATE_SHARE = 0.4;
-/** So many pages follow each other at once; the next ones come no faster than the cloud's request rate. */
+/** Number of pages requested without delay; later pages are paced by the cloud's request rate. */
 const BURST_PAGES = 4;
-/** Copies of heartbeats may come this long after their machine's termination. */
+/** How long delayed copies of heartbeats may arrive after their machine's termination. */
 const TERMINATED_RETENTION_MS = 600_000;
-/** How often more machines than the operators allow are logged. */
+/** Minimum interval between log lines about exceeding `max_machines`. */
 const EXCESS_LOG_INTERVAL_MS = 60_000;
 
-/** What the inventory learns from the cloud. */
+/** Callbacks for events found in the cloud's responses. */
 export interface InventoryEvents {
-  /** The cloud's catalogue was read. */
+  /** Called after the cloud's catalogue has been read. */
   onMachineTypes(types: readonly MachineType[]): void;
-  /** The cloud lists this machine as failed. */
+  /** Called when the cloud lists a machine as failed. */
   onMachineFailed(machine: Machine): void;
 }
 
-/** Keeps the machine types and the machines of the cluster state in step with what the cloud lists. */
+/** Synchronizes the machine types and machines of the cluster state with the cloud's listings. */
 export class CloudInventory {
   readonly #ctx: Context;
   readonly #cluster: ClusterState;
   readonly #events: InventoryEvents;
-  /** Nothing is created before the first full listing of this term: machines that earlier leaders created count, too. */
+  /** No machines are created before this term's first full listing, which shows those created by earlier leaders. */
   hasFullListing = false;
   #isListing = false;
   #listingSince = Number.NEGATIVE_INFINITY;
   #nextListingAt = Number.NEGATIVE_INFINITY;
   #isStopped = false;
-  /** Where the listing continues, and when; null if no page is due. */
+  /** The next page to request and when; null if none is due. */
   #nextPage: { readonly after: string | null; readonly at: number } | null = null;
   #pageCount = 0;
   #typesRequestedAt = Number.NEGATIVE_INFINITY;
@@ -52,12 +52,12 @@
     this.#events = events;
   }
 
-  /** Ends the listing under way, as the leader's term has ended. */
+  /** Stops the listing in progress at the end of the leader's term. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  /** Requests from the cloud what is due. */
+  /** Sends the listing and catalogue requests that are due. */
   tick(): void {
     const { now } = this.#ctx;
     if (this.#nextPage && now >= this.#nextPage.at) {
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Requests one page. One that was refused is requested again, and the listing continues from there: begun anew each
-   * time, the listing of a large cluster would never be complete beside other requests.
+   * Requests one page. A failed request is repeated and the listing continues from there: if it restarted each time,
+   * the listing of a large cluster would never complete while competing with other requests.
    */
   #requestPage(after: string | null): void {
     this.#ctx.callCloud({ kind: "list", after }, (response) => {
@@ -97,7 +97,7 @@
         return;
       }
       this.#pageCount++;
-      for (const listed of response.machines) this.#takeInListed(listed);
+      for (const listed of response.machines) this.#addListedMachine(listed);
       const last = response.machines.at(-1);
       if (!response.more || !last) this.#completeListing();
       else if (this.#pageCount < BURST_PAGES) this.#requestPage(last.name);
@@ -111,31 +111,31 @@
     this.#isListing = false;
     const pagesMs = (this.#pageCount * 1000) / (deployment.cloudRps * LIST_RATE_SHARE);
     this.#nextListingAt = this.#listingSince + Math.max(LIST_INTERVAL_MS, pagesMs);
-    // Well beyond the list's lag neither a list nor a copy of a heartbeat shows the machine any more.
+    // Well after the list's lag, neither a list nor a delayed heartbeat can show the machine.
     const retentionMs = deployment.listLagS * 4000 + TERMINATED_RETENTION_MS;
     for (const [name, terminatedAt] of this.#cluster.terminatedMachines)
       if (now - terminatedAt > retentionMs) this.#cluster.terminatedMachines.delete(name);
-    this.#logExcess();
+    this.#logExcessMachines();
   }
 
-  /** The list lags and may go back in time: it adds machines, but that one is not listed proves nothing. */
-  #takeInListed(listed: CloudMachine): void {
+  /** Adds a listed machine. The list lags and may be older than the last one, so absence from it proves nothing. */
+  #addListedMachine(listed: CloudMachine): void {
     const index = this.#ctx.names.machines.find(listed.name);
     const known = index === undefined ? undefined : this.#cluster.machines.get(index);
-    // A late list may still show a machine that has been terminated: it must not come back.
+    // A delayed list may still show a terminated machine, which must not be added again.
     if (!known && this.#cluster.terminatedMachines.has(listed.name)) return;
     const createdAt = this.#ctx.now - listed.ageS * 1000;
     const machine = known ?? this.#cluster.ensureMachine(listed.name, listed, createdAt);
     if (listed.phase === "failed" && machine.phase !== "releasing") this.#events.onMachineFailed(machine);
   }
 
-  /** Machines beyond the operators' limit stay and are used; none is created, and the log says so. */
-  #logExcess(): void {
+  /** Logs that there are more machines than allowed. They stay in use, but no more are created. */
+  #logExcessMachines(): void {
     const { now, settings } = this.#ctx;
     const { size } = this.#cluster.machines;
     if (size <= settings.max_machines || now - this.#excessLoggedAt < EXCESS_LOG_INTERVAL_MS) return;
     this.#excessLoggedAt = now;
-    this.#ctx.log("info", "more machines than max_machines", {
+    this.#ctx.log("info", "machine count exceeds max_machines", {
       machines: size,
       max_machines: settings.max_machines,
     });
--- a/src/core/autoscaling/creation-requests.ts
+++ b/src/core/autoscaling/creation-requests.ts
@@ -4,14 +4,14 @@
 import type { LeaderLease } from "../model/leader-lease.js";
 import { type Offer, offerKeyOf } from "./offer.js";
 
-/** After a request that the cloud did not fulfil, the offer is backed off for this time, doubled with each repeat. */
+/** Initial back-off for an offer after a request that was not fulfilled; doubles with each repetition. */
 const OFFER_BACKOFF_MS = 8000;
 const OFFER_BACKOFF_MAX_MS = 60_000;
-/** How often a request without a response is sent, and after what time it is repeated. */
+/** How many times a request is sent if it gets no response. */
 const MAX_ATTEMPTS = 3;
 const RETRY_DELAY_MS = 1000;
 
-/** A request to create machines that has not been answered. */
+/** A request to create machines that is awaiting a response. */
 export interface CreationRequest {
   readonly offer: Offer;
   readonly count: number;
@@ -21,18 +21,18 @@
 }
 
 /**
- * The requests to the cloud to create machines: one at a time for each offer, repeated under the same id when the
- * response does not come, with a back-off for offers without capacity.
+ * Sends requests to create machines, one at a time per offer. Retries a request under the same id if no response
+ * arrives, and backs off from offers without capacity.
  */
 export class CreationRequests {
   readonly #ctx: Context;
   readonly #lease: LeaderLease;
   readonly #cluster: ClusterState;
-  /** By offer, those waiting to be repeated included. */
+  /** By offer, including requests waiting for a retry. */
   readonly #inFlight = new Map<string, CreationRequest>();
-  /** Requests without a response, to be repeated. */
+  /** Requests to retry because they got no response. */
   readonly #retries: { readonly at: number; readonly request: CreationRequest }[] = [];
-  /** Back-offs by offer. */
+  /** Current back-offs, by offer. */
   readonly #backoffs = new Map<string, { readonly until: number; readonly waitMs: number }>();
   #requestCount = 0;
 
@@ -42,28 +42,28 @@
     this.#cluster = cluster;
   }
 
-  /** The requests not answered yet; their machines may come to be. */
+  /** Returns the requests awaiting a response, whose machines may be created. */
   inFlight(): IterableIterator<CreationRequest> {
     return this.#inFlight.values();
   }
 
-  /** True while the cloud is not to be asked for this offer. */
+  /** Returns whether the offer is backed off, so that no request may be sent. */
   isBackedOff(offer: Offer): boolean {
     return (this.#backoffs.get(offerKeyOf(offer))?.until ?? 0) > this.#ctx.now;
   }
 
-  /** Asks for machines of an offer, unless a request for it is in flight. */
+  /** Requests machines of an offer, unless a request for it is in flight. */
   create(offer: Offer, count: number): void {
     const key = offerKeyOf(offer);
     if (this.#inFlight.has(key)) return;
-    // The fencing token and a counter: an id that no other leader, nor this one, ever uses again.
+    // The fencing token and a counter make the id unique across all leaders.
     const requestId = `r-${this.#lease.firstFencingToken}-${++this.#requestCount}`;
     const request: CreationRequest = { offer, count, requestId, attemptsLeft: MAX_ATTEMPTS };
     this.#inFlight.set(key, request);
     this.#send(request);
   }
 
-  /** Repeats the requests whose response did not come, once they are due. */
+  /** Resends the requests whose retry is due. */
   retry(): void {
     for (const entry of this.#retries.splice(0)) {
       if (entry.at <= this.#ctx.now) this.#send(entry.request);
@@ -82,7 +82,7 @@
   #onResponse(request: CreationRequest, response: CloudResponse): void {
     const { offer, attemptsLeft } = request;
     if (response.kind === "timeout" && attemptsLeft > 1) {
-      // It may have been carried out: under the same id it creates nothing more, and the response lists the machines.
+      // The request may have succeeded. A retry under the same id creates nothing more and returns the machines.
       this.#retries.push({
         at: this.#ctx.now + RETRY_DELAY_MS,
         request: { ...request, attemptsLeft: attemptsLeft - 1 },
--- a/src/core/autoscaling/gpu-headroom.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -9,36 +9,36 @@
 import type { Scheduler } from "../scheduling/scheduler.js";
 
 const ADJUST_INTERVAL_MS = 1000;
-/** For how many counting windows the highest number of machines needed is kept. */
+/** Number of counting windows over which the peak number of machines needed is retained. */
 const PEAK_WINDOWS = 1.25;
-/** GPU jobs have ceased if none came for this many of the usual gaps between two, and no sooner than this. */
-const CEASED_GAPS = 4;
+/** GPU demand has ceased after this many mean interarrival times without a job, but not before the minimum. */
+const CEASED_INTERARRIVALS = 4;
 const CEASED_MIN_MS = 45_000;
-/** The weight of the last gap in the moving average. */
-const GAP_WEIGHT = 0.1;
-/** The image size remembered shrinks by this factor with each job, unless one as large comes again. */
+/** Weight of the latest interarrival time in the moving average. */
+const INTERARRIVAL_WEIGHT = 0.1;
+/** Decay factor of the largest image size, applied with each job. */
 const IMAGE_SIZE_DECAY = 0.9;
 const MIN_FETCH_GB_PER_S = 0.01;
 
-/** The demand for machines of one GPU type, as observed in this term. */
+/** Demand for machines of one GPU type, as observed in this term. */
 interface GpuDemand {
-  /** The largest need of a task seen, resource by resource: what jobs without GPUs must leave free. */
+  /** The largest task demand observed, per resource. Jobs without GPUs must leave this much free. */
   need: Resources | null;
-  /** The jobs of the counting window: how many machines each fills. */
+  /** Jobs that arrived in the counting window, and the number of machines that each fills. */
   readonly arrivals: { readonly at: number; readonly machines: number }[];
   imageGb: number;
   lastArrivalAt: number;
-  /** The moving average of the time between two arrivals. */
-  gapMs: number;
-  /** The teams that the jobs came from: their quota limits bound how many machines can be used at once. */
+  /** Moving average of the time between two arrivals. */
+  interarrivalMs: number;
+  /** Teams that submitted the jobs; their quota limits bound how many machines can be used at the same time. */
   readonly teams: Set<string>;
-  /** How many machines were in use or waited for, with the headroom. */
+  /** Past numbers of machines in use or needed by blocked jobs, including the headroom. */
   readonly requirements: { readonly at: number; readonly machines: number }[];
 }
 
-/** The blocked jobs that machines of a type would run. */
+/** Demand from blocked jobs that machines of one type could run. */
 interface BlockedDemand {
-  /** How many machines the blocked GPU tasks would fill. */
+  /** Number of machines that the blocked GPU tasks would fill. */
   gpuMachines: number;
   /** True if the provisioner would create an on-demand or spot machine of the type for a job without GPUs. */
   isWantedOnDemand: boolean;
@@ -46,9 +46,9 @@
 }
 
 /**
- * Decides how many machines of each GPU type are kept. They are expensive, and a new one takes longer to boot and to
- * fetch its image than GPU jobs can wait: so as many are kept free as are likely to be needed in that time (the
- * headroom), and the rest is marked for scale-in.
+ * Decides how many machines of each GPU type to keep. They are expensive, but booting a new one and fetching its image
+ * takes longer than GPU jobs can wait. The machines likely to be needed within that time (the headroom) are kept free,
+ * and any surplus is marked for scale-in.
  */
 export class GpuHeadroom {
   readonly #ctx: Context;
@@ -67,7 +67,7 @@
     this.#startedAt = ctx.now;
   }
 
-  /** Counts the GPU jobs that have come, and adjusts the headroom of each GPU type, once a second. */
+  /** Counts newly arrived GPU jobs and adjusts the headroom of each GPU type, once per second. */
   tick(): void {
     const { now } = this.#ctx;
     if (now - this.#adjustedAt < ADJUST_INTERVAL_MS) return;
@@ -76,7 +76,7 @@
     for (const type of this.#cluster.machineTypes.values()) if (type.size.gpu > 0) this.#adjust(type);
   }
 
-  /** How many machines of a type the quota limits of the teams with such jobs let be in use at once. */
+  /** Returns how many machines of a type the quota limits of the teams with such jobs allow to be in use. */
   maxUsefulMachines(type: MachineType): number {
     const { need, teams } = this.#demandFor(type);
     if (!need || need.gpu === 0) return 0;
@@ -87,7 +87,7 @@
     return Math.ceil(tasks / Math.max(1, countFitting(need, type.size)));
   }
 
-  /** True for a job without GPUs that a GPU machine would run at more than `dear_factor` times the least price. */
+  /** Returns whether running a job without GPUs on a GPU type costs over `dear_factor` times the lowest price. */
   isTooExpensive(job: Job, type: MachineType, spot: boolean): boolean {
     if (job.spec.need.gpu > 0 || type.size.gpu === 0) return false;
     let leastPerTask = Number.POSITIVE_INFINITY;
@@ -111,18 +111,19 @@
       for (const type of this.#cluster.machineTypes.values())
         if (fitsMachineType(job.spec, type)) this.#countArrival(job, type);
     }
-    for (const { arrivals } of this.#demands.values()) dropBefore(arrivals, this.#ctx.now - windowMs);
+    for (const { arrivals } of this.#demands.values()) removeOlderThan(arrivals, this.#ctx.now - windowMs);
   }
 
   #countArrival({ spec }: Job, type: MachineType): void {
     const { now } = this.#ctx;
     const demand = this.#demandFor(type);
     demand.teams.add(spec.team);
-    demand.need = larger(demand.need, spec.need);
+    demand.need = elementwiseMax(demand.need, spec.need);
     demand.imageGb = Math.max(demand.imageGb * IMAGE_SIZE_DECAY, spec.imageGb);
     demand.arrivals.push({ at: now, machines: Math.ceil(spec.tasks / countFitting(spec.need, type.size)) });
-    const gapMs = now - demand.lastArrivalAt;
-    if (Number.isFinite(gapMs)) demand.gapMs += GAP_WEIGHT * (gapMs - demand.gapMs);
+    const interarrivalMs = now - demand.lastArrivalAt;
+    if (Number.isFinite(interarrivalMs))
+      demand.interarrivalMs += INTERARRIVAL_WEIGHT * (interarrivalMs - demand.interarrivalMs);
     demand.lastArrivalAt = now;
   }
 
@@ -134,7 +135,7 @@
         arrivals: [],
         imageGb: 0,
         lastArrivalAt: Number.NEGATIVE_INFINITY,
-        gapMs: 0,
+        interarrivalMs: 0,
         teams: new Set(),
         requirements: [],
       };
@@ -157,9 +158,9 @@
     return demand;
   }
 
-  /** True if no GPU job has come for several times as long as it usually takes. */
-  #hasCeased({ lastArrivalAt, gapMs }: GpuDemand): boolean {
-    return this.#ctx.now - lastArrivalAt > Math.max(CEASED_MIN_MS, CEASED_GAPS * gapMs);
+  /** Returns whether no GPU job has arrived for several mean interarrival times. */
+  #hasDemandCeased({ lastArrivalAt, interarrivalMs }: GpuDemand): boolean {
+    return this.#ctx.now - lastArrivalAt > Math.max(CEASED_MIN_MS, CEASED_INTERARRIVALS * interarrivalMs);
   }
 
   /* ---- supply ---- */
@@ -178,7 +179,7 @@
     const inUse = Math.min(maxUseful, busyCount + blocked.gpuMachines);
     const retained = this.#machinesToRetain(demand, inUse, Math.min(maxUseful, inUse + headroom));
     const isWarmingUp = this.#ctx.now - this.#startedAt < this.#ctx.settings.spare_window_s * 1000;
-    // What the provisioner would create for blocked jobs is not terminated: it would be charged its minimum and come back.
+    // Don't terminate what the provisioner would recreate for blocked jobs, at the cost of another minimum charge.
     const surplus = blocked.isWantedOnDemand || isWarmingUp ? 0 : machines.length - retained;
     this.#ctx.log("debug", "gpu headroom", {
       type: type.name,
@@ -199,7 +200,7 @@
     for (const machine of candidates.slice(0, Math.max(0, surplus))) this.#markForScaleIn(machine);
   }
 
-  /** How many machines are to be kept free: in units of the root of the arrivals to expect while one boots and fetches. */
+  /** Returns the headroom in machines, proportional to the square root of the arrivals expected while one starts up. */
   #headroomFor(type: MachineType, { arrivals, imageGb }: GpuDemand): number {
     const { settings } = this.#ctx;
     const arrived = arrivals.reduce((sum, arrival) => sum + arrival.machines, 0);
@@ -209,30 +210,30 @@
     return Math.ceil(settings.spare_factor * Math.sqrt(expected));
   }
 
-  /** While GPU jobs keep coming, as many as were needed at the peak; once they have ceased, those in use. */
+  /** Returns the recent peak of machines needed or, once demand has ceased, the number in use. */
   #machinesToRetain(demand: GpuDemand, inUse: number, needed: number): number {
     const { now, settings } = this.#ctx;
     const { requirements } = demand;
     requirements.push({ at: now, machines: needed });
-    dropBefore(requirements, now - PEAK_WINDOWS * settings.spare_window_s * 1000);
-    if (this.#hasCeased(demand)) return inUse;
+    removeOlderThan(requirements, now - PEAK_WINDOWS * settings.spare_window_s * 1000);
+    if (this.#hasDemandCeased(demand)) return inUse;
     return Math.max(...requirements.map(({ machines }) => machines));
   }
 
-  /** What runs without GPUs on the machine is stopped if that loses little, for the machine to be empty soon. */
+  /** Marks a machine, and stops its tasks that can checkpoint and have no completion objective, so that it empties. */
   #markForScaleIn(machine: Machine): void {
     machine.isMarkedForScaleIn = true;
     for (const placement of [...machine.placements]) {
       const { job, stop } = placement;
       if (job.spec.checkpointS > 0 && !stop && !hasCompletionObjective(this.#ctx, job))
-        this.#scheduler.preemption.stopGracefully(placement, "its machine is scaled in");
+        this.#scheduler.preemption.stopGracefully(placement, "machine scale-in");
     }
   }
 }
 
 /**
- * Those marked before come first: chosen anew each second, one machine after another would be emptied and kept. Then the
- * expensive ones, and of those the emptiest.
+ * Orders candidates for scale-in. Machines already marked come first: a new choice each second would empty one machine
+ * after another without removing any. Then on-demand machines precede spot machines, then those with fewer tasks.
  */
 function compareForScaleIn(a: Machine, b: Machine): number {
   return (
@@ -243,16 +244,16 @@
   );
 }
 
-/** True for a machine whose GPUs are in use. */
+/** Returns whether any GPU of the machine is in use. */
 function runsGpuTasks({ used }: Machine): boolean {
   return used.gpu > 0;
 }
 
-function dropBefore(entries: { readonly at: number }[], before: number): void {
+function removeOlderThan(entries: { readonly at: number }[], before: number): void {
   while (entries[0] && entries[0].at < before) entries.shift();
 }
 
-function larger(a: Resources | null, b: Resources): Resources {
+function elementwiseMax(a: Resources | null, b: Resources): Resources {
   if (!a) return b;
   return { cpu: Math.max(a.cpu, b.cpu), gpu: Math.max(a.gpu, b.gpu), ram: Math.max(a.ram, b.ram) };
 }
--- a/src/core/autoscaling/machine-modes.ts
+++ b/src/core/autoscaling/machine-modes.ts
@@ -6,11 +6,11 @@
 import type { Scheduler } from "../scheduling/scheduler.js";
 import type { ConfigWatch } from "../store/config-watch.js";
 
-/** A service replica is evicted no sooner than this after its start was sent. */
+/** The minimum time from sending a service replica's start command to evicting it. */
 const REPLICA_MIN_AGE_MS = 30_000;
-const EVICTION_REASON = "its machine is drained or reclaimed";
+const EVICTION_REASON = "machine drained or reclaimed";
 
-/** Applies the machine modes that operators and failures have set, and evicts the tasks of machines that go. */
+/** Applies the machine modes set by operators, and evicts tasks from machines drained or about to be reclaimed. */
 export class MachineModes {
   readonly #ctx: Context;
   readonly #config: ConfigWatch;
@@ -32,7 +32,7 @@
     this.#scheduler = scheduler;
   }
 
-  /** Sets each machine's mode to what the operators have chosen; where they have not, faulty machines keep theirs. */
+  /** Applies the modes set by operators. Other machines return to "open" unless they are faulty. */
   apply(): void {
     for (const machine of this.#cluster.machines.values()) {
       const mode = this.#config.machineModes[machine.name];
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Evicts the tasks of machines that are drained or about to be reclaimed, in time to write their checkpoints. */
+  /** Evicts tasks from machines that are drained or about to be reclaimed, allowing time for checkpoints. */
   drain(): void {
     for (const machine of this.#cluster.machines.values()) {
       if (machine.phase !== "up" || machine.isLeaseExpired) continue;
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Tasks without checkpoints are left: they may end by themselves, and would lose their work. */
+  /** Stops tasks with checkpoints. Others would lose their work, and may still complete in time. */
   #stopTasksWithCheckpoints(machine: Machine): void {
     for (const placement of [...machine.placements]) {
       const { spec } = placement.job;
--- a/src/core/autoscaling/machine-reaper.ts
+++ b/src/core/autoscaling/machine-reaper.ts
@@ -5,24 +5,24 @@
 import type { Scheduler } from "../scheduling/scheduler.js";
 import { type ClusterHealth, isSilent, machineKindOf, terminationReasonFor } from "./termination-rules.js";
 
-/** The boot time of a machine whose type is not known. */
+/** The boot time assumed for a machine of unknown type. */
 const UNKNOWN_BOOT_S = 60;
-/** A machine is silent after 2.6 heartbeat intervals and a margin. */
+/** A machine is silent after 2.6 heartbeat intervals plus a margin. */
 const SILENT_MS_PER_INTERVAL_S = 2600;
 const SILENT_MARGIN_MS = 700;
 /** A heartbeat is missed after 1.5 intervals. */
 const MISSED_MS_PER_INTERVAL_S = 1500;
-/** A zone counts as cut off for this many leases after most of its machines were last found quiet. */
-const CUT_OFF_LEASES = 2;
+/** A zone counts as partitioned for this many leases after most of its machines last missed a heartbeat together. */
+const PARTITION_LEASES = 2;
 
-/** Decides which machines are terminated: those idle, stuck, silent or broken. The provisioner carries it out. */
+/** Marks idle, stuck, silent and failed machines for termination; {@link MachineTerminator} terminates them. */
 export class MachineReaper {
   readonly #ctx: Context;
   readonly #lease: LeaderLease;
   readonly #cluster: ClusterState;
   readonly #scheduler: Scheduler;
-  /** Until when each zone counts as cut off. */
-  readonly #cutOffUntil = new Map<string, number>();
+  /** When each zone stops counting as partitioned. */
+  readonly #partitionedUntil = new Map<string, number>();
 
   constructor(ctx: Context, lease: LeaderLease, cluster: ClusterState, scheduler: Scheduler) {
     this.#ctx = ctx;
@@ -31,7 +31,7 @@
     this.#scheduler = scheduler;
   }
 
-  /** Marks a machine for termination, unless it is marked already; nothing is placed on it any more. */
+  /** Marks a machine for termination, unless already marked. No more tasks are placed on it. */
   markForTermination(machine: Machine, reason: string): void {
     if (machine.phase === "releasing") return;
     machine.phase = "releasing";
@@ -39,16 +39,16 @@
     this.#ctx.log("debug", "machine marked for termination", { machine: machine.name, reason });
   }
 
-  /** Judges every machine, and marks those that are to be terminated. */
+  /** Checks every machine, and marks those to be terminated. */
   tick(): void {
     const health = this.#assessHealth();
     for (const machine of this.#cluster.machines.values()) {
       switch (machine.phase) {
         case "booting":
-          this.#judgeBooting(machine);
+          this.#checkBootTimeout(machine);
           break;
         case "up": {
-          this.#trackIdleness(machine);
+          this.#updateIdleSince(machine);
           const reason = terminationReasonFor(machine, health);
           if (reason) this.markForTermination(machine, reason);
           break;
@@ -59,19 +59,19 @@
     }
   }
 
-  #judgeBooting(machine: Machine): void {
+  #checkBootTimeout(machine: Machine): void {
     const { now, settings } = this.#ctx;
     const bootS = machine.type?.bootS ?? UNKNOWN_BOOT_S;
     if (now - machine.createdAt > bootS * settings.boot_factor * 1000)
       this.markForTermination(machine, "boot timed out");
   }
 
-  #trackIdleness(machine: Machine): void {
+  #updateIdleSince(machine: Machine): void {
     if (machine.placements.size > 0 || machine.usedByUnknownTasks.cpu > 0) machine.idleSince = null;
     else machine.idleSince ??= this.#ctx.now;
   }
 
-  /** What holds for all machines in this tick. */
+  /** Assesses the conditions that apply to all machines in this tick. */
   #assessHealth(): ClusterHealth {
     const { now, settings, deployment } = this.#ctx;
     const up = [...this.#cluster.machines.values()].filter((machine) => machine.phase === "up");
@@ -87,32 +87,32 @@
       maxIdleMs: settings.idle_s * 1000,
       canReceive: silentCount <= tolerableCount,
       canSend: unreachableCount <= tolerableCount,
-      cutOffZones: this.#cutOffZones(up),
+      partitionedZones: this.#findPartitionedZones(up),
       demandedKinds: this.#demandedKinds(),
     };
   }
 
-  /** The zones most of whose machines have missed a heartbeat at the same time, now or a short time ago. */
-  #cutOffZones(up: readonly Machine[]): Set<string> {
+  /** Returns the zones in which at least half of the machines recently missed a heartbeat at the same time. */
+  #findPartitionedZones(up: readonly Machine[]): Set<string> {
     const { now, deployment } = this.#ctx;
     const missedMs = deployment.heartbeatIntervalS * MISSED_MS_PER_INTERVAL_S;
-    const counts = new Map<string, { all: number; quiet: number }>();
+    const counts = new Map<string, { all: number; missed: number }>();
     for (const { zone, heartbeatAt } of up) {
-      const count = counts.get(zone) ?? { all: 0, quiet: 0 };
+      const count = counts.get(zone) ?? { all: 0, missed: 0 };
       count.all++;
-      if (now - heartbeatAt > missedMs) count.quiet++;
+      if (now - heartbeatAt > missedMs) count.missed++;
       counts.set(zone, count);
     }
-    // When a zone is connected again its machines report one after the other: those that have yet to are not silent.
-    for (const [zone, { all, quiet }] of counts)
-      if (quiet > 1 && quiet >= all / 2)
-        this.#cutOffUntil.set(zone, now + CUT_OFF_LEASES * deployment.leaseS * 1000);
-    return new Set([...this.#cutOffUntil].filter(([, until]) => now < until).map(([zone]) => zone));
+    // After a partition ends, machines report one after the other; those yet to report must not count as silent.
+    for (const [zone, { all, missed }] of counts)
+      if (missed > 1 && missed >= all / 2)
+        this.#partitionedUntil.set(zone, now + PARTITION_LEASES * deployment.leaseS * 1000);
+    return new Set([...this.#partitionedUntil].filter(([, until]) => now < until).map(([zone]) => zone));
   }
 
   /**
-   * The kinds of machines that some blocked job may run on. Computed once a tick for each kind: for each machine and job
-   * it would cost a large idle cluster beside a long queue more than a scheduling round.
+   * Returns the kinds of machines that some blocked job may run on. Computed per kind, once per tick: per machine and
+   * job, it would cost more than a scheduling round in a large idle cluster with a long queue.
    */
   #demandedKinds(): Set<string> {
     const kinds = new Map<string, Machine>();
--- a/src/core/autoscaling/machine-terminator.ts
+++ b/src/core/autoscaling/machine-terminator.ts
@@ -7,7 +7,7 @@
 const MAX_MACHINES_PER_REQUEST = 100;
 const RETRY_DELAY_MS = 3000;
 
-/** Has the cloud terminate the machines that are marked for termination: one request at a time, repeated until answered. */
+/** Terminates the machines marked for termination, with one request at a time; failed requests are retried. */
 export class MachineTerminator {
   readonly #ctx: Context;
   readonly #cluster: ClusterState;
@@ -22,7 +22,7 @@
     this.#recordWriter = recordWriter;
   }
 
-  /** Requests the termination of the next marked machines, unless a request is in flight. */
+  /** Requests termination of the next marked machines, unless a request is in flight. */
   tick(): void {
     if (this.#isRequestInFlight) return;
     const due = this.#dueMachines();
@@ -47,7 +47,7 @@
     return due;
   }
 
-  /** The cloud's confirmation proves that every task on the machine has ended (I3). */
+  /** Removes a terminated machine. The cloud's confirmation proves that all of its tasks have ended (I3). */
   #onTerminated(machine: Machine): void {
     this.#ctx.log("info", "machine terminated", { machine: machine.name, reason: machine.terminationReason });
     this.#agents.expireMachine(machine, "terminated");
--- a/src/core/autoscaling/provisioner.ts
+++ b/src/core/autoscaling/provisioner.ts
@@ -15,13 +15,13 @@
 import { type Offer, offerSuits } from "./offer.js";
 import { ScaleOutPlan } from "./scale-out-plan.js";
 
-/** The blocked tasks of an array are given machines enough to be done in about this time. */
-const ARRAY_DRAIN_S = 45;
-/** The factor on a spot machine's price for the work that is lost when it is reclaimed. */
+/** Machines are provisioned for an array so that it completes in about this time. */
+const ARRAY_COMPLETION_TARGET_S = 45;
+/** Factor on the price of a spot machine that accounts for the work lost when it is reclaimed. */
 const SPOT_RISK_FACTOR = 1.25;
 const MAX_MACHINES_PER_REQUEST = 50;
 
-/** What the provisioner works with. */
+/** The dependencies of {@link Provisioner}. */
 export interface ProvisionerDependencies {
   readonly ctx: Context;
   readonly lease: LeaderLease;
@@ -29,14 +29,14 @@
   readonly agents: AgentManager;
   readonly recordWriter: RecordWriter;
   readonly scheduler: Scheduler;
-  /** The cloud's catalogue was read. */
+  /** Called after the cloud's catalogue has been read. */
   onMachineTypes(types: readonly MachineType[]): void;
 }
 
 /**
- * Autoscaling: creates machines for blocked tasks (scale-out) and terminates those not needed (scale-in). The parts:
- * `CloudInventory` follows what the cloud lists, `MachineReaper` and `GpuHeadroom` decide what is terminated,
- * `MachineTerminator` and `CreationRequests` carry it out.
+ * Autoscaling: creates machines for blocked tasks (scale-out) and terminates those not needed (scale-in).
+ * `CloudInventory` tracks the cloud's listings, `MachineReaper` and `GpuHeadroom` select machines to terminate, and
+ * `MachineTerminator` and `CreationRequests` send the requests.
  */
 export class Provisioner {
   readonly #ctx: Context;
@@ -47,7 +47,7 @@
   readonly #reaper: MachineReaper;
   readonly #terminator: MachineTerminator;
   readonly #creationRequests: CreationRequests;
-  /** Machines of each type that are there or requested, as of the present scale-out. */
+  /** Existing and requested machines by type, updated at each scale-out. */
   #countsByType = new Map<string, number>();
 
   constructor(dependencies: ProvisionerDependencies) {
@@ -65,12 +65,12 @@
     });
   }
 
-  /** Ends what is under way, as the leader's term has ended. */
+  /** Stops the listing in progress at the end of the leader's term. */
   end(): void {
     this.#inventory.stop();
   }
 
-  /** Follows the cloud's lists and marks machines; with a valid leader lease it also creates and terminates. */
+  /** Updates the inventory and marks machines. Creates and terminates machines only with a valid leader lease. */
   tick(hasValidLease: boolean): void {
     this.#inventory.tick();
     this.#gpuHeadroom.tick();
@@ -92,7 +92,7 @@
       this.#creationRequests.create(offer, Math.min(MAX_MACHINES_PER_REQUEST, count));
   }
 
-  /** A plan with the machines that are there, booting and requested. */
+  /** Returns a plan that counts all machines, with those booting or requested as incoming. */
   #planIncoming(): ScaleOutPlan {
     const plan = new ScaleOutPlan();
     for (const { phase, type, zone, spot } of this.#cluster.machines.values()) {
@@ -107,13 +107,13 @@
     return plan;
   }
 
-  /** Books a job's blocked tasks on machines coming up, and plans the cheapest machines for the rest. */
+  /** Assigns a job's blocked tasks to incoming machines, and plans the cheapest new machines for the rest. */
   #planFor(blocked: BlockedJob, plan: ScaleOutPlan): void {
     const { job } = blocked;
     const { max_machines: maxMachines } = this.#ctx.settings;
     const wantedTasks = this.#tasksToProvisionFor(blocked);
     const zone = job.spec.oneZone ? this.#chooseZone(job, plan, wantedTasks) : null;
-    let tasksLeft = plan.book(job, wantedTasks, zone);
+    let tasksLeft = plan.assign(job, wantedTasks, zone);
     while (tasksLeft > 0 && plan.machineCount < maxMachines) {
       const offer = this.#cheapestOffer(job, zone, tasksLeft);
       if (!offer) break;
@@ -130,43 +130,45 @@
     }
   }
 
-  /** How many of the blocked tasks get machines: of an array, so many that all of it is done in about the drain time. */
+  /** Returns how many blocked tasks to provision for; for an array, as many as meet the target completion time. */
   #tasksToProvisionFor({ job, count }: BlockedJob): number {
     if (job.spec.shape !== "array" || job.spec.estimateS <= 0) return count;
     const taskS = this.#ctx.estimates.estimateS(job.spec);
-    const concurrentTasks = Math.ceil(((job.pendingCount + job.placements.size) * taskS) / ARRAY_DRAIN_S);
+    const concurrentTasks = Math.ceil(
+      ((job.pendingCount + job.placements.size) * taskS) / ARRAY_COMPLETION_TARGET_S,
+    );
     return Math.max(0, Math.min(count, concurrentTasks - job.placements.size));
   }
 
-  /** For a job that must run in one zone, the zone with free capacity for most tasks once the machines are up. */
+  /** Returns the zone with capacity for the most tasks of a job restricted to one, including incoming machines. */
   #chooseZone(job: Job, plan: ScaleOutPlan, tasks: number): string | null {
-    const placesByZone = this.#freePlacesByZone(job, plan);
+    const slotsByZone = this.#freeSlotsByZone(job, plan);
     let bestZone: string | null = null;
-    let mostPlaces = -1;
+    let mostSlots = -1;
     for (const zone of this.#ctx.deployment.zones) {
-      const places = Math.min(tasks, placesByZone.get(zone) ?? 0);
-      if (places < tasks && !this.#cheapestOffer(job, zone, tasks)) continue;
-      if (places > mostPlaces) {
-        mostPlaces = places;
+      const slots = Math.min(tasks, slotsByZone.get(zone) ?? 0);
+      if (slots < tasks && !this.#cheapestOffer(job, zone, tasks)) continue;
+      if (slots > mostSlots) {
+        mostSlots = slots;
         bestZone = zone;
       }
     }
     return bestZone;
   }
 
-  #freePlacesByZone(job: Job, plan: ScaleOutPlan): Map<string, number> {
+  #freeSlotsByZone(job: Job, plan: ScaleOutPlan): Map<string, number> {
     const { feasibleMachines } = this.#scheduler;
-    const placesByZone = new Map<string, number>();
+    const slotsByZone = new Map<string, number>();
     for (const machine of this.#cluster.machines.values()) {
       if (!feasibleMachines.isSchedulable(machine) || !feasibleMachines.mayRunOn(job, machine)) continue;
-      const places = countFitting(job.spec.need, machine.freeCapacity());
-      placesByZone.set(machine.zone, (placesByZone.get(machine.zone) ?? 0) + places);
+      const slots = countFitting(job.spec.need, machine.freeCapacity());
+      slotsByZone.set(machine.zone, (slotsByZone.get(machine.zone) ?? 0) + slots);
     }
-    plan.addFreePlaces(job, placesByZone);
-    return placesByZone;
+    plan.addFreeSlots(job, slotsByZone);
+    return slotsByZone;
   }
 
-  /** The cheapest offer for tasks of a job, in one zone unless it is null; null if there is none to be had. */
+  /** Returns the cheapest available offer for a job, in the given zone or, if null, in any; null if there is none. */
   #cheapestOffer(job: Job, zone: string | null, tasks: number): Offer | null {
     let cheapest: Offer | null = null;
     let leastCost = Number.POSITIVE_INFINITY;
@@ -188,7 +190,7 @@
     return cheapest;
   }
 
-  /** The zones that have as many tasks as a job that is spread may have in one; null for one that is not. */
+  /** Returns the zones with the maximum number of tasks of a spread job; null if the job isn't spread. */
   #zonesFullFor(job: Job): Set<string> | null {
     if (!job.spec.spread) return null;
     const maxTasks = Math.ceil(job.spec.tasks / 2);
@@ -215,7 +217,7 @@
   }
 }
 
-/** A machine's price for each task that it would run; one that would stay emptier than half counts as half full. */
+/** Returns a machine's price per task that it would run; a machine less than half full counts as half full. */
 function costPerTask(job: Job, { type, spot }: Offer, tasks: number): number {
   const price = spot ? type.spotPrice * SPOT_RISK_FACTOR : type.price;
   const tasksPerMachine = countFitting(job.spec.need, type.size);
--- a/src/core/autoscaling/termination-rules.ts
+++ b/src/core/autoscaling/termination-rules.ts
@@ -1,37 +1,37 @@
 import type { Machine } from "../model/machine.js";
 
-/** The machines of a zone that is cut off are kept this long. */
-const CUT_OFF_PATIENCE_MS = 300_000;
-/** The cloud charges each machine for at least this time: none that is idle is terminated sooner. */
+/** How long the silent machines of a partitioned zone are kept. */
+const PARTITION_RETENTION_MS = 300_000;
+/** The cloud's minimum charge per machine; idle machines aren't terminated before this age. */
 const MIN_CHARGE_MS = 60_000;
-/** A machine that is silent or unreachable for this many leases is terminated. */
+/** A machine is terminated after being silent or unreachable for this many leases. */
 const UNRESPONSIVE_LEASES = 2;
 
-/** What the rules need to know beside the machine. Times are in ms. */
+/** Cluster-wide inputs of the termination rules. Times are in milliseconds. */
 export interface ClusterHealth {
   readonly now: number;
   readonly electedAt: number;
   readonly leaseMs: number;
-  /** A machine without a heartbeat for longer than this is silent. */
+  /** The time without a heartbeat after which a machine is silent. */
   readonly silentAfterMs: number;
-  /** An idle machine is kept this long. */
+  /** How long an idle machine is kept. */
   readonly maxIdleMs: number;
-  /** False while so many machines are silent that this node must be cut off, not they. */
+  /** False while so many machines are silent that this node itself must be partitioned. */
   readonly canReceive: boolean;
-  /** False while so many machines are unreachable that this node can't send. */
+  /** False while so many machines are unreachable that this node itself can't send. */
   readonly canSend: boolean;
-  readonly cutOffZones: ReadonlySet<string>;
-  /** The kinds of machines, as `machineKindOf` names them, that some blocked job may run on. */
+  readonly partitionedZones: ReadonlySet<string>;
+  /** The kinds of machines that some blocked job may run on; see {@link machineKindOf}. */
   readonly demandedKinds: ReadonlySet<string>;
 }
 
 interface TerminationRule {
   readonly reason: string;
-  /** `quietMs`: the time since the machine's last heartbeat, or since the election if that was later. */
-  applies(machine: Machine, health: ClusterHealth, quietMs: number): boolean;
+  /** `silenceMs` is the time since the machine's last heartbeat, or since the election if that was later. */
+  applies(machine: Machine, health: ClusterHealth, silenceMs: number): boolean;
 }
 
-/** Why a machine that is up is terminated; the first rule that applies gives the reason. */
+/** Rules for terminating a machine that is up, in order; the first that applies gives the reason. */
 const TERMINATION_RULES: readonly TerminationRule[] = [
   { reason: "unreachable", applies: isUnreachableForLong },
   { reason: "silent", applies: isExpiredForLong },
@@ -41,35 +41,35 @@
   { reason: "idle", applies: isIdleWithoutDemand },
 ];
 
-/** The reason for which a machine that is up has to be terminated; null if it is kept. */
+/** Returns the reason to terminate a machine that is up; null if it is kept. */
 export function terminationReasonFor(machine: Machine, health: ClusterHealth): string | null {
-  // A new leader counts from its election: machines that it has never heard may be in a zone that is cut off.
-  const quietMs = health.now - Math.max(machine.heartbeatAt, health.electedAt);
-  if (isInPartition(machine, health, quietMs)) return null;
-  const rule = TERMINATION_RULES.find(({ applies }) => applies(machine, health, quietMs));
+  // A new leader counts from its election: machines without a heartbeat yet may be in a partitioned zone.
+  const silenceMs = health.now - Math.max(machine.heartbeatAt, health.electedAt);
+  if (isKeptDuringPartition(machine, health, silenceMs)) return null;
+  const rule = TERMINATION_RULES.find(({ applies }) => applies(machine, health, silenceMs));
   return rule ? rule.reason : null;
 }
 
-/** True for a machine that has been quiet for longer than a machine that works is. */
-export function isSilent(quietMs: number, silentAfterMs: number): boolean {
-  return quietMs > silentAfterMs;
+/** Returns whether the time without a heartbeat is too long for a working machine. */
+export function isSilent(silenceMs: number, silentAfterMs: number): boolean {
+  return silenceMs > silentAfterMs;
 }
 
-/** What decides whether a job may run on a machine at all: type, zone, spot or on demand. */
+/** Returns a key of the properties that job constraints refer to: type, zone, and spot or on-demand. */
 export function machineKindOf({ typeName, zone, spot }: Machine): string {
   return `${typeName} ${zone} ${spot}`;
 }
 
 /**
- * A zone that was cut off comes back with its machines and their image caches. Once terminated they would have to be
- * created, booted and filled anew, and spot machines would be taken for reclaimed first.
+ * Returns whether a machine is kept because of a partition. After it, the machines return with their image caches;
+ * replacing them would cost boots and image fetches, and spot machines would be presumed reclaimed first.
  */
-function isInPartition(
+function isKeptDuringPartition(
   { zone }: Machine,
-  { canReceive, cutOffZones }: ClusterHealth,
-  quietMs: number,
+  { canReceive, partitionedZones }: ClusterHealth,
+  silenceMs: number,
 ): boolean {
-  return !canReceive || (cutOffZones.has(zone) && quietMs < CUT_OFF_PATIENCE_MS);
+  return !canReceive || (partitionedZones.has(zone) && silenceMs < PARTITION_RETENTION_MS);
 }
 
 function isUnreachableForLong(
@@ -79,13 +79,17 @@
   return canSend && unreachableSince !== null && now - unreachableSince > UNRESPONSIVE_LEASES * leaseMs;
 }
 
-function isExpiredForLong({ isLeaseExpired }: Machine, { leaseMs }: ClusterHealth, quietMs: number): boolean {
-  return isLeaseExpired && quietMs > UNRESPONSIVE_LEASES * leaseMs;
+function isExpiredForLong(
+  { isLeaseExpired }: Machine,
+  { leaseMs }: ClusterHealth,
+  silenceMs: number,
+): boolean {
+  return isLeaseExpired && silenceMs > UNRESPONSIVE_LEASES * leaseMs;
 }
 
-/** A silent machine is taken for reclaimed if it is a spot machine, or if its interruption notice has run out. */
-function isReclaimed(machine: Machine, { now, silentAfterMs }: ClusterHealth, quietMs: number): boolean {
-  if (!isSilent(quietMs, silentAfterMs)) return false;
+/** Presumes a silent machine reclaimed if it is a spot machine or its interruption notice has expired. */
+function isReclaimed(machine: Machine, { now, silentAfterMs }: ClusterHealth, silenceMs: number): boolean {
+  if (!isSilent(silenceMs, silentAfterMs)) return false;
   return machine.spot || (machine.reclaimDueAt !== null && now > machine.reclaimDueAt);
 }
 
@@ -93,12 +97,12 @@
   return mode === "drain" && placements.size === 0;
 }
 
-/** A GPU machine beyond those in use and the headroom. */
+/** Returns whether this is an idle GPU machine marked for scale-in, past the minimum charge. */
 function isSurplus(machine: Machine, { now }: ClusterHealth): boolean {
   return machine.isMarkedForScaleIn && machine.idleSince !== null && now - machine.createdAt > MIN_CHARGE_MS;
 }
 
-/** GPU machines are not judged by this: the GPU headroom decides how many are kept. */
+/** Applies only to machines without GPUs; the GPU headroom decides how many GPU machines are kept. */
 function isIdleWithoutDemand(machine: Machine, { now, maxIdleMs, demandedKinds }: ClusterHealth): boolean {
   const { idleSince, type } = machine;
   return (
--- a/test/many-machines.test.ts
+++ b/test/many-machines.test.ts
@@ -94,7 +94,7 @@
   harness.advance(10_000);
 
   assert.equal(harness.controller.leaderTerm?.cluster.machines.size, MACHINES);
-  assert.ok(harness.logLines.includes("more machines than max_machines"));
+  assert.ok(harness.logLines.includes("machine count exceeds max_machines"));
   assert.deepEqual(
     harness.cloudCalls.filter(({ kind }) => kind === "create"),
     [],
