--- a/src/core/autoscaling/creation-requests.ts
+++ b/src/core/autoscaling/creation-requests.ts
@@ -56,7 +56,7 @@
   create(offer: Offer, count: number): void {
     const key = offerKeyOf(offer);
     if (this.#inFlight.has(key)) return;
-    // The fencing token and a counter make the id unique across all leaders.
+    // The fencing token and a counter make the id unique: no leader ever uses it again.
     const requestId = `r-${this.#lease.firstFencingToken}-${++this.#requestCount}`;
     const request: CreationRequest = { offer, count, requestId, attemptsLeft: MAX_ATTEMPTS };
     this.#inFlight.set(key, request);
--- a/src/core/autoscaling/gpu-headroom.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -16,7 +16,7 @@
 const CEASED_MIN_MS = 45_000;
 /** Weight of the latest interarrival time in the moving average. */
 const INTERARRIVAL_WEIGHT = 0.1;
-/** Decay factor of the largest image size, applied with each job. */
+/** Decay factor of the remembered image size, applied with each job; a larger image raises it again. */
 const IMAGE_SIZE_DECAY = 0.9;
 const MIN_FETCH_GB_PER_S = 0.01;
 
--- a/src/core/autoscaling/machine-reaper.ts
+++ b/src/core/autoscaling/machine-reaper.ts
@@ -15,7 +15,7 @@
 /** A zone counts as partitioned for this many leases after most of its machines last missed a heartbeat together. */
 const PARTITION_LEASES = 2;
 
-/** Marks idle, stuck, silent and failed machines for termination; {@link MachineTerminator} terminates them. */
+/** Marks idle, stuck, silent and failed machines for termination; `MachineTerminator` terminates them. */
 export class MachineReaper {
   readonly #ctx: Context;
   readonly #lease: LeaderLease;
--- a/src/core/autoscaling/termination-rules.ts
+++ b/src/core/autoscaling/termination-rules.ts
@@ -97,7 +97,7 @@
   return mode === "drain" && placements.size === 0;
 }
 
-/** Returns whether this is an idle GPU machine marked for scale-in, past the minimum charge. */
+/** Returns whether this is an idle GPU machine beyond those in use and the headroom, past the minimum charge. */
 function isSurplus(machine: Machine, { now }: ClusterHealth): boolean {
   return machine.isMarkedForScaleIn && machine.idleSince !== null && now - machine.createdAt > MIN_CHARGE_MS;
 }
--- a/src/core/scheduling/gpu-headroom-guard.ts
+++ b/src/core/scheduling/gpu-headroom-guard.ts
@@ -66,7 +66,8 @@
     if (machine.isMarkedForScaleIn) return true;
     if (this.#isServiceAwaitingCpuMachine(job, machine)) return true;
     if (!this.wouldBlockGpuTask(job, machine)) return false;
-    // A starving job is protected from preemption for a while after its start, even if it has checkpoints.
+    // A starving job is protected from preemption after its start, so it couldn't make way for a GPU task even
+    // with checkpoints.
     if (job.spec.checkpointS > 0 && !isStarving(this.#ctx, job)) return false;
     const headroom = this.#headroomByType.get(machine.typeName);
     if (!headroom?.need) return false;
--- a/src/core/scheduling/preemption-planner.ts
+++ b/src/core/scheduling/preemption-planner.ts
@@ -101,9 +101,9 @@
   #mayReclaimFrom(victim: Placement, job: Job): boolean {
     const { team, shape } = job.spec;
     if (victim.job.spec.team === team) return false;
-    // A job within its own team's guarantee is exempt; otherwise two teams would preempt each other alternately.
+    // A victim within its own team's guarantee is exempt; otherwise two teams would preempt each other alternately.
     if (this.#guaranteedJobs.has(victim.job)) return false;
-    // A gang that has run before may not reclaim; otherwise gangs would keep preempting each other for few machines.
+    // A gang that has run before has already had its start; otherwise a few machines would change hands repeatedly.
     if (shape === "gang" && Number.isFinite(job.lastRanAt)) return false;
     const ranMs = victim.runningSince === null ? 0 : this.#ctx.now - victim.runningSince;
     if (victim.job.spec.checkpointS === 0 && ranMs > RECLAIM_WITHOUT_CHECKPOINT_MS) return false;
--- a/src/core/scheduling/preemption-policy.ts
+++ b/src/core/scheduling/preemption-policy.ts
@@ -5,7 +5,7 @@
 
 /** The lowest priority that may preempt. */
 const MIN_PREEMPTING_PRIORITY: Priority = 2;
-/** A dependency with more slack than this doesn't preempt for the deadline of its dependents. */
+/** A dependency with more slack than this beyond its own run time doesn't preempt for a dependent's deadline. */
 const INHERITED_PRIORITY_SLACK_S = 25;
 /** Fraction of the guaranteed start objective for which an array waits before it preempts. */
 const ARRAY_DEFERRAL_FRACTION = 0.4;
--- a/src/core/scheduling/queue-order.ts
+++ b/src/core/scheduling/queue-order.ts
@@ -106,8 +106,8 @@
 }
 
 /**
- * Sorts pending jobs into scheduling order: by rank (priority, guaranteed quota and ageing), then by objective
- * status, then shortest first, which completes the most jobs in time, then oldest first.
+ * Sorts pending jobs into scheduling order: by rank (priority, guaranteed quota and ageing), then jobs that can
+ * still meet an objective, then shortest first, which completes the most jobs in time, then oldest first.
  *
  * `turnPositions` holds each job's position within its class and team; it is empty if fair admission is off.
  */
