--- a/src/core/migration/replica-migration.ts
+++ b/src/core/migration/replica-migration.ts
@@ -192,7 +192,7 @@
     // termination of the target therefore ends the migration.
     if (!this.#isDrained(pending))
       return to.isLeaseExpired || to.phase === "releasing"
-        ? "the target's lease expired or it is being terminated"
+        ? "the target's lease expired or the target is being terminated"
         : null;
     return this.#scheduler.feasibleMachines.isSchedulable(to) ? null : "the target is not schedulable";
   }
--- a/src/core/store/chunk-layout.ts
+++ b/src/core/store/chunk-layout.ts
@@ -1,6 +1,6 @@
 /** Divides a job's placements into records (chunks) of consecutive tasks, and maps chunks to keys. */
 
-/** Number of tasks in every chunk in layout 1; maximum in layout 2. */
+/** Number of tasks per chunk in layout 1, and the maximum in layout 2. */
 export const MAX_TASKS_PER_CHUNK = 128;
 
 /** The first layout with chunks of variable size; layout 1 has a fixed size. */
--- a/src/core/store/job-watch.ts
+++ b/src/core/store/job-watch.ts
@@ -34,7 +34,7 @@
     ctx: Context,
     /** How long a watch may wait for a change. */
     watchWaitMs: () => number,
-    /** Called for each job key written, and for all job keys after a compaction; versions may repeat. */
+    /** Called for each job key written, and for all job keys after a compaction; a version may be passed repeatedly. */
     onJobEntry: (entry: StoreEntry) => void,
   ) {
     this.#ctx = ctx;
--- a/src/core/store/machine-records.ts
+++ b/src/core/store/machine-records.ts
@@ -53,13 +53,13 @@
     }
   }
 
-  /** Returns the buckets to write, in order, before this machine is recorded; assigns it a bucket if it has none. */
+  /** Returns the buckets to write, in this order, to record the machine; assigns it to a bucket if it has none. */
   dirtyBucketsFor(machine: Machine): Bucket[] {
     const bucket = this.#bucketOf(machine) ?? this.#assign(machine);
     return bucket.dirty ? this.#split(bucket) : [];
   }
 
-  /** Returns all buckets to write, by descending index: one that received machines from another comes before it. */
+  /** Returns all buckets to write, by descending index, so that a receiver of machines precedes their source. */
   dirtyBuckets(): Bucket[] {
     return this.#buckets
       .filter((bucket) => bucket.dirty)
--- a/src/core/store/stale-versions.ts
+++ b/src/core/store/stale-versions.ts
@@ -51,8 +51,9 @@
 }
 
 /**
- * Reads the stored versions of these keys and updates the last known ones. If a key can't be read, the next transaction
- * fails on it again. Calls back after the last response, or immediately if there is nothing to read, unless stopped.
+ * Reads the stored versions of these keys and updates the last known ones. A key that can't be read keeps its last
+ * known version, and the next transaction fails on it again. Calls back after the last response, or immediately if
+ * there is nothing to read; never after being stopped.
  */
 export function rereadVersions(
   ctx: Context,
