--- a/src/core/agents/agent-manager.ts
+++ b/src/core/agents/agent-manager.ts
@@ -17,17 +17,17 @@
 import { ReachabilityTracker } from "./reachability-tracker.js";
 import { Reconciler } from "./reconciler.js";
 
-/** What the agent manager reports to the leader's term. */
+/** Events that the agent manager reports to the leader's term. */
 export interface AgentEvents {
-  /** A placement is proved to have ended, and is no longer part of the cluster state. */
+  /** A placement is proved to have ended and was removed from the cluster state. */
   onPlacementEnded(placement: Placement, cause: ExitReason | "lost"): void;
   /** A task was observed running for the first time. */
   onTaskRunning(placement: Placement): void;
-  /** Machines have become schedulable, or have ceased to be: a scheduling round is due. */
+  /** The set of schedulable machines has changed, so a scheduling round is due. */
   onCapacityChanged(): void;
 }
 
-/** What the agent manager works with. */
+/** Components that the agent manager depends on. */
 export interface AgentManagerDependencies {
   readonly ctx: Context;
   readonly election: Election;
@@ -37,11 +37,13 @@
 }
 
 /**
- * A leader's dealings with the agents: heartbeats in, commands out, and the proofs that a task has ended. The parts:
- * `HeartbeatIntake` accepts heartbeats, `Reconciler` compares them with the placements, `CommandPlanner` decides what an
- * agent is to do, `CommandSender` sends it directly, `FencingQueue` and `ReachabilityTracker` see to it that agents
- * follow this leader. A placement ends only on a proof (I3): the agent reports the end, omits a start that can no longer
- * arrive, has begun a later incarnation, lets its lease expire, or the cloud confirms that the machine is terminated.
+ * Manages the leader's communication with the agents: receives heartbeats, sends commands, and proves that tasks have
+ * ended. `HeartbeatIntake` accepts heartbeats, `Reconciler` compares them with the placements, `CommandPlanner` decides
+ * which commands are due, `CommandSender` sends them directly, `FencingQueue` sends the fencing token to agents, and
+ * `ReachabilityTracker` detects unreachable agents.
+ *
+ * A placement ends only on proof (I3): the agent reports the end, omits a task whose start can no longer arrive, or has
+ * a later incarnation; its lease has expired; or the cloud confirms that the machine is terminated.
  */
 export class AgentManager {
   readonly #ctx: Context;
@@ -87,7 +89,7 @@
     });
   }
 
-  /** False until the stored records are loaded: until then heartbeats are answered, but not acted on. */
+  /** False until the stored records are loaded. Until then heartbeats are answered, but not reconciled. */
   get areRecordsLoaded(): boolean {
     return this.#reconciler.areRecordsLoaded;
   }
@@ -96,16 +98,16 @@
     this.#reconciler.areRecordsLoaded = areLoaded;
   }
 
-  /** How many heartbeats were compared with the placements; the others reported nothing new. */
+  /** Number of heartbeats compared with the placements. Heartbeats that report nothing new are skipped. */
   get reconciliations(): number {
     return this.#reconciler.reconciliations;
   }
 
-  /** Takes in a heartbeat that this node answers as leader, and returns the reply, which renews the agent's lease. */
+  /** Processes a heartbeat as leader and returns the reply, which renews the agent's lease. */
   replyTo(heartbeat: Heartbeat): HeartbeatReply {
     const machine = this.#intake.accept(heartbeat, "heartbeat");
     if (!machine || !this.#isLeading) return { kind: "unavailable" };
-    // Every reply renews the agent's lease, also one to a heartbeat that the reply to a direct command has overtaken.
+    // Every reply renews the agent's lease, even if the reply to a direct command has overtaken the heartbeat.
     machine.repliedAt = this.#ctx.now;
     const commands = this.areRecordsLoaded ? this.#commandPlanner.commandsFor(machine) : [];
     this.#reachability.onReplied(machine);
@@ -113,14 +115,14 @@
   }
 
   /**
-   * Takes in the reply to a command batch that was sent directly.
+   * Processes the reply to a command batch that was sent directly.
    *
-   * @param id The batch's number.
-   * @param status What the agent reports in its reply; null where no reply came.
-   * @param executed False where the agent refused the batch.
+   * @param id The number of the batch.
+   * @param status The agent's status from the reply; null if no reply arrived.
+   * @param executed False if the agent refused the batch.
    */
   onCommandReply(id: number, status: Heartbeat | null, executed: boolean): void {
-    const machine = this.#commandSender.takeInFlight(id);
+    const machine = this.#commandSender.removeInFlight(id);
     if (!machine) return;
     if (!status || status.machine !== machine.index) {
       this.#commandSender.delayRetry(machine);
@@ -129,12 +131,12 @@
     this.#intake.accept(status, "commandReply");
     if (!this.#isLeading) return;
     if (executed) this.#reachability.markReachable(machine);
-    // Refused for its incarnation: now that the present one is known, the token is sent again.
+    // Refused because of an outdated incarnation. The current one is known now, so the fencing token is sent again.
     else if (machine.fencedAt === null && status.incarnation === machine.incarnation)
       this.queueFencing(machine);
   }
 
-  /** False once the node has stepped down, which a higher fencing token in a heartbeat may bring about. */
+  /** False once the node has stepped down, for example on a higher fencing token in a heartbeat. */
   get #isLeading(): boolean {
     return this.#election.lease === this.#lease;
   }
@@ -144,14 +146,14 @@
     this.#reconciler.reconcile(machine);
   }
 
-  /** True while starts are under way that agents would refuse if this leader advanced its fencing token. */
+  /** True while starts are in flight that agents would refuse if this leader advanced its fencing token. */
   hasStartsInFlight(): boolean {
     return this.#commandPlanner.hasStartsInFlight();
   }
 
   /**
-   * Asks for a task to be stopped, with `graceS` seconds to write a checkpoint. A repeated call can only shorten the
-   * grace. A placement whose start was never sent ends at once (I2), whether or not it is on record.
+   * Stops a task and allows it `graceS` seconds to write a checkpoint. A repeated call can only shorten this time. A
+   * placement whose start was never sent ends immediately (I2), whether or not it is recorded in the store.
    */
   stopTask(placement: Placement, graceS: number, reason: string): void {
     if (placement.startSentUnder === 0 && this.#isOfThisTerm(placement)) {
@@ -175,43 +177,43 @@
     return fencingTokenOf(attempt) >= this.#lease.firstFencingToken;
   }
 
-  /** Has the commands that are due for this machine sent directly, at the end of this batch. */
+  /** Queues a machine, so that its due commands are sent directly at the end of this batch. */
   queueCommands(machine: Machine): void {
     this.#commandSender.queue(machine);
   }
 
-  /** Sends the commands of the machines queued; called at the end of each batch. */
+  /** Sends the due commands of the queued machines. Called at the end of each batch. */
   sendQueuedCommands(): void {
     this.#commandSender.sendQueued();
   }
 
-  /** Has the fencing token sent to an agent, so that it adopts this leader without waiting for its next heartbeat. */
+  /** Queues the fencing token for an agent, so that the agent adopts this leader before its next heartbeat. */
   queueFencing(machine: Machine): void {
     this.#fencingQueue.add(machine);
   }
 
-  /** Sends the fencing token to the next few machines queued; called at each tick. */
+  /** Sends the fencing token to the next few queued machines. Called at each tick. */
   sendQueuedFencing(): void {
     if (this.areRecordsLoaded) this.#fencingQueue.tick();
   }
 
-  /** Ends the placements of the machines whose agents' leases have expired. */
+  /** Ends the placements on machines whose agent lease has expired. */
   expireLeases(): void {
     if (!this.areRecordsLoaded) return;
     const { now, deployment } = this.#ctx;
     for (const machine of this.#cluster.machines.values()) {
       if (machine.phase === "booting" || machine.isLeaseExpired) continue;
       if (now >= leaseExpiresAt(machine, this.#lease, deployment.leaseS))
-        this.expireMachine(machine, "lease expired");
+        this.expireMachine(machine, "agent lease expired");
     }
   }
 
-  /** Ends every placement of a machine on which, for the reason given, no task can run any more (I3). */
+  /** Ends all placements of a machine on which no task can be running any more, for the given reason (I3). */
   expireMachine(machine: Machine, reason: string): void {
     machine.isLeaseExpired = true;
     machine.usedByUnknownTasks = NO_RESOURCES;
     const placements = [...machine.placements];
-    this.#ctx.log("info", "machine expired", {
+    this.#ctx.log("info", "placements on machine ended", {
       machine: machine.name,
       reason,
       tasks: placements.length,
--- a/src/core/agents/command-planner.ts
+++ b/src/core/agents/command-planner.ts
@@ -9,23 +9,23 @@
 import type { Placement } from "../model/placement.js";
 import type { RecordWriter } from "../store/record-writer.js";
 
-/** A command that shows no effect is sent again after this. */
+/** A command without an observed effect is sent again after this time. */
 const RESEND_INTERVAL_MS = 1000;
-/** I2: starts rest on knowledge of their job's cancellation no older than this, a few rounds of the job watch. */
+/** A start is sent only if its job was found not cancelled within this time (I2): a few rounds of the job watch. */
 const CANCELLATION_KNOWLEDGE_MAX_AGE_MS = 6000;
 
-/** What the planner works with. */
+/** Components that the command planner depends on, and its callback. */
 export interface CommandPlannerDependencies {
   readonly ctx: Context;
   readonly election: Election;
   readonly lease: LeaderLease;
   readonly cluster: ClusterState;
   readonly recordWriter: RecordWriter;
-  /** The start of a placement can no longer be sent under the fencing token of its attempt: it has to be removed. */
+  /** The start can no longer be sent under the fencing token of its attempt, so the placement must be removed. */
   onStartAbandoned(placement: Placement): void;
 }
 
-/** Decides what an agent is to do: which tasks to start and to stop, which ended attempts it need no longer report. */
+/** Decides which commands an agent receives: starts, stops, and acknowledgements of ended attempts. */
 export class CommandPlanner {
   readonly #ctx: Context;
   readonly #election: Election;
@@ -44,8 +44,8 @@
   }
 
   /**
-   * The commands that are due for a machine, in a heartbeat's reply or in a batch sent directly. They count as sent:
-   * until the resend interval is over they are not returned again.
+   * Returns the commands that are due for a machine, to be sent in a heartbeat reply or in a direct batch. Commands for
+   * placements then count as sent and are not returned again until the resend interval has passed.
    */
   commandsFor(machine: Machine): AgentCommand[] {
     const commands: AgentCommand[] = [];
@@ -68,7 +68,7 @@
     return commands;
   }
 
-  /** True for a placement of this term whose fencing token was advanced before its start was ever sent. */
+  /** True if the fencing token was advanced within this term before the placement's start was first sent. */
   #isAbandoned({ startSentUnder, attempt }: Placement): boolean {
     if (startSentUnder !== 0) return false;
     const fencingToken = fencingTokenOf(attempt);
@@ -81,9 +81,9 @@
   }
 
   /**
-   * A start is only ever sent under the fencing token that its attempt carries: acknowledging ended attempts relies on
-   * it. A start, or its repeat, also rests on recent knowledge that its job is not cancelled (I2), unless the task is
-   * being stopped anyway.
+   * A start is sent only under the fencing token in its attempt number; the acknowledgement of ended attempts relies on
+   * this. Sending or resending a start also requires that the job was recently known not to be cancelled (I2), unless
+   * the task is being stopped.
    */
   #maySendStart(placement: Placement): boolean {
     if (fencingTokenOf(placement.attempt) !== this.#lease.fencingToken) return false;
@@ -98,7 +98,8 @@
   #planStart(placement: Placement, commands: AgentCommand[]): void {
     const { now } = this.#ctx;
     const { job, task, attempt } = placement;
-    // A stop is sent behind the start, so that the attempt exists, ended, and a late copy of the start has no effect.
+    // The stop follows the start in the same batch, so that the agent keeps the attempt as ended and ignores a delayed
+    // copy of the start.
     const resendIntervalMs = placement.stop ? 0 : RESEND_INTERVAL_MS;
     if (now - placement.startSentAt < resendIntervalMs) return;
     placement.startSentAt = now;
@@ -114,7 +115,7 @@
     commands.push({ kind: "stop", job: job.index, task, attempt, graceS: stop.graceS });
   }
 
-  /** True while starts are under way that agents would refuse if this leader advanced its fencing token. */
+  /** True while starts are in flight that agents would refuse if this leader advanced its fencing token. */
   hasStartsInFlight(): boolean {
     for (const machine of this.#cluster.machines.values()) {
       if (machine.isLeaseExpired || machine.phase !== "up") continue;
@@ -124,12 +125,12 @@
     return false;
   }
 
-  /** Reported tasks without a placement here are stopped; ended attempts are acknowledged once that is safe. */
+  /** Stops reported tasks that have no placement on this machine, and acknowledges ended attempts once that is safe. */
   #planForUnknownTasks(machine: Machine, heartbeat: Heartbeat, commands: AgentCommand[]): void {
     for (const reported of heartbeat.tasks) {
       const { job: jobIndex, task, attempt, state } = reported;
       const job = this.#cluster.jobs.get(jobIndex);
-      if (job && mayBelongHere(machine, job, reported)) continue;
+      if (job && mayBePlacedHere(machine, job, reported)) continue;
       if (state !== "ended") {
         commands.push({ kind: "stop", job: jobIndex, task, attempt, graceS: 0 });
       } else if (this.#canAcknowledge(machine, job, reported)) {
@@ -139,8 +140,8 @@
   }
 
   /**
-   * An ended attempt is acknowledged only when the agent would refuse a late copy of its start by the fencing token,
-   * and when its end is on record (I6).
+   * An ended attempt is acknowledged only if the agent would refuse a delayed copy of its start because of the fencing
+   * token, and if its end is recorded in the store (I6).
    */
   #canAcknowledge({ fencingToken }: Machine, job: Job | undefined, { task, attempt }: ReportedTask): boolean {
     if (fencingTokenOf(attempt) >= fencingToken || fencingToken !== this.#lease.fencingToken) return false;
@@ -148,8 +149,8 @@
   }
 }
 
-/** True for a task that is placed here, or may be: a job with an unreadable record may have any placement. */
-function mayBelongHere(machine: Machine, job: Job, { task, attempt }: ReportedTask): boolean {
+/** True if the reported task is or may be placed on the machine: an unreadable record may contain any placement. */
+function mayBePlacedHere(machine: Machine, job: Job, { task, attempt }: ReportedTask): boolean {
   const placement = job.placements.get(task);
   if (placement?.machine === machine && placement.attempt === attempt) return true;
   return job.hasUnreadableRecord && job.state === "active";
--- a/src/core/agents/command-sender.ts
+++ b/src/core/agents/command-sender.ts
@@ -4,21 +4,21 @@
 import type { Machine } from "../model/machine.js";
 import type { CommandPlanner } from "./command-planner.js";
 
-/** After a batch without a reply the machine is sent nothing directly for this long. */
+/** After a command batch without a reply, nothing is sent directly to the machine for this time. */
 const COMMAND_RETRY_MS = 1500;
 const NO_COMMANDS: readonly AgentCommand[] = [];
 
 /**
- * Sends command batches directly to agents, for what can't wait until their next heartbeat. At most one batch a machine
- * is in flight.
+ * Sends command batches directly to agents, for commands that can't wait until the next heartbeat. At most one batch
+ * per machine is in flight.
  */
 export class CommandSender {
   readonly #ctx: Context;
   readonly #lease: LeaderLease;
   readonly #planner: CommandPlanner;
-  /** Batches in flight, by their number. */
+  /** The machine that each batch in flight was sent to, by batch number. */
   readonly #inFlight = new Map<number, Machine>();
-  /** Machines with commands to send at the end of this batch. */
+  /** Machines whose due commands are to be sent at the end of this batch. */
   readonly #queued = new Set<Machine>();
 
   constructor(ctx: Context, lease: LeaderLease, planner: CommandPlanner) {
@@ -27,12 +27,12 @@
     this.#planner = planner;
   }
 
-  /** Has the commands due for a machine sent by the next `sendQueued`. */
+  /** Queues a machine, so that the next `sendQueued` sends its due commands. */
   queue(machine: Machine): void {
     this.#queued.add(machine);
   }
 
-  /** Sends what is due for the machines queued; those with a batch in flight, or in back-off, stay queued. */
+  /** Sends the due commands of the queued machines. Machines with a batch in flight or in back-off stay queued. */
   sendQueued(): void {
     const { now } = this.#ctx;
     for (const machine of this.#queued) {
@@ -44,13 +44,13 @@
     }
   }
 
-  /** Sends an empty batch, which carries nothing but the fencing token; also where no incarnation is known yet. */
+  /** Sends an empty batch, which carries only the fencing token, even if the agent's incarnation is not known yet. */
   sendFencing(machine: Machine): void {
     this.#send(machine, Math.max(1, machine.incarnation), NO_COMMANDS);
   }
 
-  /** The machine that a batch was sent to, which is now no longer in flight; null if the number is unknown. */
-  takeInFlight(id: number): Machine | null {
+  /** Removes a batch from those in flight and returns its machine; null if the batch number is unknown. */
+  removeInFlight(id: number): Machine | null {
     const machine = this.#inFlight.get(id);
     if (!machine) return null;
     this.#inFlight.delete(id);
@@ -58,7 +58,7 @@
     return machine;
   }
 
-  /** Puts a machine that did not reply into back-off. */
+  /** Starts the back-off of a machine that did not reply. */
   delayRetry(machine: Machine): void {
     machine.commandRetryAt = this.#ctx.now + COMMAND_RETRY_MS;
   }
--- a/src/core/agents/failure-tracking.ts
+++ b/src/core/agents/failure-tracking.ts
@@ -7,18 +7,18 @@
 const JOB_BACKOFF_MAX_DOUBLINGS = 10;
 /** A job that has failed on this many machines is put into back-off. */
 const JOB_BACKOFF_MIN_MACHINES = 2;
-/** A machine on which this many jobs have failed is faulty. */
+/** A machine on which this many jobs have failed is considered faulty. */
 const FAULTY_MACHINE_MIN_JOBS = 2;
 
-/** True for a machine that is drained because different jobs have failed on it. */
+/** True if tasks of enough different jobs have failed on the machine for it to be drained. */
 export function isFaulty(machine: Machine): boolean {
   return machine.failedJobs.size >= FAULTY_MACHINE_MIN_JOBS;
 }
 
 /**
- * Counts a failed task against its job and its machine. Most often the machine is at fault: one on which different jobs
- * fail is drained. A job that fails on machine after machine was submitted with a mistake: its exponential back-off keeps
- * it from delaying other jobs.
+ * Counts a failed task for its job and its machine. Most failures are caused by the machine, so a machine on which
+ * different jobs fail is drained. A job that fails on several machines is itself likely to be faulty; exponential
+ * back-off keeps it from delaying other jobs.
  */
 export function recordFailure(ctx: Context, { job, machine }: Placement): void {
   job.failures++;
--- a/src/core/agents/fencing-queue.ts
+++ b/src/core/agents/fencing-queue.ts
@@ -2,18 +2,18 @@
 import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 
-/** Nothing is sent before this many heartbeat intervals of the term: most agents adopt the leader by a reply. */
+/** Sending starts this many heartbeat intervals into the term: most agents adopt the leader by a heartbeat reply. */
 const GRACE_HEARTBEAT_INTERVALS = 1.5;
-/** The least rate at which agents are sent the fencing token. */
-const MIN_PER_SECOND = 40;
-/** The longest time that one tick counts towards the rate: a node whose ticks come late has no time for more. */
+/** The minimum rate at which the fencing token is sent to agents. */
+const MIN_SENDS_PER_S = 40;
+/** The longest interval credited to one tick: a node whose ticks are late has no capacity to catch up. */
 const MAX_STEP_MS = 100;
 
 /**
- * Sends the fencing token of a new leader to the agents that have not adopted it by the reply to a heartbeat, at such a
- * rate that all are reached within a lease. It is limited since a restarted controller with a large cluster has no time
- * to send every agent what its next heartbeat's reply brings anyway. Agents that can't be reached are tried from time to
- * time in the same way (I7).
+ * Sends a new leader's fencing token to the agents that have not adopted it through a heartbeat reply. The rate is high
+ * enough to send to all of them within one agent lease. It is limited because a restarted controller of a large cluster
+ * has no time to send each agent what its next heartbeat reply carries anyway. Unreachable agents are retried through
+ * the same queue (I7).
  */
 export class FencingQueue {
   readonly #ctx: Context;
@@ -21,18 +21,18 @@
   readonly #send: (machine: Machine) => void;
   readonly #pending = new Set<Machine>();
   /**
-   * The machines pending as of the last sorting, those with most placements last. It may also list machines that are no
+   * The machines that were pending at the last sort, in ascending order of placements. May contain machines that are no
    * longer pending.
    */
   #sorted: Machine[] = [];
   #isSorted = true;
   #tickedAt: number;
-  #perSecond = MIN_PER_SECOND;
-  /** How many may be sent at present: a token bucket filled at the rate. */
+  #sendsPerS = MIN_SENDS_PER_S;
+  /** The number of sends currently allowed: the level of a token bucket that is filled at `#sendsPerS`. */
   #allowance = 0;
 
   /**
-   * @param ctx What all parts of the core share.
+   * @param ctx The context shared by all parts of the core.
    * @param lease This leader's lease.
    * @param send Sends the fencing token to a machine's agent.
    */
@@ -43,21 +43,21 @@
     this.#tickedAt = ctx.now;
   }
 
-  /** Has the token sent to a machine once, unless it is pending already. */
+  /** Queues a machine for one send of the fencing token; no effect if it is already pending. */
   add(machine: Machine): void {
     if (this.#pending.has(machine)) return;
     this.#pending.add(machine);
     this.#isSorted = false;
   }
 
-  /** Takes back what `add` has asked for. */
+  /** Removes a machine from the queue. */
   remove(machine: Machine): void {
     this.#pending.delete(machine);
   }
 
   /**
-   * Sends the token to the next few machines. Those with most placements come first: until their agents have adopted
-   * this leader nothing is proved absent there (I3), and what is to run elsewhere waits.
+   * Sends the fencing token to the next few machines, those with the most placements first: until an agent has adopted
+   * this leader, none of its tasks can be proved absent (I3), so they can't be restarted elsewhere.
    */
   tick(): void {
     const { now, deployment } = this.#ctx;
@@ -67,8 +67,8 @@
     const graceMs = deployment.heartbeatIntervalS * GRACE_HEARTBEAT_INTERVALS * 1000;
     if (now - this.#lease.electedAt < graceMs) return;
     this.#sort();
-    const maxAtOnce = Math.ceil((this.#perSecond * MAX_STEP_MS) / 1000);
-    this.#allowance = Math.min(maxAtOnce, this.#allowance + (this.#perSecond * stepMs) / 1000);
+    const maxAtOnce = Math.ceil((this.#sendsPerS * MAX_STEP_MS) / 1000);
+    this.#allowance = Math.min(maxAtOnce, this.#allowance + (this.#sendsPerS * stepMs) / 1000);
     while (this.#allowance >= 1) {
       const machine = this.#sorted.pop();
       if (!machine) return;
@@ -82,7 +82,7 @@
   #sort(): void {
     if (this.#isSorted) return;
     this.#sorted = [...this.#pending].sort((a, b) => a.placements.size - b.placements.size);
-    this.#perSecond = Math.max(MIN_PER_SECOND, this.#sorted.length / this.#ctx.deployment.leaseS);
+    this.#sendsPerS = Math.max(MIN_SENDS_PER_S, this.#sorted.length / this.#ctx.deployment.leaseS);
     this.#isSorted = true;
   }
 }
--- a/src/core/agents/heartbeat-intake.ts
+++ b/src/core/agents/heartbeat-intake.ts
@@ -8,10 +8,10 @@
 import type { ReachabilityTracker } from "./reachability-tracker.js";
 import type { Reconciler } from "./reconciler.js";
 
-/** How a status came in: by itself, or in the reply to commands that were sent directly. */
+/** Whether an agent's status arrived as a heartbeat or in the reply to a direct command batch. */
 export type HeartbeatSource = "heartbeat" | "commandReply";
 
-/** What the intake works with. */
+/** Components that the intake depends on, and its callback. */
 export interface HeartbeatIntakeDependencies {
   readonly ctx: Context;
   readonly election: Election;
@@ -20,11 +20,11 @@
   readonly fencingQueue: FencingQueue;
   readonly reachability: ReachabilityTracker;
   readonly reconciler: Reconciler;
-  /** A machine has become schedulable, or is about to be reclaimed. */
+  /** A machine may have become schedulable, or is about to be reclaimed. */
   onCapacityChanged(): void;
 }
 
-/** Accepts heartbeats in the order of incarnation and sequence number (I4), and keeps the machines' state by them. */
+/** Accepts heartbeats in order of incarnation and sequence number (I4), and updates the state of their machines. */
 export class HeartbeatIntake {
   readonly #ctx: Context;
   readonly #election: Election;
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Takes in a heartbeat; what it says counts only if it is newer than what is known (I4).
+   * Processes a heartbeat. Its content is applied only if it is newer than the last one applied (I4).
    *
    * @returns The machine; null if this node no longer leads or the machine has been terminated.
    */
@@ -56,20 +56,20 @@
     if (this.#election.lease !== this.#lease) return null;
     const machine = this.#machineOf(heartbeat);
     if (!machine || !isNewer(heartbeat, machine)) return machine;
-    this.#noteUp(machine);
-    this.#noteIncarnation(machine, heartbeat);
+    this.#markUp(machine);
+    this.#recordIncarnation(machine, heartbeat);
     this.#reachability.observeHeartbeat(machine, heartbeat);
     machine.incarnation = heartbeat.incarnation;
     machine.sequence = heartbeat.sequence;
     machine.fencingToken = heartbeat.fencingToken;
-    if (source === "heartbeat") this.#noteContact(machine);
-    this.#noteFencing(machine, heartbeat);
-    this.#noteInterruptionNotice(machine, heartbeat);
+    if (source === "heartbeat") this.#recordHeartbeatTime(machine);
+    this.#recordFencing(machine, heartbeat);
+    this.#recordInterruptionNotice(machine, heartbeat);
     this.#storeAndReconcile(machine, heartbeat);
     return machine;
   }
 
-  /** The machine that reports; null where a late copy of a heartbeat must not bring back one that is terminated. */
+  /** Returns the heartbeat's machine; null if it is terminated: a delayed heartbeat must not add it again. */
   #machineOf(heartbeat: Heartbeat): Machine | null {
     const name = this.#ctx.names.machines.nameOf(heartbeat.machine);
     const isKnown = this.#cluster.machines.has(heartbeat.machine);
@@ -77,7 +77,7 @@
     return this.#cluster.ensureMachine(name, heartbeat, this.#ctx.now);
   }
 
-  #noteUp(machine: Machine): void {
+  #markUp(machine: Machine): void {
     if (machine.phase !== "booting") return;
     machine.phase = "up";
     this.#ctx.log("debug", "machine up", {
@@ -88,42 +88,48 @@
     this.#onCapacityChanged();
   }
 
-  /** A new incarnation means that the agent's lease expired: although it was answered, if replies don't reach it (I7). */
-  #noteIncarnation(machine: Machine, heartbeat: Heartbeat): void {
+  /**
+   * A new incarnation means that the agent's lease expired. If its heartbeats were answered, the replies do not reach
+   * the agent (I7).
+   */
+  #recordIncarnation(machine: Machine, heartbeat: Heartbeat): void {
     const { now, deployment } = this.#ctx;
     if (heartbeat.incarnation <= machine.incarnation) return;
     machine.incarnationSince = now;
     const wasAnswered = now - machine.repliedAt < deployment.leaseS * 1000;
     if (machine.incarnation > 0 && wasAnswered)
-      this.#reachability.markUnreachable(machine, "lease expired although heartbeats were answered");
+      this.#reachability.markUnreachable(machine, "agent lease expired although heartbeats were answered");
   }
 
-  /** The reply to a direct command is no contact: an agent that reaches no controller gets no work, and expires (I7). */
-  #noteContact(machine: Machine): void {
+  /**
+   * Not called for replies to direct commands: an agent that can't reach any controller must not get tasks, and its
+   * lease must expire (I7).
+   */
+  #recordHeartbeatTime(machine: Machine): void {
     machine.heartbeatAt = this.#ctx.now;
     if (!machine.isLeaseExpired) return;
     machine.isLeaseExpired = false;
     this.#onCapacityChanged();
   }
 
-  /** Only an agent that carries a fencing token of this term refuses the commands of all earlier leaders (I4). */
-  #noteFencing(machine: Machine, heartbeat: Heartbeat): void {
+  /** Only an agent that has seen a fencing token of this term refuses the commands of all earlier leaders (I4). */
+  #recordFencing(machine: Machine, heartbeat: Heartbeat): void {
     if (machine.fencedAt !== null || heartbeat.fencingToken < this.#lease.firstFencingToken) return;
     machine.fencedAt = this.#ctx.now;
     this.#fencingQueue.remove(machine);
     this.#onCapacityChanged();
   }
 
-  #noteInterruptionNotice(machine: Machine, { reclaimNoticeS }: Heartbeat): void {
+  #recordInterruptionNotice(machine: Machine, { reclaimNoticeS }: Heartbeat): void {
     if (reclaimNoticeS === null) return;
     if (machine.reclaimDueAt === null) {
-      this.#ctx.log("info", "machine will be reclaimed", { machine: machine.name, in_s: reclaimNoticeS });
+      this.#ctx.log("info", "interruption notice received", { machine: machine.name, in_s: reclaimNoticeS });
       this.#onCapacityChanged();
     }
     machine.reclaimDueAt = this.#ctx.now + reclaimNoticeS * 1000;
   }
 
-  /** Most heartbeats of a large cluster report what the last one did: they cost no more than the comparison. */
+  /** In a large cluster most heartbeats equal the previous one; for these only the comparison is done. */
   #storeAndReconcile(machine: Machine, heartbeat: Heartbeat): void {
     const { heartbeat: previous } = machine;
     machine.heartbeat = heartbeat;
@@ -138,7 +144,7 @@
   );
 }
 
-/** True if nothing differs that reconciliation depends on. */
+/** True if all fields that reconciliation depends on are equal. */
 function hasSameContent(previous: Heartbeat, { incarnation, fencingToken, tasks }: Heartbeat): boolean {
   if (
     previous.incarnation !== incarnation ||
--- a/src/core/agents/heartbeat-router.ts
+++ b/src/core/agents/heartbeat-router.ts
@@ -1,18 +1,18 @@
 import type { Context } from "../context.js";
 import type { Heartbeat, HeartbeatReply } from "../messages/agents.js";
 
-/** Without a known leader a heartbeat waits this long for one: agents give up after 4 s. */
+/** How long a heartbeat waits for a leader to become known. Agents time out after 4 s. */
 const LEADER_WAIT_MS = 2000;
-/** Agents whose last heartbeat came within this time count as heard. */
-const HEARD_WITHIN_MS = 3500;
+/** Agents whose last heartbeat arrived within this time count as active. */
+const ACTIVE_AGENT_WINDOW_MS = 3500;
 
-/** What the router needs to know of the election and the peers. */
+/** The router's access to the election and the peers. */
 export interface HeartbeatRouterEvents {
-  /** The reply, if this node leads and may give one. */
+  /** Returns the reply if this node leads and may reply, else null. */
   replyAsLeader(heartbeat: Heartbeat): HeartbeatReply | null;
   /** True if this node leads. */
   isLeader(): boolean;
-  /** The node that leads according to the key-value store; null if none is known. */
+  /** The current leader according to the key-value store; null if none is known. */
   leader(): string | null;
   /** True for a peer that heartbeats can be forwarded to. */
   isReachablePeer(node: string): boolean;
@@ -21,9 +21,9 @@
 interface RoutedHeartbeat {
   readonly requestId: number;
   readonly heartbeat: Heartbeat;
-  /** The heartbeat as it came in, to be forwarded as it is. */
+  /** The heartbeat as received, to be forwarded unchanged. */
   readonly body: unknown;
-  /** Until when it may wait for a leader. */
+  /** The time until which it may wait for a leader. */
   readonly waitUntil: number;
 }
 
@@ -33,17 +33,17 @@
 }
 
 /**
- * Takes the agents' heartbeats on any node: answers them as leader, forwards them to the leader, or redirects the agent
- * to the leader. Every request gets one reply.
+ * Handles agents' heartbeats on every node: answers them if this node leads, otherwise forwards them to the leader or
+ * redirects the agent to it. Every request gets exactly one reply.
  */
 export class HeartbeatRouter {
   readonly #ctx: Context;
   readonly #events: HeartbeatRouterEvents;
-  /** The newest heartbeat of each agent that came to this node, by machine: a late copy tells nothing of it. */
+  /** The newest heartbeat that this node received from each agent, by machine; older copies are stale. */
   readonly #newest = new Map<number, HeartbeatPosition>();
-  /** When each agent last sent this node a heartbeat, by machine, whether or not it could be answered. */
-  readonly #heardAt = new Map<number, number>();
-  /** Heartbeats that wait for a leader to be known. */
+  /** When this node last received a new heartbeat from each agent, by machine, whether or not it could be answered. */
+  readonly #lastHeartbeatAt = new Map<number, number>();
+  /** Heartbeats that wait for a leader to become known. */
   #waiting: RoutedHeartbeat[] = [];
 
   constructor(ctx: Context, events: HeartbeatRouterEvents) {
@@ -52,17 +52,17 @@
   }
 
   /**
-   * Routes a heartbeat; without a known leader it waits for one.
+   * Routes a heartbeat. If no leader is known, the heartbeat waits for one.
    *
-   * @param requestId The agent's request, which is replied to once.
+   * @param requestId The agent's request, which gets one reply.
    * @param heartbeat The decoded heartbeat.
-   * @param body The same as it came in, to be forwarded.
+   * @param body The heartbeat as received, to be forwarded.
    */
   route(requestId: number, heartbeat: Heartbeat, body: unknown): void {
     const { machine, incarnation, sequence } = heartbeat;
-    if (!this.#isLate(heartbeat)) {
+    if (!this.#isStale(heartbeat)) {
       this.#newest.set(machine, { incarnation, sequence });
-      this.#heardAt.set(machine, this.#ctx.now);
+      this.#lastHeartbeatAt.set(machine, this.#ctx.now);
     } else if (!this.#events.isLeader()) {
       this.#reply(requestId, { kind: "unavailable" });
       return;
@@ -71,8 +71,8 @@
     if (!this.#tryRoute(routed)) this.#waiting.push(routed);
   }
 
-  /** True for a copy of a heartbeat that is not newer than the newest one known here (I4). */
-  #isLate({ machine, incarnation, sequence }: Heartbeat): boolean {
+  /** True if the heartbeat is not newer than the newest one that this node has received from the agent (I4). */
+  #isStale({ machine, incarnation, sequence }: Heartbeat): boolean {
     const newest = this.#newest.get(machine);
     if (newest === undefined) return false;
     return (
@@ -80,7 +80,7 @@
     );
   }
 
-  /** False while no leader is known that could answer the heartbeat. */
+  /** Answers, forwards or redirects the heartbeat. Returns false if no leader is known that could answer it. */
   #tryRoute({ requestId, heartbeat, body }: RoutedHeartbeat): boolean {
     const reply = this.#events.replyAsLeader(heartbeat);
     if (reply) {
@@ -89,15 +89,16 @@
     }
     const leader = this.#events.leader();
     if (leader === null || leader === this.#ctx.deployment.node) return false;
-    // Every node takes heartbeats and forwards them: HTTP is most of what a heartbeat costs, and one node's share of a
-    // core can't bear a large cluster's after a change of leader. Agents are redirected only if this node can't forward.
+    // Every node accepts heartbeats and forwards them to the leader. Most of a heartbeat's cost is HTTP handling, and
+    // the share of a core that one node has can't handle that for a large cluster after a failover. Agents are
+    // redirected only if this node can't forward.
     if (this.#events.isReachablePeer(leader))
       this.#ctx.emit({ kind: "forwardHeartbeat", requestId, to: leader, body });
     else this.#reply(requestId, { kind: "redirect", node: leader });
     return true;
   }
 
-  /** Tries the waiting heartbeats again; those that have waited long enough are redirected to no node in particular. */
+  /** Retries the waiting heartbeats. Those whose wait has expired are redirected without naming a node. */
   retryWaiting(): void {
     if (this.#waiting.length === 0) return;
     const waiting = this.#waiting;
@@ -113,14 +114,14 @@
     this.#ctx.emit({ kind: "replyToAgent", requestId, reply });
   }
 
-  /** How many agents have lately sent heartbeats to this node. */
-  countAgentsHeard(): number {
-    for (const [machine, heardAt] of this.#heardAt)
-      if (this.#ctx.now - heardAt > HEARD_WITHIN_MS) this.#heardAt.delete(machine);
-    return this.#heardAt.size;
+  /** Number of agents that recently sent a heartbeat to this node. */
+  countActiveAgents(): number {
+    for (const [machine, lastHeartbeatAt] of this.#lastHeartbeatAt)
+      if (this.#ctx.now - lastHeartbeatAt > ACTIVE_AGENT_WINDOW_MS) this.#lastHeartbeatAt.delete(machine);
+    return this.#lastHeartbeatAt.size;
   }
 
-  /** Adds the interner's indices that waiting heartbeats carry to those in use. */
+  /** Adds the interner indices that waiting heartbeats contain to those in use. */
   collectIndices(used: { jobs: Set<number>; machines: Set<number> }): void {
     for (const { heartbeat } of this.#waiting) {
       used.machines.add(heartbeat.machine);
@@ -128,7 +129,7 @@
     }
   }
 
-  /** Forgets the newest heartbeats of all but these machines, whose indices may come to stand for others. */
+  /** Removes the newest heartbeats of all machines but these, as the indices of the others may be reused. */
   retainMachines(machines: ReadonlySet<number>): void {
     for (const machine of this.#newest.keys()) if (!machines.has(machine)) this.#newest.delete(machine);
   }
--- a/src/core/agents/image-caches.ts
+++ b/src/core/agents/image-caches.ts
@@ -2,10 +2,10 @@
 import type { Job } from "../model/job.js";
 import type { Machine } from "../model/machine.js";
 
-/** The fetch time that is assumed where the machine's type is not known. */
+/** The fetch time assumed if the fetch rate of the machine's type is not known. */
 const DEFAULT_FETCH_S = 30;
 
-/** Records that a machine fetches the image of a job from now on, and trims the model of its cache. */
+/** Records that a machine starts to fetch a job's image now, and evicts images from the modelled cache if needed. */
 export function recordImageFetch(ctx: Context, machine: Machine, job: Job): void {
   const { now } = ctx;
   const { image, imageGb } = job.spec;
@@ -15,13 +15,13 @@
   evictLeastRecentlyUsed(machine);
 }
 
-/** Records that a machine has the image of a job, as its heartbeat shows. */
+/** Records that a machine's heartbeat shows a job's image to be in its cache. */
 export function recordImageCached(ctx: Context, machine: Machine, job: Job): void {
   const { now } = ctx;
   machine.images.set(job.spec.image, { readyAt: now, usedAt: now, gb: job.spec.imageGb });
 }
 
-/** Agents keep the most recently used images; the leader's model of their cache does the same. */
+/** Models the agents' cache eviction, which keeps the most recently used images. */
 function evictLeastRecentlyUsed(machine: Machine): void {
   let cachedGb = 0;
   for (const image of machine.images.values()) cachedGb += image.gb;
--- a/src/core/agents/reachability-tracker.ts
+++ b/src/core/agents/reachability-tracker.ts
@@ -4,14 +4,14 @@
 import type { Machine } from "../model/machine.js";
 import type { FencingQueue } from "./fencing-queue.js";
 
-/** An acknowledgement is overdue after this time, and no sooner than after so many heartbeat intervals. */
+/** An acknowledgement is overdue after this time or this many heartbeat intervals, whichever is longer. */
 const ACKNOWLEDGEMENT_TIMEOUT_MS = 4000;
 const ACKNOWLEDGEMENT_TIMEOUT_INTERVALS = 2.5;
 
 /**
- * Tells which agents can be reached from this node (I7). That heartbeats arrive proves nothing of the other direction:
- * in a one-way partition replies and commands are lost, and such a machine would be given tasks that never start. Only
- * the effect of something sent, in a later heartbeat, proves that the agent is reached.
+ * Tracks which agents can be reached from this node (I7). Incoming heartbeats prove nothing about the opposite
+ * direction: in a one-way partition replies and commands are lost, and tasks placed on the machine would never start.
+ * Only a later heartbeat that shows the effect of something sent to the agent proves that it can be reached.
  */
 export class ReachabilityTracker {
   readonly #ctx: Context;
@@ -20,10 +20,10 @@
   readonly #onMachineReachable: () => void;
 
   /**
-   * @param ctx What all parts of the core share.
+   * @param ctx The context shared by all parts of the core.
    * @param lease This leader's lease.
-   * @param fencingQueue Sends unreachable agents something that has an effect once it arrives.
-   * @param onMachineReachable A machine that was unreachable is schedulable again.
+   * @param fencingQueue Sends the fencing token to unreachable agents; its arrival shows in a later heartbeat.
+   * @param onMachineReachable Called when an unreachable machine has become reachable again.
    */
   constructor(ctx: Context, lease: LeaderLease, fencingQueue: FencingQueue, onMachineReachable: () => void) {
     this.#ctx = ctx;
@@ -32,12 +32,12 @@
     this.#onMachineReachable = onMachineReachable;
   }
 
-  /** Notes that a heartbeat was answered: from now on the effect of what was sent has to show in a heartbeat. */
+  /** Records that a heartbeat was answered. If something sent is unacknowledged, its acknowledgement timeout starts. */
   onReplied(machine: Machine): void {
     if (this.#expectsAcknowledgement(machine)) machine.acknowledgementAwaitedSince ??= this.#ctx.now;
   }
 
-  /** True if a fencing token or a start was sent whose effect no heartbeat has shown yet. */
+  /** True if the effect of a fencing token or a start that was sent has not shown in a heartbeat yet. */
   #expectsAcknowledgement(machine: Machine): boolean {
     if (machine.heartbeat && machine.heartbeat.fencingToken < this.#lease.fencingToken) return true;
     for (const { observedState, startSentUnder } of machine.placements)
@@ -45,7 +45,7 @@
     return false;
   }
 
-  /** Judges a new heartbeat against the previous one, which `machine.heartbeat` still holds. */
+  /** Evaluates a new heartbeat against the previous one, which `machine.heartbeat` still holds. */
   observeHeartbeat(machine: Machine, heartbeat: Heartbeat): void {
     const { now, deployment } = this.#ctx;
     const previous = machine.heartbeat;
@@ -56,10 +56,10 @@
       deployment.heartbeatIntervalS * ACKNOWLEDGEMENT_TIMEOUT_INTERVALS * 1000,
     );
     if (now - machine.acknowledgementAwaitedSince > timeoutMs)
-      this.markUnreachable(machine, "nothing sent to it has an effect");
+      this.markUnreachable(machine, "acknowledgement timed out");
   }
 
-  /** Something that was sent to the agent has had an effect. */
+  /** Marks a machine as reachable, because something sent to its agent had an observable effect. */
   markReachable(machine: Machine): void {
     machine.acknowledgementAwaitedSince = null;
     if (machine.unreachableSince === null) return;
@@ -69,7 +69,7 @@
     this.#onMachineReachable();
   }
 
-  /** Takes the machine out of scheduling. Its fencing token is sent again: once that has an effect, it is reachable. */
+  /** Excludes a machine from scheduling, and resends the fencing token until its effect shows that it is reachable. */
   markUnreachable(machine: Machine, reason: string): void {
     if (machine.phase === "up") this.#fencingQueue.add(machine);
     if (machine.unreachableSince !== null) return;
--- a/src/core/agents/reconciler.ts
+++ b/src/core/agents/reconciler.ts
@@ -10,27 +10,27 @@
 import { recordImageCached, recordImageFetch } from "./image-caches.js";
 import type { ReachabilityTracker } from "./reachability-tracker.js";
 
-/** What reconciliation concludes. */
+/** Events that reconciliation reports. */
 export interface ReconcilerEvents {
-  /** The placement is proved to have ended and has to be removed from the cluster state. */
+  /** A placement is proved to have ended and must be removed from the cluster state. */
   onPlacementEnded(placement: Placement, cause: ExitReason | "lost"): void;
   /** A task was observed running for the first time. */
   onTaskRunning(placement: Placement): void;
 }
 
-/** A heartbeat's tasks by job index and task number. */
+/** The tasks of a heartbeat, by job index and task number. */
 type ReportedTasks = ReadonlyMap<number, ReadonlyMap<number, ReportedTask>>;
 
-/** Compares the tasks that a heartbeat reports with the placements on its machine, and follows the differences up. */
+/** Compares the tasks reported in a heartbeat with the placements on its machine, and acts on the differences. */
 export class Reconciler {
   readonly #ctx: Context;
   readonly #lease: LeaderLease;
   readonly #cluster: ClusterState;
   readonly #reachability: ReachabilityTracker;
   readonly #events: ReconcilerEvents;
-  /** False until the placements that earlier leaders recorded are loaded: until then there is nothing to compare with. */
+  /** False until the placements recorded by earlier leaders are loaded; until then there is nothing to compare with. */
   areRecordsLoaded = false;
-  /** How many heartbeats were compared. */
+  /** Number of heartbeats compared with the placements. */
   reconciliations = 0;
 
   constructor(
@@ -47,13 +47,13 @@
     this.#events = events;
   }
 
-  /** Compares the machine's last heartbeat, if there is one, with its placements. */
+  /** Compares a machine's last heartbeat, if any, with its placements. */
   reconcile(machine: Machine): void {
     const { heartbeat } = machine;
     if (!heartbeat) return;
     this.reconciliations++;
     const reportedTasks = indexTasks(heartbeat);
-    // A copy: placements that have ended are removed on the way.
+    // Iterates over a copy, as ended placements are removed in the loop.
     for (const placement of [...machine.placements])
       this.#reconcilePlacement(placement, heartbeat, reportedTasks);
     machine.usedByUnknownTasks = this.#usedByUnknownTasks(machine, heartbeat);
@@ -62,18 +62,18 @@
   #reconcilePlacement(placement: Placement, heartbeat: Heartbeat, reportedTasks: ReportedTasks): void {
     const reported = reportedTasks.get(placement.job.index)?.get(placement.task);
     if (heartbeat.incarnation > placement.incarnation) {
-      // The agent ended all tasks of the earlier incarnation (I4: a fact whenever it was said).
+      // The agent terminated all tasks of its earlier incarnation. This stays true however old the heartbeat is (I4).
       this.#events.onPlacementEnded(placement, "lost");
     } else if (reported && reported.attempt === placement.attempt) {
-      this.#observe(placement, reported);
+      this.#applyReportedState(placement, reported);
     } else if (placement.isRecorded && this.#isProvedAbsent(placement, heartbeat)) {
       this.#events.onPlacementEnded(placement, "lost");
     }
   }
 
   /**
-   * That a task is not reported proves nothing while a start of it may be on its way (I3). A start that was sent under
-   * an older fencing token than the agent carries can no longer be executed.
+   * A task's absence from the heartbeat proves nothing while a start of it may still arrive (I3). A start that was sent
+   * under an older fencing token than the agent's can no longer be executed.
    */
   #isProvedAbsent(placement: Placement, heartbeat: Heartbeat): boolean {
     return (
@@ -83,12 +83,12 @@
     );
   }
 
-  /** A placement of this term whose start was never sent is not absent: it is yet to be started. */
+  /** False for a placement of this term whose start was never sent: the task is not lost, but not started yet. */
   #wasSentOrInherited({ startSentUnder, attempt }: Placement): boolean {
     return startSentUnder > 0 || fencingTokenOf(attempt) < this.#lease.firstFencingToken;
   }
 
-  #observe(placement: Placement, reported: ReportedTask): void {
+  #applyReportedState(placement: Placement, reported: ReportedTask): void {
     const previousState = placement.observedState;
     placement.observedState = reported.state;
     if (previousState === null && placement.startSentUnder > 0)
@@ -109,7 +109,7 @@
     else if (!machine.images.has(job.spec.image)) recordImageFetch(this.#ctx, machine, job);
   }
 
-  /** What is used by reported tasks without a placement here: it is not free until they are reported as ended. */
+  /** Resources of reported tasks without a placement here, which are in use until the tasks are reported as ended. */
   #usedByUnknownTasks(machine: Machine, { tasks }: Heartbeat): Resources {
     let used = NO_RESOURCES;
     for (const { job: jobIndex, task, attempt, state } of tasks) {
@@ -123,7 +123,7 @@
   }
 }
 
-/** An ended attempt may still be listed beside its successor, which is the one that counts. */
+/** Indexes a heartbeat's tasks. If an ended attempt is listed together with its successor, the successor is used. */
 function indexTasks({ tasks }: Heartbeat): ReportedTasks {
   const byJob = new Map<number, Map<number, ReportedTask>>();
   for (const reported of tasks) {
--- a/src/core/agents/task-outcome.ts
+++ b/src/core/agents/task-outcome.ts
@@ -4,12 +4,12 @@
 import type { RecordWriter } from "../store/record-writer.js";
 import { recordFailure } from "./failure-tracking.js";
 
-/** The back-off of a machine that refused a start for lack of capacity, or for an earlier attempt of the task. */
+/** Back-off of a machine that refused a start because of missing capacity or an earlier attempt of the task. */
 const REFUSED_START_BACKOFF_MS = 2000;
-/** The back-off of a job that an agent did not know. */
+/** Back-off of a job that is unknown to an agent. */
 const UNKNOWN_JOB_BACKOFF_MS = 1000;
 
-/** Draws the conclusions for job and machine from how a placement has ended. */
+/** Updates the state of the job and the machine according to how a placement ended. */
 export function applyTaskOutcome(
   ctx: Context,
   recordWriter: RecordWriter,
@@ -41,11 +41,11 @@
 
 function applyCompletion(ctx: Context, recordWriter: RecordWriter, placement: Placement): void {
   const { job, machine, task, runningSince } = placement;
-  // The duration of a task that went on from a checkpoint tells nothing of the whole.
+  // A task that resumed from a checkpoint ran for only a part of its total duration, so it is left out.
   if (runningSince !== null && (job.spec.checkpointS === 0 || !Number.isFinite(job.lastRanAt)))
     ctx.estimates.observe(job.spec, (ctx.now - runningSince) / 1000);
   if (job.spec.shape === "gang") {
-    // If one task of a gang is done, all of them are.
+    // The tasks of a gang complete together.
     for (let other = 0; other < job.spec.tasks; other++) {
       if (job.isDone(other)) continue;
       job.markDone(other);
--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -38,7 +38,7 @@
   /** By uid, the earliest learned first. */
   readonly #endedJobs = new Map<string, JobEnd>();
   /** Dependencies known neither as unfinished nor as ended, with the time when their final record is to be read. */
-  readonly #unknownReadAt = new Map<string, number>();
+  readonly #nextReadAt = new Map<string, number>();
   #readsInFlight = 0;
 
   constructor(ctx: Context, cluster: ClusterState, events: DependencyEvents) {
@@ -49,7 +49,7 @@
 
   /** Adds an unfinished job, with or without dependencies of its own: later jobs may depend on it. */
   add(job: Job): void {
-    this.#unknownReadAt.delete(job.uid);
+    this.#nextReadAt.delete(job.uid);
     job.dependentCount = this.#dependents.get(job.uid)?.size ?? 0;
     const dependencies = job.spec.awaits ?? [];
     if (dependencies.length > 0) this.#unmet.set(job, new Set(dependencies));
@@ -80,13 +80,13 @@
   #resolve(uid: string): void {
     const dependency = this.#cluster.jobByUid(uid);
     const end = this.#endedJobs.get(uid);
-    if (end) this.#settle(uid, end);
+    if (end) this.#applyEnd(uid, end);
     else if (dependency?.state === "cancelled") this.onJobCancelled(dependency);
-    else if (!dependency) this.#unknownReadAt.set(uid, this.#ctx.now);
+    else if (!dependency) this.#nextReadAt.set(uid, this.#ctx.now);
   }
 
   /** A task of the job has started, so an earlier leader knew that its dependencies were satisfied. */
-  onJobBegun(job: Job): void {
+  onJobStarted(job: Job): void {
     job.dependenciesSatisfied = true;
   }
 
@@ -99,7 +99,7 @@
       if (!oldest.done) this.#endedJobs.delete(oldest.value);
     }
     this.#removeDependent(job);
-    this.#settle(job.uid, end);
+    this.#applyEnd(job.uid, end);
   }
 
   /** True if the job was lately learned to have ended. */
@@ -116,8 +116,8 @@
   }
 
   /** A dependency has ended: applies that to all its dependents. */
-  #settle(uid: string, { state, at }: JobEnd): void {
-    this.#unknownReadAt.delete(uid);
+  #applyEnd(uid: string, { state, at }: JobEnd): void {
+    this.#nextReadAt.delete(uid);
     for (const job of [...(this.#dependents.get(uid) ?? [])]) {
       if (state === "cancelled") this.#events.onDependencyCancelled(job);
       else this.#onDependencyDone(job, uid, at ?? 0);
@@ -145,7 +145,7 @@
       if (!dependents?.delete(job)) continue;
       if (dependents.size === 0) {
         this.#dependents.delete(uid);
-        this.#unknownReadAt.delete(uid);
+        this.#nextReadAt.delete(uid);
       }
       this.#onDependentsChanged(uid, dependents);
     }
@@ -181,24 +181,24 @@
   /** Reads the final records of unknown dependencies, a few at a time. */
   tick(): void {
     const { now } = this.#ctx;
-    for (const [uid, readAt] of this.#unknownReadAt) {
+    for (const [uid, readAt] of this.#nextReadAt) {
       if (this.#readsInFlight >= MAX_CONCURRENT_READS) return;
       if (now < readAt) continue;
-      if (this.#cluster.jobByUid(uid) || !this.#dependents.has(uid)) this.#unknownReadAt.delete(uid);
+      if (this.#cluster.jobByUid(uid) || !this.#dependents.has(uid)) this.#nextReadAt.delete(uid);
       else this.#readFinalRecord(uid);
     }
   }
 
   #readFinalRecord(uid: string): void {
     this.#readsInFlight++;
-    this.#unknownReadAt.set(uid, Number.POSITIVE_INFINITY);
+    this.#nextReadAt.set(uid, Number.POSITIVE_INFINITY);
     this.#ctx.callStore({ kind: "get", key: KEYS.final(uid) }, STORE_TIMEOUT_MS, (response) => {
       this.#readsInFlight--;
-      if (!this.#unknownReadAt.has(uid)) return;
+      if (!this.#nextReadAt.has(uid)) return;
       const end = response.kind === "found" ? readFinal(response.entry.value) : null;
       // Without a final record the job is unfinished, and the job watch is about to bring its record.
-      if (end) this.#settle(uid, end);
-      else this.#unknownReadAt.set(uid, this.#ctx.now + RETRY_MS);
+      if (end) this.#applyEnd(uid, end);
+      else this.#nextReadAt.set(uid, this.#ctx.now + RETRY_MS);
     });
   }
 }
--- a/src/core/jobs/job-lookup.ts
+++ b/src/core/jobs/job-lookup.ts
@@ -5,7 +5,7 @@
 
 const STORE_TIMEOUT_MS = 1500;
 const MAX_ENDED_JOBS = 20_000;
-const MAX_JOB_VERSIONS = 20_000;
+const MAX_CACHED_JOBS = 20_000;
 
 /** How a job ended, by its final record. It never changes, so it may be cached without limit of time. */
 export interface EndedJob {
@@ -84,7 +84,7 @@
       service: spec.shape === "service",
       awaits: spec.awaits ?? [],
     });
-    evictOldest(this.#cachedJobs, MAX_JOB_VERSIONS);
+    evictOldest(this.#cachedJobs, MAX_CACHED_JOBS);
   }
 
   /**
--- a/src/core/jobs/job-status-reader.ts
+++ b/src/core/jobs/job-status-reader.ts
@@ -1,9 +1,9 @@
 import type { JobStatus } from "../messages/users.js";
 import { type FoundJob, type JobLookup, statusOfEnded } from "./job-lookup.js";
-import type { Counts } from "./progress-counts.js";
+import type { TaskCounts } from "./progress-counts.js";
 
 /** The display counts of a job; null if this node has none. */
-export type ProgressOf = (uid: string) => Counts | null;
+export type ProgressOf = (uid: string) => TaskCounts | null;
 
 /** Composes the status of jobs as users see it, from their records and the progress counts for display. */
 export class JobStatusReader {
--- a/src/core/jobs/polling.ts
+++ b/src/core/jobs/polling.ts
@@ -15,7 +15,7 @@
  * A poll with the conditions that its answer rests on, as of the comparison: a record that is read while the comparison
  * is under way must not stand in for them.
  */
-interface ComparedPoll extends Poll {
+interface BatchedPoll extends Poll {
   readonly conditions: readonly VersionCondition[];
 }
 
@@ -70,7 +70,7 @@
   flush(): void {
     const polls = this.#pending;
     this.#pending = [];
-    let batch: ComparedPoll[] = [];
+    let batch: BatchedPoll[] = [];
     let versions = new Map<string, number>();
     for (const poll of polls) {
       // The job may have ended since the poll came in; a comparison without conditions would hold for anything.
@@ -82,17 +82,17 @@
       }
       const added = cached.conditions.filter(({ key }) => !versions.has(key));
       if (versions.size + added.length > this.#maxConditions) {
-        this.#compare(batch, versions);
+        this.#verifyBatch(batch, versions);
         batch = [];
         versions = new Map();
       }
       for (const { key, version } of cached.conditions) versions.set(key, version);
       batch.push({ ...poll, conditions: cached.conditions });
     }
-    if (batch.length > 0) this.#compare(batch, versions);
+    if (batch.length > 0) this.#verifyBatch(batch, versions);
   }
 
-  #compare(polls: readonly ComparedPoll[], versions: ReadonlyMap<string, number>): void {
+  #verifyBatch(polls: readonly BatchedPoll[], versions: ReadonlyMap<string, number>): void {
     const conditions = [...versions].map(([key, version]) => ({ key, version }));
     this.#ctx.callStore({ kind: "transaction", conditions, changes: [] }, STORE_TIMEOUT_MS, (result) => {
       const outdatedKeys = new Set(result.kind === "conflict" ? result.failed : []);
--- a/src/core/jobs/progress-counts.ts
+++ b/src/core/jobs/progress-counts.ts
@@ -2,7 +2,7 @@
 const MAX_JOBS = 20_000;
 
 /** How many tasks of a job are done and how many are running. */
-export interface Counts {
+export interface TaskCounts {
   readonly done: number;
   readonly running: number;
 }
@@ -10,15 +10,15 @@
 /** The progress of jobs as the leader last published it. For display only: no decision may depend on it. */
 export class ProgressCounts {
   /** By uid, least recently updated first. */
-  readonly #counts = new Map<string, Counts>();
+  readonly #counts = new Map<string, TaskCounts>();
 
   /** The counts of a job; undefined if none were published, or not lately. */
-  get(uid: string): Counts | undefined {
+  get(uid: string): TaskCounts | undefined {
     return this.#counts.get(uid);
   }
 
   /** Stores published counts; each row is a job's uid with its done and its running tasks. */
-  note(rows: readonly (readonly [uid: string, done: number, running: number])[]): void {
+  update(rows: readonly (readonly [uid: string, done: number, running: number])[]): void {
     for (const [uid, done, running] of rows) {
       this.#counts.delete(uid);
       this.#counts.set(uid, { done, running });
--- a/src/core/jobs/progress-publisher.ts
+++ b/src/core/jobs/progress-publisher.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
 import type { ClusterState } from "../model/cluster-state.js";
 import type { Job } from "../model/job.js";
-import type { Counts } from "./progress-counts.js";
+import type { TaskCounts } from "./progress-counts.js";
 
 const PUBLISH_INTERVAL_MS = 1000;
 
@@ -12,7 +12,7 @@
   readonly #ctx: Context;
   readonly #cluster: ClusterState;
   /** The counts last published, by uid. */
-  readonly #published = new Map<string, Counts>();
+  readonly #published = new Map<string, TaskCounts>();
   #publishedAt = 0;
 
   constructor(ctx: Context, cluster: ClusterState) {
@@ -21,7 +21,7 @@
   }
 
   /** Drops the counts of a job that has ended. */
-  forget({ uid }: Job): void {
+  remove({ uid }: Job): void {
     this.#published.delete(uid);
   }
 
--- a/src/core/jobs/rejection-batch.ts
+++ b/src/core/jobs/rejection-batch.ts
@@ -17,7 +17,7 @@
 /** What becomes of rejections that can't be sent as they are. */
 export interface RejectionEvents {
   /** The job may have been accepted before: its records decide. */
-  onPossiblyKnown(rejection: Rejection): void;
+  onPossibleDuplicate(rejection: Rejection): void;
   /** The store could not be asked. */
   onStoreUnavailable(rejection: Rejection): void;
 }
@@ -61,7 +61,7 @@
         const { uid, response, respond } = rejection;
         if (result.kind !== "ok" && result.kind !== "conflict") this.#events.onStoreUnavailable(rejection);
         else if (existingKeys.has(KEYS.job(uid)) || existingKeys.has(KEYS.final(uid)))
-          this.#events.onPossiblyKnown(rejection);
+          this.#events.onPossibleDuplicate(rejection);
         else respond(response);
       }
     });
--- a/src/core/jobs/submission.ts
+++ b/src/core/jobs/submission.ts
@@ -56,7 +56,7 @@
     this.#admission = admission;
     this.#onJobAccepted = onJobAccepted;
     this.#rejections = new RejectionBatch(ctx, {
-      onPossiblyKnown: ({ uid, response, respond }) => this.#rejectUnlessKnown(uid, response, respond),
+      onPossibleDuplicate: ({ uid, response, respond }) => this.#rejectUnlessAccepted(uid, response, respond),
       onStoreUnavailable: ({ respond }) => respond(storeUnavailable()),
     });
   }
@@ -69,13 +69,13 @@
       return;
     }
     if (!submitted.ok) {
-      this.#rejectUnlessKnown(uid, { kind: "invalid", error: submitted.error }, respond);
+      this.#rejectUnlessAccepted(uid, { kind: "invalid", error: submitted.error }, respond);
       return;
     }
     const { spec } = submitted;
     this.#validator.validate(spec, (rejection) => {
       if (rejection === null) this.#admit(spec, respond);
-      else this.#rejectUnlessKnown(uid, rejection, respond);
+      else this.#rejectUnlessAccepted(uid, rejection, respond);
     });
   }
 
@@ -98,15 +98,15 @@
   }
 
   /** Rejects a submission once the store has proved that its job was not accepted before. */
-  #rejectUnlessKnown(uid: string, rejection: RejectionResponse, respond: Respond): void {
+  #rejectUnlessAccepted(uid: string, rejection: RejectionResponse, respond: Respond): void {
     this.#lookup.find(uid, (result) => {
       if (result.kind === "unavailable") respond(storeUnavailable());
       else if (result.kind === "notFound") respond(rejection);
-      else this.#respondKnown(uid, result, respond);
+      else this.#respondDuplicate(uid, result, respond);
     });
   }
 
-  #respondKnown(uid: string, job: FoundJob, respond: Respond): void {
+  #respondDuplicate(uid: string, job: FoundJob, respond: Respond): void {
     this.#statuses.read(uid, job, (status) => {
       respond(status ? { kind: "accepted", known: true, status } : storeUnavailable());
     });
@@ -136,9 +136,9 @@
       const cancelled = this.#lookup.cachedAnswer(uid).kind === "cancelled";
       respond({ kind: "accepted", known: false, status: this.#statuses.unfinishedStatus(uid, cancelled) });
     } else if (result.kind === "conflict") {
-      this.#rejectUnlessKnown(uid, storeUnavailable(), respond);
+      this.#rejectUnlessAccepted(uid, storeUnavailable(), respond);
     } else if (result.kind === "invalid") {
-      this.#rejectUnlessKnown(uid, recordTooLarge(), respond);
+      this.#rejectUnlessAccepted(uid, recordTooLarge(), respond);
     } else {
       respond(storeUnavailable());
     }
--- a/src/core/leader-term.ts
+++ b/src/core/leader-term.ts
@@ -152,7 +152,7 @@
     return {
       hasTermEnded: () => this.hasEnded,
       onJobsChanged: () => this.#requestRound(),
-      onJobRemoved: (job) => this.#progress.forget(job),
+      onJobRemoved: (job) => this.#progress.remove(job),
       runAfter: (delayMs, run) => this.#jobWatch.runAfter(delayMs, run),
     };
   }
--- a/src/core/peer-heartbeat-sender.ts
+++ b/src/core/peer-heartbeat-sender.ts
@@ -57,7 +57,7 @@
       fencingToken: election.lease?.fencingToken ?? election.highestTokenSeen,
       leader: isLeader ? this.#ctx.deployment.node : null,
       storeHealthy: this.#ctx.storeFailingSince === null && config.isLoaded,
-      agentsHeard: heartbeatRouter.countAgentsHeard(),
+      agentsHeard: heartbeatRouter.countActiveAgents(),
       protocol: PROTOCOL,
       standby: failover.warmth,
     };
--- a/src/core/peer-message-handler.ts
+++ b/src/core/peer-message-handler.ts
@@ -41,7 +41,7 @@
         applyJobRecord(message.entry);
         break;
       case "progress":
-        progress.note(message.rows);
+        progress.update(message.rows);
         break;
       case "forwardedHeartbeats":
       case "forwardedReplies":
--- a/src/core/record-restore.ts
+++ b/src/core/record-restore.ts
@@ -82,7 +82,7 @@
         restored++;
       }
     }
-    if (restored > 0 || job.doneCount > 0) this.#dependencies.onJobBegun(job);
+    if (restored > 0 || job.doneCount > 0) this.#dependencies.onJobStarted(job);
     return restored;
   }
 
