--- a/src/core/agents/heartbeat-router.ts
+++ b/src/core/agents/heartbeat-router.ts
@@ -90,8 +90,8 @@
     const leader = this.#events.leader();
     if (leader === null || leader === this.#ctx.deployment.node) return false;
     // Every node accepts heartbeats and forwards them to the leader. Most of a heartbeat's cost is HTTP handling, and
-    // the share of a core that one node has can't handle that for a large cluster after a failover. Agents are
-    // redirected only if this node can't forward.
+    // one node's share of a CPU core can't carry that for a large cluster after a failover. Agents are redirected only
+    // if this node can't forward.
     if (this.#events.isReachablePeer(leader))
       this.#ctx.emit({ kind: "forwardHeartbeat", requestId, to: leader, body });
     else this.#reply(requestId, { kind: "redirect", node: leader });
--- a/src/core/agents/reachability-tracker.ts
+++ b/src/core/agents/reachability-tracker.ts
@@ -32,7 +32,7 @@
     this.#onMachineReachable = onMachineReachable;
   }
 
-  /** Records that a heartbeat was answered. If something sent is unacknowledged, its acknowledgement timeout starts. */
+  /** Called when a heartbeat was answered. Starts the acknowledgement timeout if something sent is unacknowledged. */
   onReplied(machine: Machine): void {
     if (this.#expectsAcknowledgement(machine)) machine.acknowledgementAwaitedSince ??= this.#ctx.now;
   }
--- a/src/core/jobs/cancellation.ts
+++ b/src/core/jobs/cancellation.ts
@@ -8,28 +8,31 @@
 const STORE_TIMEOUT_MS = 1500;
 const MAX_ATTEMPTS = 4;
 
-/** What a {@link CancellationHandler} is made of. */
+/** Dependencies and callback of a {@link CancellationHandler}. */
 export interface CancellationOptions {
   readonly ctx: Context;
   readonly lookup: JobLookup;
   readonly statuses: JobStatusReader;
-  /** This node has written a job's record as cancelled. */
+  /** Called when this node has written a job's record as cancelled. */
   readonly onJobCancelled: (entry: StoreEntry) => void;
 }
 
-/** A cancellation that is being written. */
+/** A cancellation whose write is in flight. */
 interface PendingWrite {
   readonly uid: string;
-  /** The job's record as it was read, which the write depends on. */
+  /** The job's record as read; the write is conditioned on its version. */
   readonly entry: StoreEntry;
   readonly record: JobRecord;
   readonly respond: Respond;
   readonly attemptsLeft: number;
-  /** The size that the new record may have; 0: as small as it can be. */
+  /** The maximum size of the new record; 0 makes it as small as possible. */
   readonly maxValueBytes: number;
 }
 
-/** Cancels jobs, on every node: by one write conditioned on the version of the job's record, confirmed only after it (I8). */
+/**
+ * Cancels jobs, on every node. A cancellation is one write conditioned on the version of the job's record, and is
+ * confirmed to the user only after that write (I8).
+ */
 export class CancellationHandler {
   readonly #ctx: Context;
   readonly #lookup: JobLookup;
@@ -43,7 +46,7 @@
     this.#onJobCancelled = onJobCancelled;
   }
 
-  /** Cancels a job and responds with its status; a job that has ended is left as it is. */
+  /** Cancels a job and responds with its status. A job that has ended is not changed. */
   cancel(uid: string, respond: Respond): void {
     this.#attempt(uid, respond, MAX_ATTEMPTS);
   }
@@ -79,10 +82,10 @@
       this.#onJobCancelled({ key: entry.key, value: cancelled, version: result.revision });
       this.#respondCancelled(uid, respond);
     } else if (result.kind === "conflict" && attemptsLeft > 1) {
-      // The record changed after it was read: the job was completed or cancelled. Read which.
+      // The record changed after it was read: the job was completed or cancelled. Read it again to find out which.
       this.#attempt(uid, respond, attemptsLeft - 1);
     } else if (result.kind === "invalid" && maxValueBytes > 0) {
-      // The store's limit may be lower than the one it has announced.
+      // The store's limit may be lower than the announced one, so retry with the smallest possible record.
       this.#write({ ...pending, maxValueBytes: 0 });
     } else {
       respond(storeUnavailable());
--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -5,39 +5,39 @@
 
 const STORE_TIMEOUT_MS = 2000;
 const MAX_CONCURRENT_READS = 4;
-/** A final record that could not be read, or does not exist yet, is read again after this. */
+/** A final record that could not be read or does not exist yet is read again after this time. */
 const RETRY_MS = 1000;
-/** Ended jobs that are kept for jobs submitted later that depend on them. */
+/** Maximum number of ended jobs that are kept for dependents submitted later. */
 const MAX_ENDED_JOBS = 5000;
 
-/** How a job ended, by its final record. */
+/** How and when a job ended, from its final record. */
 export type JobEnd = Pick<FinalRecord, "state" | "at">;
 
-/** What the graph tells the leader's term. */
+/** Events that the dependency graph reports to the leader's term. */
 export interface DependencyEvents {
-  /** All dependencies of the job are on record as done. */
+  /** All dependencies of the job are recorded as done. */
   onDependenciesSatisfied(job: Job): void;
-  /** A dependency of the job is on record as cancelled, and so the job is to be cancelled. */
+  /** A dependency of the job is recorded as cancelled, so the job must be cancelled too. */
   onDependencyCancelled(job: Job): void;
 }
 
 /**
- * The job DAG. A job may start once all its dependencies are on record as done, and is cancelled with any of them.
- * Priority and deadline are inherited in the other direction: a dependency is as urgent as its most urgent dependent.
+ * The job DAG. A job may start once all its dependencies are recorded as done, and is cancelled if any of them is.
+ * Priority and deadline propagate in the opposite direction: a dependency is as urgent as its most urgent dependent.
  *
- * There are no cycles: a job names only jobs that were accepted before it, and its dependencies never change.
+ * There are no cycles: a job can depend only on jobs accepted before it, and its dependencies never change.
  */
 export class DependencyGraph {
   readonly #ctx: Context;
   readonly #cluster: ClusterState;
   readonly #events: DependencyEvents;
-  /** Unfinished dependents, by the uid of the dependency, which may be unfinished, ended, or not known yet. */
+  /** Unfinished dependents by the uid of the dependency, which may be unfinished, ended or not known yet. */
   readonly #dependents = new Map<string, Set<Job>>();
-  /** The unmet dependencies of each job that waits. */
+  /** The unmet dependencies of each waiting job. */
   readonly #unmet = new Map<Job, Set<string>>();
-  /** By uid, the earliest learned first. */
+  /** Ended jobs by uid, in the order in which this node learned that they ended. */
   readonly #endedJobs = new Map<string, JobEnd>();
-  /** Dependencies known neither as unfinished nor as ended, with the time when their final record is to be read. */
+  /** When to read the final record of each dependency that is known neither as unfinished nor as ended. */
   readonly #nextReadAt = new Map<string, number>();
   #readsInFlight = 0;
 
@@ -47,7 +47,7 @@
     this.#events = events;
   }
 
-  /** Adds an unfinished job, with or without dependencies of its own: later jobs may depend on it. */
+  /** Adds an unfinished job, even if it has no dependencies: later jobs may depend on it. */
   add(job: Job): void {
     this.#nextReadAt.delete(job.uid);
     job.dependentCount = this.#dependents.get(job.uid)?.size ?? 0;
@@ -55,7 +55,7 @@
     if (dependencies.length > 0) this.#unmet.set(job, new Set(dependencies));
     for (const uid of dependencies) this.#addDependent(uid, job);
     this.#inheritUrgency(job);
-    // Only once all edges are there: each of these may satisfy the last dependency, or cancel the job.
+    // Only after all edges are added: each call may satisfy the job's last dependency or cancel the job.
     for (const uid of dependencies) this.#resolve(uid);
   }
 
@@ -76,7 +76,7 @@
     this.#inheritUrgency(dependency);
   }
 
-  /** Applies what is known of a dependency, or has its final record read. */
+  /** Applies the known state of a dependency; schedules a read of its final record if its state is unknown. */
   #resolve(uid: string): void {
     const dependency = this.#cluster.jobByUid(uid);
     const end = this.#endedJobs.get(uid);
@@ -85,12 +85,12 @@
     else if (!dependency) this.#nextReadAt.set(uid, this.#ctx.now);
   }
 
-  /** A task of the job has started, so an earlier leader knew that its dependencies were satisfied. */
+  /** Called if a task of the job has started, so that an earlier leader must have found its dependencies satisfied. */
   onJobStarted(job: Job): void {
     job.dependenciesSatisfied = true;
   }
 
-  /** The job's final record is written. */
+  /** Called once the job's final record is written. */
   onJobEnded(job: Job, end: JobEnd): void {
     this.#endedJobs.delete(job.uid);
     this.#endedJobs.set(job.uid, end);
@@ -102,20 +102,20 @@
     this.#applyEnd(job.uid, end);
   }
 
-  /** True if the job was lately learned to have ended. */
+  /** True if the job is among those recently found to have ended. */
   isKnownEnded(uid: string): boolean {
     return this.#endedJobs.has(uid);
   }
 
-  /** The job is on record as cancelled, or depends on one that is: its dependents are cancelled with it. */
+  /** Called if the job is recorded as cancelled, or depends on a job that is. Its dependents are cancelled too. */
   onJobCancelled(job: Job): void {
     for (const dependent of [...(this.#dependents.get(job.uid) ?? [])])
       this.#events.onDependencyCancelled(dependent);
-    // Its own dependencies no longer inherit from it.
+    // Its own dependencies no longer inherit its priority and deadline.
     this.#removeDependent(job);
   }
 
-  /** A dependency has ended: applies that to all its dependents. */
+  /** Applies the end of a dependency to all its dependents. */
   #applyEnd(uid: string, { state, at }: JobEnd): void {
     this.#nextReadAt.delete(uid);
     for (const job of [...(this.#dependents.get(uid) ?? [])]) {
@@ -137,7 +137,7 @@
     if (wasWaiting) this.#events.onDependenciesSatisfied(job);
   }
 
-  /** Removes a job that waits no longer from the dependents of all its dependencies. */
+  /** Removes a job that no longer waits from the dependents of all its dependencies. */
   #removeDependent(job: Job): void {
     this.#unmet.delete(job);
     for (const uid of job.spec.awaits ?? []) {
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Computes a job's effective priority and deadline from its dependents and, if they change, those of its dependencies. */
+  /** Computes a job's effective priority and deadline from its dependents. A change propagates to its dependencies. */
   #inheritUrgency(job: Job): void {
     const { spec, acceptedAt } = job;
     let { priority } = spec;
@@ -173,12 +173,12 @@
     }
   }
 
-  /** The uids of the dependencies that are not known to be done; empty for a job that may start. */
+  /** Returns the uids of the job's dependencies that are not known to be done; empty for a job that may start. */
   unmetDependencies(job: Job): readonly string[] {
     return [...(this.#unmet.get(job) ?? [])];
   }
 
-  /** Reads the final records of unknown dependencies, a few at a time. */
+  /** Reads the final records of dependencies in unknown state, a few at a time. */
   tick(): void {
     const { now } = this.#ctx;
     for (const [uid, readAt] of this.#nextReadAt) {
@@ -196,7 +196,7 @@
       this.#readsInFlight--;
       if (!this.#nextReadAt.has(uid)) return;
       const end = response.kind === "found" ? readFinal(response.entry.value) : null;
-      // Without a final record the job is unfinished, and the job watch is about to bring its record.
+      // Without a final record the job is unfinished, and the job watch will deliver its record.
       if (end) this.#applyEnd(uid, end);
       else this.#nextReadAt.set(uid, this.#ctx.now + RETRY_MS);
     });
--- a/src/core/jobs/job-lookup.ts
+++ b/src/core/jobs/job-lookup.ts
@@ -7,14 +7,14 @@
 const MAX_ENDED_JOBS = 20_000;
 const MAX_CACHED_JOBS = 20_000;
 
-/** How a job ended, by its final record. It never changes, so it may be cached without limit of time. */
+/** How a job ended, from its final record. It never changes, so cached entries never become stale. */
 export interface EndedJob {
   readonly cancelled: boolean;
   readonly tasks: number;
   readonly service: boolean;
 }
 
-/** A job that the store has a record or a final record of, and so was accepted. */
+/** A job with a record or a final record in the store, which proves that it was accepted. */
 export type FoundJob =
   | { readonly kind: "active"; readonly entry: StoreEntry; readonly record: JobRecord }
   | { readonly kind: "ended"; readonly end: EndedJob };
@@ -28,7 +28,7 @@
   readonly result: JobLookupResult;
 }
 
-/** An unfinished job as of the version that this node last read or wrote. */
+/** An unfinished job at the version that this node last read or wrote. */
 interface CachedJob {
   readonly version: number;
   readonly cancelled: boolean;
@@ -36,41 +36,41 @@
   readonly awaits: readonly string[];
 }
 
-/** What this node's cache can say of a job, and what has to be verified in the store before it may be answered. */
+/** A job's state from this node's cache, and the conditions to verify in the store before it may be reported. */
 export type CachedAnswer =
-  /** The job has ended. Final: needs no verification. */
+  /** The job has ended. This is final and needs no verification. */
   | { readonly kind: "ended"; readonly end: EndedJob }
-  /** Cancelled, by its own record or that of a dependency. Final: needs no verification. */
+  /** The job is cancelled, by its own record or a dependency's. This is final and needs no verification. */
   | { readonly kind: "cancelled" }
-  /** Neither, provided that these keys still have these versions. */
+  /** The job is unfinished and not cancelled, provided that these keys still have these versions. */
   | { readonly kind: "unverified"; readonly conditions: readonly VersionCondition[] }
-  /** The job, or one of its dependencies, has not been read by this node. */
+  /** This node has not read the job or one of its dependencies. */
   | { readonly kind: "unknown" };
 
 const UNAVAILABLE: JobLookupResult = { kind: "unavailable" };
 
 /**
- * Reads jobs from the store and caches what is safe to cache: final states, and versions of unfinished jobs that a later
- * comparison can verify. A job counts as cancelled if any job in its dependency graph is. Every node derives this from
- * the records alone, so the answer does not depend on which node leads (I8).
+ * Reads jobs from the store and caches what is safe to cache: final states, and versions of unfinished jobs, which are
+ * verified in the store before use. A job counts as cancelled if it or any of its transitive dependencies is cancelled.
+ * Every node derives this from the records alone, so the answer does not depend on which node leads (I8).
  */
 export class JobLookup {
   readonly #ctx: Context;
-  /** By uid, least recently read first. */
+  /** Ended jobs by uid, in the order in which they were first read. */
   readonly #endedJobs = new Map<string, EndedJob>();
-  /** By uid, least recently read first. */
+  /** Unfinished jobs by uid, least recently read or written first. */
   readonly #cachedJobs = new Map<string, CachedJob>();
 
   constructor(ctx: Context) {
     this.#ctx = ctx;
   }
 
-  /** Whether an accepted job is a service; undefined if this node has not read it. */
+  /** Returns whether an accepted job is a service; undefined if this node has not read it. */
   isService(uid: string): boolean | undefined {
     return this.#endedJobs.get(uid)?.service ?? this.#cachedJobs.get(uid)?.service;
   }
 
-  /** The dependencies of an unfinished job that this node does not know to have ended. */
+  /** Returns an unfinished job's dependencies, without those that this node knows to have ended. */
   unfinishedDependencies(uid: string): readonly string[] {
     return (this.#cachedJobs.get(uid)?.awaits ?? []).filter((dependency) => !this.#endedJobs.has(dependency));
   }
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Reads a job's record, then its final record. One transaction replaces the first by the second, so a reader that
-   * finds neither, in this order, has proof that the job was never accepted.
+   * Reads a job's record and, if there is none, its final record. One transaction replaces the record with the final
+   * record, so finding neither in this order proves that the job was never accepted.
    */
   find(uid: string, onResult: (result: JobLookupResult) => void): void {
     this.#ctx.callStore({ kind: "get", key: KEYS.job(uid) }, STORE_TIMEOUT_MS, (response) => {
@@ -125,7 +125,7 @@
     return { kind: "ended", end };
   }
 
-  /** Reads several jobs at once. The results come together, in the order in which the store answered. */
+  /** Reads several jobs concurrently. Delivers all results in one call, in the order in which the reads completed. */
   findAll(uids: readonly string[], onResults: (results: readonly JobLookupEntry[]) => void): void {
     const results: JobLookupEntry[] = [];
     if (uids.length === 0) onResults(results);
@@ -138,15 +138,15 @@
   }
 
   /**
-   * Whether an unfinished job is cancelled, by itself or through its dependencies. All that is not final is read again;
-   * null if something could not be read.
+   * Determines whether an unfinished job is cancelled, by its own record or through its dependencies. Dependencies not
+   * known to have ended are read again. Yields null if one of them could not be read.
    */
   isCancelled({ state, spec }: JobRecord, onResult: (cancelled: boolean | null) => void): void {
     if (state === "cancelled") onResult(true);
     else this.#isAnyCancelled(spec.awaits ?? [], new Set([spec.uid]), onResult);
   }
 
-  /** Goes through the dependency graph level by level; `visited` are the jobs of the levels before. */
+  /** Traverses the dependency graph breadth-first; `visited` contains the jobs of the previous levels. */
   #isAnyCancelled(
     uids: readonly string[],
     visited: Set<string>,
@@ -169,13 +169,13 @@
     this.findAll(unfinished, (entries) => {
       const results = entries.map(({ result }) => result);
       if (results.some(hasCancelledRecord)) onResult(true);
-      // What an accepted job depends on was accepted before it: a dependency that is not there was not read properly.
+      // Dependencies are accepted before their dependents, so a missing one means that a read went wrong.
       else if (!results.every(isFoundJob)) onResult(null);
       else this.#isAnyCancelled(results.flatMap(dependenciesOf), visited, onResult);
     });
   }
 
-  /** What the cache can say of a job, without a request to the store. */
+  /** Returns a job's state from the cache, without a request to the store. */
   cachedAnswer(uid: string): CachedAnswer {
     const ended = this.#endedJobs.get(uid);
     if (ended) return { kind: "ended", end: ended };
@@ -197,7 +197,7 @@
   }
 }
 
-/** The status that users are shown of a job that has ended. */
+/** Returns the status of an ended job as shown to users. */
 export function statusOfEnded(uid: string, { cancelled, tasks }: EndedJob): JobStatus {
   return { uid, phase: cancelled ? "cancelled" : "done", done: cancelled ? 0 : tasks, running: 0 };
 }
@@ -215,7 +215,7 @@
   return job.kind === "active" ? (job.record.spec.awaits ?? []) : [];
 }
 
-/** Drops the oldest entry of a map that has grown beyond its bound by one. */
+/** Removes the oldest entry of a map that exceeds its maximum size. */
 function evictOldest(map: Map<string, unknown>, maxEntries: number): void {
   if (map.size <= maxEntries) return;
   const oldest = map.keys().next();
--- a/src/core/jobs/job-requests.ts
+++ b/src/core/jobs/job-requests.ts
@@ -11,27 +11,27 @@
 import { SubmissionHandler } from "./submission.js";
 import { SubmissionValidator } from "./submission-validator.js";
 
-/** What {@link JobRequests} reports to, and asks of, its node. */
+/** Callbacks of {@link JobRequests} to its node. */
 export interface JobRequestEvents {
-  /** This node has written a job's record: accepted it, or cancelled it. */
+  /** Called when this node has written a job's record, to accept or to cancel the job. */
   onJobWritten(entry: StoreEntry, cancelled: boolean): void;
-  /** True while a node may lead whose version does not know of dependencies between jobs. */
+  /** True while a node may lead whose version does not support dependencies between jobs. */
   isOlderPeerAlive(): boolean;
-  /** The job's progress counts for display; null if this node has none. */
+  /** Returns the job's progress counts for display; null if this node has none. */
   readonly progressOf: ProgressOf;
 }
 
 /**
- * Users' requests about jobs. Every node serves them, whether it leads or not: each response rests on the store alone.
- * Accepted, done and cancelled are on record before a user learns of them, and no state that is reported is older than
- * one that any node has reported before (I8).
+ * Serves users' requests about jobs. Every node does so, whether or not it leads, as each response is based on the
+ * store alone. The states accepted, done and cancelled are written to the store before they are reported to a user, and
+ * no node reports a state older than one that any node has already reported (I8).
  */
 export class JobRequests {
   readonly #submissions: SubmissionHandler;
   readonly #polls: PollHandler;
   readonly #cancellations: CancellationHandler;
 
-  /** `admission` is null where fair admission is not switched on. */
+  /** `admission` is null if fair admission is not enabled. */
   constructor(ctx: Context, config: ConfigWatch, events: JobRequestEvents, admission: Admission | null) {
     const lookup = new JobLookup(ctx);
     const statuses = new JobStatusReader(lookup, events.progressOf);
@@ -58,29 +58,27 @@
     });
   }
 
-  /**
-   * Submits a job; a repeated submission gets the job's present status, even if it is malformed.
-   */
+  /** Submits a job. A repeated submission gets the job's current status, even if it is malformed. */
   submit(uid: string, submitted: SubmittedSpec, respond: Respond): void {
     this.#submissions.submit(uid, submitted, respond);
   }
 
-  /** Sends the rejections gathered since the last call; to be called once a tick. */
+  /** Sends the rejections collected since the last call. Must be called once per tick. */
   flushRejections(): void {
     this.#submissions.flushRejections();
   }
 
-  /** Asks for a job's status. */
+  /** Responds with a job's status, possibly only at the next `flushPolls`. */
   poll(uid: string, respond: Respond): void {
     this.#polls.poll(uid, respond);
   }
 
-  /** Answers the polls gathered since the last call; to be called once a tick. */
+  /** Answers the polls collected since the last call. Must be called once per tick. */
   flushPolls(): void {
     this.#polls.flush();
   }
 
-  /** Cancels a job, and with it all that depend on it. */
+  /** Cancels a job and all its dependents. */
   cancel(uid: string, respond: Respond): void {
     this.#cancellations.cancel(uid, respond);
   }
--- a/src/core/jobs/job-status-reader.ts
+++ b/src/core/jobs/job-status-reader.ts
@@ -2,10 +2,10 @@
 import { type FoundJob, type JobLookup, statusOfEnded } from "./job-lookup.js";
 import type { TaskCounts } from "./progress-counts.js";
 
-/** The display counts of a job; null if this node has none. */
+/** Returns a job's progress counts for display; null if this node has none. */
 export type ProgressOf = (uid: string) => TaskCounts | null;
 
-/** Composes the status of jobs as users see it, from their records and the progress counts for display. */
+/** Builds the job status shown to users from the job's records and its progress counts. */
 export class JobStatusReader {
   readonly #lookup: JobLookup;
   readonly #progressOf: ProgressOf;
@@ -15,7 +15,7 @@
     this.#progressOf = progressOf;
   }
 
-  /** The status of a job that was just read. Null if one of its dependencies could not be read. */
+  /** Yields the status of a job that was just read; null if one of its dependencies could not be read. */
   read(uid: string, job: FoundJob, onStatus: (status: JobStatus | null) => void): void {
     if (job.kind === "ended") {
       onStatus(statusOfEnded(uid, job.end));
@@ -26,7 +26,7 @@
     });
   }
 
-  /** The status of a job without a final record. `cancelled` includes cancellation through a dependency. */
+  /** Returns the status of a job without a final record. `cancelled` includes cancellation through a dependency. */
   unfinishedStatus(uid: string, cancelled: boolean): JobStatus {
     const { done, running } = this.#progressOf(uid) ?? { done: 0, running: 0 };
     if (cancelled) return { uid, phase: "cancelled", done, running };
--- a/src/core/jobs/polling.ts
+++ b/src/core/jobs/polling.ts
@@ -12,19 +12,19 @@
 }
 
 /**
- * A poll with the conditions that its answer rests on, as of the comparison: a record that is read while the comparison
- * is under way must not stand in for them.
+ * A poll with the conditions that its answer depends on. They are those sent with the transaction: versions read while
+ * it is in flight must not be used instead.
  */
 interface BatchedPoll extends Poll {
   readonly conditions: readonly VersionCondition[];
 }
 
-/** Answers polls of a job's status, on every node, never with an older state than any node has reported (I8). */
+/** Answers polls of a job's status, on every node, never with a state older than one already reported (I8). */
 export class PollHandler {
   readonly #ctx: Context;
   readonly #lookup: JobLookup;
   readonly #statuses: JobStatusReader;
-  /** Polls of unfinished jobs, to be answered by one comparison. */
+  /** Polls of unfinished jobs, to be verified by the next batch. */
   #pending: Poll[] = [];
 
   constructor(ctx: Context, lookup: JobLookup, statuses: JobStatusReader) {
@@ -33,14 +33,14 @@
     this.#statuses = statuses;
   }
 
-  /** Answers a poll at once if its answer is final or has to be read, else with the next batch. */
+  /** Answers a poll immediately if its answer is final or the job must be read; otherwise with the next batch. */
   poll(uid: string, respond: Respond): void {
     if (this.#answerWithoutBatch(uid, respond)) return;
     this.#pending.push({ uid, respond });
     if (this.#pending.length >= this.#maxConditions) this.flush();
   }
 
-  /** Final states are answered from the cache, and jobs that this node has not read are read. False for all others. */
+  /** Answers final states from the cache, and reads jobs that this node has not read. Returns false for all others. */
   #answerWithoutBatch(uid: string, respond: Respond): boolean {
     const cached = this.#lookup.cachedAnswer(uid);
     switch (cached.kind) {
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Answers the pending polls by transactions without changes: while a job and its dependencies still have the versions
-   * that this node has read, no node can have reported a newer state. This costs the store one request for many polls in
-   * place of one or two reads for each.
+   * Answers the pending polls with transactions that only check conditions: while a job and its dependencies still have
+   * the versions that this node has read, no node can have reported a newer state. One request to the store thus serves
+   * many polls, instead of one or two reads for each poll.
    */
   flush(): void {
     const polls = this.#pending;
@@ -73,7 +73,7 @@
     let batch: BatchedPoll[] = [];
     let versions = new Map<string, number>();
     for (const poll of polls) {
-      // The job may have ended since the poll came in; a comparison without conditions would hold for anything.
+      // The job may have ended since the poll arrived. It then has no conditions, and a check of none always succeeds.
       if (this.#answerWithoutBatch(poll.uid, poll.respond)) continue;
       const cached = this.#lookup.cachedAnswer(poll.uid);
       if (cached.kind !== "unverified" || cached.conditions.length > this.#maxConditions) {
--- a/src/core/jobs/progress-counts.ts
+++ b/src/core/jobs/progress-counts.ts
@@ -1,23 +1,23 @@
-/** Beyond this many jobs the counts that were updated longest ago are dropped. */
+/** Maximum number of jobs whose counts are kept. The least recently updated counts are removed first. */
 const MAX_JOBS = 20_000;
 
-/** How many tasks of a job are done and how many are running. */
+/** Numbers of a job's tasks that are done and running. */
 export interface TaskCounts {
   readonly done: number;
   readonly running: number;
 }
 
-/** The progress of jobs as the leader last published it. For display only: no decision may depend on it. */
+/** The progress of jobs as last published by the leader. For display only: no decision may depend on it. */
 export class ProgressCounts {
-  /** By uid, least recently updated first. */
+  /** Task counts by job uid, least recently updated first. */
   readonly #counts = new Map<string, TaskCounts>();
 
-  /** The counts of a job; undefined if none were published, or not lately. */
+  /** Returns the counts of a job; undefined if none were published, or if they were removed since. */
   get(uid: string): TaskCounts | undefined {
     return this.#counts.get(uid);
   }
 
-  /** Stores published counts; each row is a job's uid with its done and its running tasks. */
+  /** Stores published counts. Each row holds a job's uid and the numbers of its done and running tasks. */
   update(rows: readonly (readonly [uid: string, done: number, running: number])[]): void {
     for (const [uid, done, running] of rows) {
       this.#counts.delete(uid);
--- a/src/core/jobs/progress-publisher.ts
+++ b/src/core/jobs/progress-publisher.ts
@@ -7,11 +7,11 @@
 
 type ProgressRow = readonly [uid: string, done: number, running: number];
 
-/** Publishes the progress of jobs from the leader to its peers, for display: what has changed, once a second. */
+/** Publishes changes in the progress of jobs from the leader to its peers once a second, for display. */
 export class ProgressPublisher {
   readonly #ctx: Context;
   readonly #cluster: ClusterState;
-  /** The counts last published, by uid. */
+  /** The task counts last published, by job uid. */
   readonly #published = new Map<string, TaskCounts>();
   #publishedAt = 0;
 
@@ -20,12 +20,12 @@
     this.#cluster = cluster;
   }
 
-  /** Drops the counts of a job that has ended. */
+  /** Removes the counts of a job that has ended. */
   remove({ uid }: Job): void {
     this.#published.delete(uid);
   }
 
-  /** Publishes what has changed, if the interval has passed. */
+  /** Publishes changed counts if the publish interval has passed. */
   tick(): void {
     const { now, deployment } = this.#ctx;
     if (now - this.#publishedAt < PUBLISH_INTERVAL_MS) return;
--- a/src/core/jobs/rejection-batch.ts
+++ b/src/core/jobs/rejection-batch.ts
@@ -4,27 +4,27 @@
 import type { RejectionResponse } from "./responses.js";
 
 const STORE_TIMEOUT_MS = 1500;
-/** Neither key of an unknown job exists: the one of its record, and the one of its final record. */
+/** The keys of the job's record and of its final record, neither of which may exist. */
 const CONDITIONS_PER_JOB = 2;
 
-/** A submission that is turned away, unless its job is known already. */
+/** A submission that is rejected unless its job was accepted before. */
 export interface Rejection {
   readonly uid: string;
   readonly response: RejectionResponse;
   readonly respond: (response: UserResponse) => void;
 }
 
-/** What becomes of rejections that can't be sent as they are. */
+/** Callbacks for rejections that can't be sent unchanged. */
 export interface RejectionEvents {
-  /** The job may have been accepted before: its records decide. */
+  /** The job may have been accepted before, so its records must be read. */
   onPossibleDuplicate(rejection: Rejection): void;
-  /** The store could not be asked. */
+  /** The store could not be queried. */
   onStoreUnavailable(rejection: Rejection): void;
 }
 
 /**
- * Rejects submissions in batches, with one comparison for many: under overload, reading one or two keys for each would
- * cost the store more than accepting them.
+ * Rejects submissions in batches, with one transaction that checks the keys of many jobs. Under overload, reading one
+ * or two keys per submission would cost the store more than accepting the submissions.
  */
 export class RejectionBatch {
   readonly #ctx: Context;
@@ -36,7 +36,7 @@
     this.#events = events;
   }
 
-  /** Adds a rejection; a full batch is sent at once. */
+  /** Adds a rejection. A full batch is sent immediately. */
   add(rejection: Rejection): void {
     this.#pending.push(rejection);
     if (this.#pending.length >= this.#maxSize) this.flush();
@@ -46,7 +46,7 @@
     return Math.floor(this.#ctx.limits.txnConditions / CONDITIONS_PER_JOB);
   }
 
-  /** Sends the batch: a job with neither key was never accepted, and its submission is rejected. */
+  /** Sends the batch. If neither key of a job exists, it was never accepted, and its submission is rejected. */
   flush(): void {
     const rejections = this.#pending;
     this.#pending = [];
--- a/src/core/jobs/responses.ts
+++ b/src/core/jobs/responses.ts
@@ -1,17 +1,17 @@
 import type { Invalid, Throttled, Unavailable, Unsatisfiable, UserResponse } from "../messages/users.js";
 
-/** Sends the one response to a user's request. */
+/** Sends the response to a user's request. Must be called exactly once. */
 export type Respond = (response: UserResponse) => void;
 
-/** A response that turns a submission away. */
+/** A response that rejects a submission. */
 export type RejectionResponse = Unsatisfiable | Invalid | Unavailable | Throttled;
 
-/** The node can't decide now; the user may repeat the request after `retryAfterS` seconds. */
+/** The node can't decide at the moment. The user may repeat the request after `retryAfterS` seconds. */
 export function unavailable(error: string, retryAfterS = 1): Unavailable {
   return { kind: "unavailable", error, retryAfterS };
 }
 
-/** The store did not answer, so nothing can be said of a job (I8). */
+/** The store did not answer, so the state of a job can't be reported (I8). */
 export function storeUnavailable(): Unavailable {
   return unavailable("the state service does not answer");
 }
--- a/src/core/jobs/submission-validator.ts
+++ b/src/core/jobs/submission-validator.ts
@@ -7,16 +7,16 @@
 import type { JobLookup, JobLookupEntry } from "./job-lookup.js";
 import { type RejectionResponse, recordTooLarge, storeUnavailable, unavailable } from "./responses.js";
 
-/** What a {@link SubmissionValidator} is made of. */
+/** Dependencies of a {@link SubmissionValidator}. */
 export interface SubmissionValidatorOptions {
   readonly ctx: Context;
   readonly config: ConfigWatch;
   readonly lookup: JobLookup;
-  /** True while a node may lead whose version does not know of dependencies between jobs. */
+  /** True while a node may lead whose version does not support dependencies between jobs. */
   readonly isOlderPeerAlive: () => boolean;
 }
 
-/** Decides whether a well-formed job could ever run in this deployment. */
+/** Checks whether a well-formed job can ever run in this deployment. */
 export class SubmissionValidator {
   readonly #ctx: Context;
   readonly #config: ConfigWatch;
@@ -30,7 +30,7 @@
     this.#isOlderPeerAlive = isOlderPeerAlive;
   }
 
-  /** Yields why a job can't be accepted, or why this node can't tell yet; null if it can be. */
+  /** Yields the reason why a job can't be accepted or can't be validated yet; null if it can be accepted. */
   validate(spec: JobSpec, onResult: (rejection: RejectionResponse | null) => void): void {
     const rejection = this.#validateDemand(spec);
     if (rejection || !spec.awaits) onResult(rejection);
@@ -38,14 +38,14 @@
     else this.#validateDependencies(spec.awaits, onResult);
   }
 
-  /** Team, machine types, quota limit and size of the record. */
+  /** Checks the team, the machine types, the quota limit and the size of the record. */
   #validateDemand(spec: JobSpec): RejectionResponse | null {
     const team = this.#ctx.deployment.teams.find(({ name }) => name === spec.team);
     if (!team) return { kind: "unsatisfiable", error: `crew: there is no team ${spec.team}` };
     if (this.#config.machineTypes.length === 0) return unavailable("the machine types are not known yet");
     if (!this.#fitsAnyMachineType(spec))
       return { kind: "unsatisfiable", error: "racks: a task fits no allowed machine type" };
-    // The tasks of an array may run one after the other; those of a gang or a service run all at once.
+    // The tasks of an array may run sequentially; those of a gang or a service run concurrently.
     const concurrentTasks = spec.shape === "array" ? 1 : spec.tasks;
     const tasksWithinLimit = countFitting({ cpu: spec.need.cpu, gpu: spec.need.gpu, ram: 0 }, team.limit);
     if (tasksWithinLimit < concurrentTasks)
@@ -76,7 +76,7 @@
   }
 }
 
-/** A dependency that does not exist is final and goes before one that could not be read. */
+/** A missing dependency is final, so it takes precedence over one that could not be read. */
 function rejectionOfLookups(entries: readonly JobLookupEntry[]): RejectionResponse | null {
   const missing = entries.filter(({ result }) => result.kind === "notFound").at(-1);
   if (missing) return { kind: "unsatisfiable", error: `awaits: there is no job ${missing.uid}` };
--- a/src/core/jobs/submission.ts
+++ b/src/core/jobs/submission.ts
@@ -12,32 +12,32 @@
 
 const STORE_TIMEOUT_MS = 1500;
 
-/** What a {@link SubmissionHandler} is made of. */
+/** Dependencies and callback of a {@link SubmissionHandler}. */
 export interface SubmissionOptions {
   readonly ctx: Context;
   readonly lookup: JobLookup;
   readonly statuses: JobStatusReader;
   readonly validator: SubmissionValidator;
-  /** Null where fair admission is not switched on. */
+  /** Null if fair admission is not enabled. */
   readonly admission: Admission | null;
-  /** This node has written the record of a job that it accepted. */
+  /** Called when this node has accepted a job and written its record. */
   readonly onJobAccepted: (entry: StoreEntry) => void;
 }
 
 type AdmittedDecision = Extract<Decision, { kind: "take" }>;
 
-/** A submission that is being written. */
+/** A submission whose write is in flight. */
 interface PendingWrite {
   readonly spec: JobSpec;
   readonly record: JobRecord;
   readonly respond: Respond;
-  /** What admission decided; undefined for a repetition, which it is not asked about. */
+  /** The admission decision; undefined if admission is not enabled, or for a repeated submission, which needs none. */
   readonly admitted: AdmittedDecision | undefined;
 }
 
 /**
- * Accepts submissions, on every node. A submission is idempotent: the job's key decides, by one conditioned write
- * (I8), and a job that was accepted once is answered as accepted, however its repetition looks.
+ * Accepts submissions, on every node. Submissions are idempotent: a single write decides, conditioned on the absence of
+ * the job's keys (I8). A repeated submission of an accepted job is answered as accepted, whatever it contains.
  */
 export class SubmissionHandler {
   readonly #ctx: Context;
@@ -61,7 +61,7 @@
     });
   }
 
-  /** Handles a submission. A malformed one of a known job gets that job's status. */
+  /** Handles a submission. A malformed submission of a job accepted before gets that job's status. */
   submit(uid: string, submitted: SubmittedSpec, respond: Respond): void {
     const cached = this.#lookup.cachedAnswer(uid);
     if (cached.kind === "ended") {
@@ -79,12 +79,12 @@
     });
   }
 
-  /** Sends the rejections gathered since the last call; to be called once a tick. */
+  /** Sends the rejections collected since the last call. Must be called once per tick. */
   flushRejections(): void {
     this.#rejections.flush();
   }
 
-  /** Asks admission about a job that is new to this node; a repetition needs no permit. */
+  /** Requests admission for a job that is new to this node. A repeated submission needs no permit. */
   #admit(spec: JobSpec, respond: Respond): void {
     const isNew = this.#lookup.cachedAnswer(spec.uid).kind === "unknown";
     const decision = isNew ? this.#admission?.decide(spec.uid, spec.team) : undefined;
@@ -97,7 +97,7 @@
     this.#rejections.add({ uid: spec.uid, response, respond });
   }
 
-  /** Rejects a submission once the store has proved that its job was not accepted before. */
+  /** Rejects a submission if the store shows that its job was not accepted before. */
   #rejectUnlessAccepted(uid: string, rejection: RejectionResponse, respond: Respond): void {
     this.#lookup.find(uid, (result) => {
       if (result.kind === "unavailable") respond(storeUnavailable());
@@ -127,7 +127,7 @@
 
   #onWriteResult({ spec, record, respond, admitted }: PendingWrite, result: StoreResponse): void {
     const { uid } = spec;
-    // After a timeout the job may have been accepted: its permit stays spent.
+    // After a timeout the job may have been accepted, so its permit stays spent.
     if (admitted && result.kind !== "ok" && result.kind !== "timeout")
       this.#admission?.rollBack(spec.team, admitted.permitSpent);
     if (result.kind === "ok") {
