--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -35,7 +35,7 @@
   readonly #dependents = new Map<string, Set<Job>>();
   /** The unmet dependencies of each waiting job. */
   readonly #unmet = new Map<Job, Set<string>>();
-  /** Ended jobs by uid, in the order in which this node learned that they ended. */
+  /** Recently ended jobs by uid, oldest entry first. */
   readonly #endedJobs = new Map<string, JobEnd>();
   /** When to read the final record of each dependency that is known neither as unfinished nor as ended. */
   readonly #nextReadAt = new Map<string, number>();
@@ -102,7 +102,7 @@
     this.#applyEnd(job.uid, end);
   }
 
-  /** True if the job is among those recently found to have ended. */
+  /** True if the job is among the recently ended jobs kept here. */
   isKnownEnded(uid: string): boolean {
     return this.#endedJobs.has(uid);
   }
--- a/src/core/jobs/job-lookup.ts
+++ b/src/core/jobs/job-lookup.ts
@@ -70,7 +70,7 @@
     return this.#endedJobs.get(uid)?.service ?? this.#cachedJobs.get(uid)?.service;
   }
 
-  /** Returns an unfinished job's dependencies, without those that this node knows to have ended. */
+  /** Returns an unfinished job's dependencies, without those that are cached as ended. */
   unfinishedDependencies(uid: string): readonly string[] {
     return (this.#cachedJobs.get(uid)?.awaits ?? []).filter((dependency) => !this.#endedJobs.has(dependency));
   }
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Determines whether an unfinished job is cancelled, by its own record or through its dependencies. Dependencies not
-   * known to have ended are read again. Yields null if one of them could not be read.
+   * Determines whether an unfinished job is cancelled, by its own record or through its dependencies. Dependencies that
+   * are not cached as ended are read again. Yields null if one of them could not be read.
    */
   isCancelled({ state, spec }: JobRecord, onResult: (cancelled: boolean | null) => void): void {
     if (state === "cancelled") onResult(true);
--- a/src/core/jobs/polling.ts
+++ b/src/core/jobs/polling.ts
@@ -73,7 +73,7 @@
     let batch: BatchedPoll[] = [];
     let versions = new Map<string, number>();
     for (const poll of polls) {
-      // The job may have ended since the poll arrived. It then has no conditions, and a check of none always succeeds.
+      // The job may have ended since the poll arrived; a transaction without conditions would always succeed.
       if (this.#answerWithoutBatch(poll.uid, poll.respond)) continue;
       const cached = this.#lookup.cachedAnswer(poll.uid);
       if (cached.kind !== "unverified" || cached.conditions.length > this.#maxConditions) {
