--- a/src/core/administration.ts
+++ b/src/core/administration.ts
@@ -10,20 +10,20 @@
 
 const CALL_TIMEOUT_MS = 1500;
 const STORE_UNANSWERED = "the state service does not answer";
-const TOO_LARGE: AdminResponse = { kind: "invalid", error: "too much to be kept in one record" };
+const TOO_LARGE: AdminResponse = { kind: "invalid", error: "the value exceeds the size limit of a record" };
 
 type Respond = (response: AdminResponse) => void;
 
-/** A key of the cluster configuration to write, on the version that the new value was derived from (I5). */
+/** A write to a cluster configuration key, conditioned on the version that the new value was derived from (I5). */
 interface ConfigWrite {
   readonly key: string;
   readonly version: number;
   readonly value: unknown;
-  /** What the operator gets once it is written. */
+  /** The response to the operator once the value is written. */
   readonly responseBody: Record<string, unknown>;
 }
 
-/** Operators' requests, on every node whoever leads: settings, machine modes and the status. */
+/** Handles operator requests (settings, machine modes, status) on every node, whether or not it is the leader. */
 export class Administration {
   readonly #ctx: Context;
   readonly #config: ConfigWatch;
@@ -35,7 +35,7 @@
     this.#status = status;
   }
 
-  /** Carries out a request; responds exactly once, and to a change only once it is written. */
+  /** Handles a request. Responds exactly once; the response to a change is sent only after it is written. */
   handle(request: AdminRequest, respond: Respond): void {
     switch (request.kind) {
       case "getSettings":
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Reads the stored settings: those that this node watches may be behind. */
+  /** Reads the settings from the store, because this node's watched copy may be stale. */
   #readSettings(onResponse: (response: StoreResponse) => void): void {
     this.#ctx.callStore({ kind: "get", key: KEYS.settings }, CALL_TIMEOUT_MS, onResponse);
   }
@@ -73,7 +73,7 @@
     }
     const unknownTeam = this.#findUnknownTeam(values.admission_weights);
     if (unknownTeam !== undefined) {
-      respond({ kind: "invalid", error: `admission_weights: there is no team ${unknownTeam}` });
+      respond({ kind: "invalid", error: `admission_weights: unknown team ${unknownTeam}` });
       return;
     }
     const { settings } = result;
@@ -84,7 +84,7 @@
     );
   }
 
-  /** Weights are checked as they are set only: one whose team is later removed from the deployment has no effect. */
+  /** Weights are validated only when set. If a team is later removed from the deployment, its weight has no effect. */
   #findUnknownTeam(weights: unknown): string | undefined {
     const { teams } = this.#ctx.deployment;
     return Object.keys(weights ?? {}).find((name) => !teams.some((team) => team.name === name));
@@ -113,7 +113,7 @@
         this.#config.apply({ key, value, version: response.revision });
         respond({ kind: "ok", body: responseBody });
       } else if (response.kind === "invalid") respond(TOO_LARGE);
-      else if (response.kind === "conflict") respond(unavailable("changed at the same time"));
+      else if (response.kind === "conflict") respond(unavailable("modified concurrently"));
       else respond(unavailable(STORE_UNANSWERED));
     });
   }
--- a/src/core/agent-isolation.ts
+++ b/src/core/agent-isolation.ts
@@ -2,28 +2,28 @@
 import type { Machine } from "./model/machine.js";
 import type { PeerTable } from "./peer-table.js";
 
-/** A leader judges its contact with the agents only if so many of them have been heard in its term. */
-const MIN_HEARD_AGENTS = 3;
-/** A leader that has received no heartbeat for so many intervals is cut off from the agents. */
+/** A leader checks its connectivity to agents only if at least this many have sent a heartbeat in its term. */
+const MIN_REPORTING_AGENTS = 3;
+/** A leader that receives no heartbeat for this many intervals is isolated from the agents. */
 const SILENT_HEARTBEAT_INTERVALS = 3;
 
 /**
- * Why a leader should resign as cut off from its agents; null if it should not.
+ * Returns the reason for a leader to resign because it is isolated from its agents, or null if it should not resign.
  *
- * A leader may reach the key-value store and yet no agent: keeping its lease alive, it would let all agent leases expire.
- * It resigns if a peer hears agents, or if it hears no peer either. Were all agents hanging, the next leader would
- * find the same; the backoff after resigning keeps leadership from flapping.
+ * A leader may reach the key-value store but no agent. It would keep its own lease alive while all agent leases expire.
+ * It resigns if a peer receives agent heartbeats, or if it receives no peer heartbeats either. If all agents hang, the
+ * next leader sees the same; the backoff after resigning prevents leadership from flapping.
  */
 export function reasonToResign(ctx: Context, machines: Iterable<Machine>, peers: PeerTable): string | null {
   const { now, deployment } = ctx;
-  const heardMachines = [...machines].filter(
+  const reportingMachines = [...machines].filter(
     (machine) => machine.phase === "up" && !machine.isLeaseExpired && Number.isFinite(machine.heartbeatAt),
   );
-  if (heardMachines.length < MIN_HEARD_AGENTS) return null;
-  // The other direction: where most agents receive nothing, it is this node that can't send.
-  const unreachableCount = heardMachines.filter((machine) => machine.unreachableSince !== null).length;
-  if (unreachableCount > heardMachines.length / 2) return "agents can't be reached from this node";
+  if (reportingMachines.length < MIN_REPORTING_AGENTS) return null;
+  // The sending direction: if most agents receive nothing, the fault is likely at this node.
+  const unreachableCount = reportingMachines.filter((machine) => machine.unreachableSince !== null).length;
+  if (unreachableCount > reportingMachines.length / 2) return "most agents are unreachable from this node";
   const silenceMs = deployment.heartbeatIntervalS * SILENT_HEARTBEAT_INTERVALS * 1000;
-  if (heardMachines.some((machine) => now - machine.heartbeatAt < silenceMs)) return null;
-  return peers.areAgentsHeardByAny || peers.isIsolated ? "no agent is heard by this node" : null;
+  if (reportingMachines.some((machine) => now - machine.heartbeatAt < silenceMs)) return null;
+  return peers.areAgentsReportingToAny || peers.isIsolated ? "this node receives no agent heartbeats" : null;
 }
--- a/src/core/cluster-recovery.ts
+++ b/src/core/cluster-recovery.ts
@@ -8,7 +8,7 @@
 import type { StoredRecords } from "./store/record-reader.js";
 import type { RecordWriter } from "./store/record-writer.js";
 
-/** What a recovery works on. */
+/** The components that `ClusterRecovery` works on. */
 export interface ClusterRecoveryDependencies {
   readonly cluster: ClusterState;
   readonly agents: AgentManager;
@@ -17,7 +17,7 @@
   readonly scheduler: Scheduler;
 }
 
-/** How a new leader builds its cluster state: from the records that earlier leaders left, then from heartbeats. */
+/** Builds a new leader's cluster state from the records of earlier leaders, then from agent heartbeats. */
 export class ClusterRecovery {
   readonly #ctx: Context;
   readonly #dependencies: ClusterRecoveryDependencies;
@@ -27,7 +27,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** Builds the cluster state from the records; returns how many placements are on record. */
+  /** Builds the cluster state from the records. Returns the number of recorded placements. */
   restore({ machines, chunks, jobs }: StoredRecords, applyJobRecord: (entry: StoreEntry) => void): number {
     const { cluster, recordWriter, dependencies } = this.#dependencies;
     const restore = new RecordRestore(this.#ctx, cluster, recordWriter, dependencies);
@@ -39,8 +39,8 @@
   }
 
   /**
-   * When a job last ran is not on record. The wait of a job that has begun counts from now, or each of its pending tasks
-   * would count as starving under a new leader.
+   * The records do not contain when a job last ran. For a job with tasks already done, the wait is counted from now;
+   * otherwise all its pending tasks would count as starving under a new leader.
    */
   #estimateLastRuns(): void {
     const { cluster, scheduler } = this.#dependencies;
@@ -51,7 +51,7 @@
     );
   }
 
-  /** Reconciles machines with the heartbeats that came in during loading; the others are to be fenced first (I3, I4). */
+  /** Reconciles machines with the heartbeats received during loading. The others must be fenced first (I3, I4). */
   reconcileMachines(): void {
     const { cluster, agents } = this.#dependencies;
     for (const machine of cluster.machines.values()) {
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -8,31 +8,31 @@
 import { RuntimeEstimates } from "./model/runtime-estimates.js";
 import { EffectiveStoreLimits } from "./model/store-limits.js";
 
-/** Says when a scheduling round has used its time; the shell brings a clock, tests bring a counter. */
+/** Limits the time of a scheduling round. The shell implements it with a clock, tests with a counter. */
 export interface TimeBudget {
-  /** True once the round should stop and go on in a later batch. */
+  /** True once the round should stop and resume in a later batch. */
   isSpent(): boolean;
 }
 
 /**
- * What every part of the core shares: the time of this batch, the settings, the effects asked for, and the calls in
- * flight. Nothing in the core reads a clock or does input or output: commands and the time come in, effects go out.
+ * State shared by all parts of the core: the time of this batch, the settings, the requested effects and the calls in
+ * flight. The core reads no clock and performs no I/O: it takes commands and the time, and returns effects.
  */
 export class Context {
   /** The node's monotonic time of this batch, in milliseconds since its start. */
   now = 0;
-  /** The operators' settings as this node knows them. */
+  /** The operator settings as last read by this node. */
   settings: OperatorSettings = defaultOperatorSettings;
   readonly deployment: Deployment;
   readonly names: NameRegistry;
   readonly random: RandomGenerator;
   readonly estimates = new RuntimeEstimates();
   readonly limits: EffectiveStoreLimits;
-  /** True where fair admission is switched on: the queue order takes teams in round-robin turns, too. */
+  /** True if fair admission is enabled: the queue order then also takes teams in round-robin turns. */
   hasFairTurns = false;
-  /** When the key-value store last answered this node. */
+  /** When the key-value store last responded to this node. */
   storeRespondedAt = Number.NEGATIVE_INFINITY;
-  /** Since when the key-value store has refused this node or not answered it; null while it answers. */
+  /** Since when calls to the key-value store have been rejected or timed out; null while they succeed. */
   storeFailingSince: number | null = null;
   #effects: Effect[] = [];
   #nextId = 1;
@@ -49,29 +49,29 @@
     this.random = random;
   }
 
-  /** Wall time. Only ages of jobs rest on it, and no safety rule does. */
+  /** Wall time. Only job ages depend on it; no safety rule does. */
   get wallMs(): number {
     return this.#epochMs + this.now;
   }
 
-  /** Asks the shell for an effect; effects are carried out in the order asked for. */
+  /** Requests an effect from the shell. Effects are executed in the order requested. */
   emit(effect: Effect): void {
     this.#effects.push(effect);
   }
 
-  /** The effects asked for since the last call. */
+  /** Returns the effects requested since the last call. */
   takeEffects(): Effect[] {
     const effects = this.#effects;
     this.#effects = [];
     return effects;
   }
 
-  /** An id that no other call of this process has. */
+  /** Returns an id that is unique within this process. */
   nextId(): number {
     return this.#nextId++;
   }
 
-  /** Calls the key-value store. `onResponse` runs exactly once; the shell responds `timeout` if nothing comes back. */
+  /** Calls the key-value store. `onResponse` runs exactly once; without a response, the shell reports `timeout`. */
   callStore(request: StoreRequest, timeoutMs: number, onResponse: (response: StoreResponse) => void): void {
     const id = this.nextId();
     this.#pendingStoreCalls.set(id, onResponse);
@@ -108,7 +108,7 @@
     onResponse(response);
   }
 
-  /** Writes a log line: a fixed message, and the facts as fields in snake_case. */
+  /** Writes a log line with a fixed message and the details as snake_case fields. */
   log(level: LogLevel, text: string, data: Record<string, unknown> = {}): void {
     this.emit({ kind: "log", level, text, data });
   }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -29,26 +29,26 @@
 import { KEYS } from "./store/records.js";
 
 const RECLAIM_INTERVAL_MS = 30_000;
-/** For so long a node stays ready although the key-value store fails it. */
+/** A node becomes unready after its calls to the key-value store have failed for this long. */
 const UNREADY_AFTER_MS = 2500;
 
-/** What makes this process of a node differ from others. */
+/** The parameters that are specific to one process of a node. */
 export interface Identity {
-  /** Differs between any two processes of a node. */
+  /** Unique to this process among all processes of the node. */
   readonly incarnation: string;
-  /** Seed of the random generator. */
+  /** Seed of the random number generator. */
   readonly seed: number;
   /** Wall time at `now` 0. */
   readonly epochMs: number;
-  /** The most bytes that the cache of the records may take while another node leads; 0 or absent: no standby. */
+  /** Size limit of the standby cache in bytes; 0 or absent disables it. */
   readonly standbyBytes?: number;
-  /** Whether submissions pass fair admission by the teams' shares. */
+  /** Whether submissions are subject to fair admission by the teams' shares. */
   readonly admission?: boolean;
 }
 
 /**
- * A whole node without its input and output: commands and the time go in, effects come out. Every node takes the requests
- * of users, operators and agents; the one that leads has a `LeaderTerm` beside.
+ * The logic of one node without its I/O: it takes commands and the time, and returns effects. Every node handles the
+ * requests of users, operators and agents. The leader additionally has a `LeaderTerm`.
  */
 export class Controller {
   readonly names = new NameRegistry();
@@ -57,7 +57,7 @@
   readonly election: Election;
   readonly jobs: JobRequests;
   readonly featureGate: FeatureGate;
-  /** The term that this node leads; null while it doesn't lead. */
+  /** The current term of this node as leader; null while it is not the leader. */
   leaderTerm: LeaderTerm | null = null;
   readonly #administration: Administration;
   readonly #peers: PeerTable;
@@ -66,7 +66,7 @@
   readonly #peerMessages: PeerMessageHandler;
   readonly #progress = new ProgressCounts();
   readonly #failover: Failover;
-  /** Null where fair admission is not switched on. */
+  /** Null if fair admission is disabled. */
   readonly #admission: Admission | null;
   #reclaimedAt = 0;
 
@@ -118,7 +118,7 @@
       replyAsLeader: (heartbeat) => this.#replyAsLeader(heartbeat),
       isLeader: () => this.leaderTerm !== null,
       leader: () => this.config.leader?.value.node ?? null,
-      isReachablePeer: (node) => this.#peers.canReceive(node),
+      isReachablePeer: (node) => this.#peers.isReachable(node),
     };
   }
 
@@ -134,35 +134,35 @@
     };
   }
 
-  /* ---- what others ask ---- */
+  /* ---- status and metrics ---- */
 
-  /** Can this node take requests? Not while the key-value store fails this node alone; in a common outage, yes. */
+  /** True if this node can serve requests. A store outage that affects all nodes leaves it ready. */
   get isReady(): boolean {
     if (!this.config.isLoaded || this.config.machineTypes.length === 0) return false;
     const { now, storeFailingSince } = this.ctx;
     if (storeFailingSince === null || now - storeFailingSince < UNREADY_AFTER_MS) return true;
-    // Without the key-value store and without peers it is likely this node that is partitioned.
+    // Without the key-value store and without peers, this node is most likely the partitioned one.
     return !this.#peers.isIsolated && !this.#peers.isStoreReachableByAny;
   }
 
-  /** For the metrics: the standby, and the steps of this node's last takeover. */
+  /** For the metrics: the standby cache and the steps of this node's last failover. */
   get failover(): { readonly standby: StandbyReport | null; readonly takeover: FailoverTimeline } {
     const { timeline: takeover } = this.#failover;
     return { standby: this.#failover.standbyReport(this.config.revision), takeover };
   }
 
-  /** For the metrics; null where fair admission is not switched on. */
+  /** For the metrics; null if fair admission is disabled. */
   get admissionStatus(): AdmissionStatus | null {
     return this.#admission?.report() ?? null;
   }
 
-  /** The node that leads, as far as this node knows. */
+  /** The name of the leader as known to this node; null if there is none. */
   get leaderName(): string | null {
     if (this.leaderTerm) return this.ctx.deployment.node;
     return this.config.leader?.value.node ?? null;
   }
 
-  /** What operators are shown of this node; the field names are theirs to rely on. */
+  /** The status page of this node. Operators' tools depend on the field names. */
   status(): Record<string, unknown> {
     const { leaderTerm } = this;
     const admission = this.#admission?.status();
@@ -181,7 +181,7 @@
 
   /* ---- commands in, effects out ---- */
 
-  /** Carries out a batch of commands at a time, and returns the effects that they have, in order. */
+  /** Executes a batch of commands at the given time and returns the resulting effects in order. */
   handle(batch: readonly Command[], now: number, budget: TimeBudget): Effect[] {
     this.ctx.now = now;
     this.names.beginBatch();
@@ -196,9 +196,9 @@
   }
 
   /**
-   * A fault must neither end the process, nor recur without end, nor cost more than the command that it is in: others of
-   * the same batch have someone waiting for their answers. The effects so far stand. The cluster state, which may be
-   * damaged, is dropped with the term; the next leader loads the records.
+   * An exception must not terminate the process, recur endlessly, or affect more than the command that raised it:
+   * clients wait for the responses to the other commands of the batch. Effects emitted so far are kept. The term ends,
+   * and the cluster state, which may be corrupt, is discarded; the next leader loads the records.
    */
   #containFaults(run: () => void): void {
     try {
@@ -268,14 +268,14 @@
     this.#failover.tick(this.leaderName);
     if (this.leaderTerm && !this.featureGate.isOpen) this.featureGate.tick();
     if (this.#peerHeartbeats.isDue) {
-      this.#resignIfCutOff();
+      this.#resignIfIsolatedFromAgents();
       this.#tickAdmission();
       this.#peerHeartbeats.send(this.leaderTerm !== null);
     }
     if (this.ctx.now - this.#reclaimedAt >= RECLAIM_INTERVAL_MS) this.#reclaimIndices();
   }
 
-  /** Frees the indices of names that nothing uses any more, so that memory stays bounded. */
+  /** Frees the indices of names that are no longer in use, so that memory stays bounded. */
   #reclaimIndices(): void {
     this.#reclaimedAt = this.ctx.now;
     const inUse = this.leaderTerm?.indicesInUse() ?? {
@@ -315,13 +315,13 @@
     this.#peerHeartbeats.expedite();
   }
 
-  #resignIfCutOff(): void {
+  #resignIfIsolatedFromAgents(): void {
     if (!this.leaderTerm) return;
     const reason = reasonToResign(this.ctx, this.leaderTerm.cluster.machines.values(), this.#peers);
     if (reason !== null) this.election.resign(reason);
   }
 
-  /** Only a leader with a valid lease issues permit leases, and only once it knows what has been accepted. */
+  /** Only a leader with a valid lease that has loaded the records of accepted jobs issues permit leases. */
   #tickAdmission(): void {
     const term = this.leaderTerm;
     const mayIssue = term?.agents.areRecordsLoaded === true && this.election.hasValidLease;
@@ -337,8 +337,8 @@
   }
 
   /**
-   * The leader's reply, which alone carries a fencing token; null if this node may not reply. The heartbeat itself may end
-   * the term, by a higher token that it carries: then there is no reply either.
+   * Returns the leader's reply, the only kind that carries a fencing token, or null if this node may not reply. Also
+   * returns null if the heartbeat carries a higher token and thereby ends the term.
    */
   #replyAsLeader(heartbeat: Heartbeat): HeartbeatReply | null {
     const { leaderTerm } = this;
--- a/src/core/election/campaign.ts
+++ b/src/core/election/campaign.ts
@@ -5,29 +5,30 @@
 
 interface GrantedLease {
   readonly leaseId: number;
-  /** When the lease was requested: its TTL counts from no earlier than this. */
+  /** When the lease was requested. Its TTL starts no earlier than this. */
   readonly leaseRequestedAt: number;
-  /** Until when the lease is valid by this node's clock. */
+  /** Expiry of the lease by this node's clock. */
   readonly leaseValidUntil: number;
 }
 
-/** What a won campaign has brought about in the key-value store. */
-export interface CampaignVictory extends GrantedLease {
+/** The lease and keys that a won campaign wrote to the key-value store. */
+export interface AcquiredLeadership extends GrantedLease {
   readonly fencingToken: number;
-  /** The leader key as written. */
+  /** The value written to the leader key. */
   readonly record: LeaderRecord;
-  /** The version of both the leader key and the epoch key: one transaction wrote them. */
+  /** The version of the leader key and of the epoch key, which are written in one transaction. */
   readonly version: number;
 }
 
-/** How a campaign ended. */
+/** The outcome of a campaign. */
 export type CampaignOutcome =
-  | { readonly kind: "won"; readonly victory: CampaignVictory }
+  | { readonly kind: "won"; readonly leadership: AcquiredLeadership }
   | { readonly kind: "lost"; readonly reason: string };
 
 /**
- * One run for leadership: acquires a lease, then writes the leader key under it and raises the epoch key, in one
- * compare-and-swap transaction. Every acquisition raises the epoch, so fencing tokens never repeat nor decrease.
+ * One attempt to become leader. Acquires a lease, then writes the leader key under that lease and increments the epoch
+ * key in one compare-and-swap transaction. Every acquisition increments the epoch, so fencing tokens never repeat or
+ * decrease.
  */
 export class Campaign {
   readonly #ctx: Context;
@@ -40,7 +41,7 @@
     this.#incarnation = incarnation;
   }
 
-  /** Campaigns for a leader key of this version, 0 if there is none; calls back exactly once. */
+  /** Campaigns on the given version of the leader key, 0 if it does not exist. Calls `onOutcome` exactly once. */
   run(leaderKeyVersion: number, onOutcome: (outcome: CampaignOutcome) => void): void {
     const leaseRequestedAt = this.#ctx.now;
     const ttlMs = this.#ctx.settings.leader_grant_ms;
@@ -85,11 +86,11 @@
       (response) => {
         if (response.kind === "ok") {
           const version = response.revision;
-          onOutcome({ kind: "won", victory: { ...lease, fencingToken, record, version } });
+          onOutcome({ kind: "won", leadership: { ...lease, fencingToken, record, version } });
           return;
         }
-        // After a timeout the outcome is unknown: the transaction may have been, or may yet be, executed. Revoking the
-        // lease removes the leader key with it, and a late execution then fails for want of the lease.
+        // After a timeout the outcome is unknown: the transaction may have been executed, or may still be. Revoking the
+        // lease also removes the leader key, and a late execution then fails because the lease no longer exists.
         this.#ctx.callStore({ kind: "revokeLease", leaseId }, ELECTION_CALL_TIMEOUT_MS, () => {});
         onOutcome({ kind: "lost", reason: response.kind });
       },
--- a/src/core/election/election-events.ts
+++ b/src/core/election/election-events.ts
@@ -1,22 +1,22 @@
 import type { LeaderLease } from "../model/leader-lease.js";
 import type { RenewalFacts } from "./lease-renewal-policy.js";
 
-/** Where a node stands in the election. */
+/** The role of a node in the election. */
 export type ElectionState =
   | { readonly kind: "follower" }
   | { readonly kind: "candidate" }
   | { readonly kind: "leader"; readonly lease: LeaderLease };
 
-/** What the election needs to know of its node, and reports to it. */
+/** Queries and callbacks of the election to its node. */
 export interface ElectionEvents extends RenewalFacts {
-  /** This node leads from now on. */
+  /** This node has become the leader. */
   onElected(lease: LeaderLease): void;
-  /** This node no longer leads. */
+  /** This node is no longer the leader. */
   onSteppedDown(reason: string): void;
-  /** True while starts are recorded but not yet acknowledged: advancing the fencing token would make them begin anew. */
+  /** True while recorded starts are unacknowledged: advancing the fencing token would make them start over. */
   hasStartsInFlight(): boolean;
-  /** How long this node defers to better candidates once the leader key is removed, in milliseconds. */
+  /** How long this node waits for better candidates after the leader key is removed, in milliseconds. */
   campaignDelayMs(): number;
-  /** The leader key was removed, as far as this node knows. */
+  /** This node has observed that the leader key was removed. */
   onLeaderKeyRemoved(): void;
 }
--- a/src/core/election/election.ts
+++ b/src/core/election/election.ts
@@ -3,27 +3,27 @@
 import { randomInt } from "../random.js";
 import type { ConfigWatch } from "../store/config-watch.js";
 import { KEYS } from "../store/records.js";
-import { Campaign, type CampaignOutcome, type CampaignVictory } from "./campaign.js";
+import { type AcquiredLeadership, Campaign, type CampaignOutcome } from "./campaign.js";
 import type { ElectionEvents, ElectionState } from "./election-events.js";
 import { FencingTokenAdvancer } from "./fencing-token-advancer.js";
 import { LeaseRenewalPolicy } from "./lease-renewal-policy.js";
 import { PreviousLeaderBound } from "./previous-leader-bound.js";
 import { ELECTION_CALL_TIMEOUT_MS, leaseValidUntil } from "./timing.js";
 
-/** A node that resigned does not campaign for so long, so that leadership doesn't flap. */
+/** How long a node does not campaign after resigning, so that leadership does not flap. */
 const RESIGNED_BACKOFF_MS = 20_000;
 const STEPPED_DOWN_BACKOFF_MS = 500;
 const LOST_BACKOFF_MIN_MS = 200;
 const LOST_BACKOFF_MAX_MS = 600;
-/** Nodes campaign at random times within so long after the leader key was removed, so as not to collide. */
+/** Upper bound of the random delay between removal of the leader key and a campaign, which avoids collisions. */
 const CAMPAIGN_JITTER_MS = 150;
 
 /**
- * Leader election under a lease of the key-value store: at most one node holds a valid lease. Owns the campaign, the
- * keep-alives, the fencing token, and the rules by which a leader steps down.
+ * Leader election based on a lease in the key-value store: at most one node holds a valid lease. Manages the campaign,
+ * the keep-alives and the fencing token, and decides when a leader steps down.
  *
- * The fencing token comes from the epoch key, which every acquisition raises in the same transaction: tokens never
- * repeat nor decrease.
+ * The fencing token comes from the epoch key, which every acquisition increments in the same transaction, so tokens
+ * never repeat or decrease.
  */
 export class Election {
   readonly #ctx: Context;
@@ -34,9 +34,9 @@
   readonly #campaign: Campaign;
   readonly #tokenAdvancer: FencingTokenAdvancer;
   readonly #previousLeaders: PreviousLeaderBound;
-  /** Where this node stands. */
+  /** The current role of this node. */
   state: ElectionState = { kind: "follower" };
-  /** The highest fencing token that this node has seen anywhere. */
+  /** The highest fencing token that this node has seen from any source. */
   highestTokenSeen = 0;
   /** No campaign begins before this time. */
   #campaignAt = 0;
@@ -55,39 +55,39 @@
     this.#tokenAdvancer = new FencingTokenAdvancer(ctx, config, {
       currentLease: () => this.lease,
       onTokenAdvanced: (token) => this.#recordTokenSeen(token),
-      onLeaderKeyReplaced: () => this.stepDown("another leader is recorded"),
+      onLeaderKeyReplaced: () => this.stepDown("another leader was elected"),
     });
   }
 
-  /** The lease of the term under way, valid or expired; null while this node doesn't lead. */
+  /** The lease of the current term, valid or expired; null while this node is not the leader. */
   get lease(): LeaderLease | null {
     return this.state.kind === "leader" ? this.state.lease : null;
   }
 
-  /** True for a leader whose lease has not expired: only then may it decide anything new. */
+  /** True for a leader whose lease has not expired: only then may it make new decisions. */
   get hasValidLease(): boolean {
     const { lease } = this;
     return lease !== null && this.#ctx.now < lease.validUntil;
   }
 
-  /** How long a leader goes on replying to heartbeats after its lease expired, at most. */
+  /** The maximum time for which a leader continues to reply to heartbeats after its lease has expired. */
   get gracePeriodMs(): number {
     return this.#policy.gracePeriodMs;
   }
 
-  /** How long a watch of the job keys may wait. */
+  /** The maximum wait of a watch request on the job keys. */
   get watchWaitMs(): number {
     return this.#policy.watchWaitMs;
   }
 
-  /** Every cancellation confirmed before this time is applied here (I1). */
+  /** All cancellations confirmed before this time have been applied on this node (I1). */
   get cancellationsKnownThrough(): number {
     return this.#policy.cancellationsKnownThrough;
   }
 
   /**
-   * May heartbeats be replied to, and agent leases so be renewed? Within the grace period, and while what is known of
-   * cancellations is recent enough (I1): not before the records are loaded.
+   * True if this node may reply to heartbeats and thereby renew agent leases: within the grace period, and while its
+   * view of cancellations is recent enough (I1), so not before the records are loaded.
    */
   get mayReplyToAgents(): boolean {
     const { lease } = this;
@@ -95,20 +95,20 @@
     return (
       lease !== null &&
       now < lease.validUntil + this.#policy.currentGracePeriodMs &&
-      now < this.#policy.knowledgeValidUntil
+      now < this.#policy.cancellationsFreshUntil
     );
   }
 
-  /** Takes note of a fencing token seen anywhere: one higher than this term's ends the term. */
+  /** Processes a fencing token from any source. A token higher than this term's ends the term. */
   observeToken(token: number): void {
     this.#recordTokenSeen(token);
     const { lease } = this;
-    // While an advance is in flight the higher token may be this leader's own.
+    // While an advance is in flight, the higher token may be this leader's own.
     if (lease && token > lease.fencingToken && !this.#tokenAdvancer.isInFlight)
       this.stepDown("a higher fencing token was observed");
   }
 
-  /** Takes note of the fencing token that a peer has seen: it may prove that no earlier leader is left. */
+  /** Processes the fencing token reported by a peer, which may prove that no earlier leader is active. */
   observePeerToken(peer: string, token: number): void {
     const { lease } = this;
     if (lease) this.#previousLeaders.observePeerToken(lease, peer, token);
@@ -118,7 +118,7 @@
     if (token > this.highestTokenSeen) this.highestTokenSeen = token;
   }
 
-  /** Ends this node's term, if it leads, without revoking the lease. */
+  /** Ends the term if this node is the leader, without revoking the lease. */
   stepDown(reason: string): void {
     const { lease } = this;
     if (!lease) return;
@@ -128,7 +128,7 @@
     this.#events.onSteppedDown(reason);
   }
 
-  /** Transfers leadership: revokes the lease for others to campaign at once, and stays out of the race for a while. */
+  /** Gives up leadership: revokes the lease so that peers can campaign at once, and backs off from campaigning. */
   resign(reason: string): void {
     const { lease } = this;
     if (!lease) return;
@@ -137,13 +137,13 @@
     this.#campaignAt = this.#ctx.now + RESIGNED_BACKOFF_MS;
   }
 
-  /** To be called whenever a key of the cluster configuration has changed here. */
+  /** Must be called whenever a cluster configuration key has changed on this node. */
   onConfigChanged(key: string): void {
     if (key !== KEYS.leader) return;
     const { leader } = this.#config;
     const { lease } = this;
     if (lease) {
-      if (leader && leader.version > lease.leaderKeyVersion) this.stepDown("another leader is recorded");
+      if (leader && leader.version > lease.leaderKeyVersion) this.stepDown("another leader was elected");
       else if (leader === null) this.stepDown("the leader key was removed");
     }
     if (!this.#config.leader) this.#onLeaderKeyRemoved();
@@ -156,7 +156,7 @@
     this.#campaignAt = Math.max(this.#campaignAt, this.#ctx.now + delayMs);
   }
 
-  /** Does what is due: campaigns, or steps down, keeps the lease alive and advances the fencing token. */
+  /** Runs time-driven work: campaigns, or steps down, renews the lease and advances the fencing token. */
   tick(): void {
     const { state } = this;
     switch (state.kind) {
@@ -180,18 +180,18 @@
     this.#campaign.run(leader ? leader.version : 0, (outcome) => this.#onCampaignOver(outcome));
   }
 
-  /** A restarted node replaces the leader key of its own earlier process without waiting for the lease to expire. */
+  /** True if an earlier process of this node wrote the leader key: it is replaced without waiting for its lease. */
   #isEarlierProcessOfThisNode(leader: { readonly node: string; readonly incarnation: string }): boolean {
     return leader.node === this.#ctx.deployment.node && leader.incarnation !== this.#incarnation;
   }
 
   #onCampaignOver(outcome: CampaignOutcome): void {
-    if (outcome.kind === "won") this.#beginTerm(outcome.victory);
+    if (outcome.kind === "won") this.#beginTerm(outcome.leadership);
     else this.#onCampaignLost(outcome.reason);
   }
 
-  #beginTerm(victory: CampaignVictory): void {
-    const { leaseId, fencingToken, record, version } = victory;
+  #beginTerm(leadership: AcquiredLeadership): void {
+    const { leaseId, fencingToken, record, version } = leadership;
     const { now } = this.#ctx;
     const lease: LeaderLease = {
       leaseId,
@@ -200,11 +200,11 @@
       leaderKeyVersion: version,
       epochKeyVersion: version,
       electedAt: now,
-      validUntil: victory.leaseValidUntil,
+      validUntil: leadership.leaseValidUntil,
       previousLeaderUntil: this.#previousLeaders.beginTerm(fencingToken),
     };
     this.state = { kind: "leader", lease };
-    this.#keepAliveAt = victory.leaseRequestedAt;
+    this.#keepAliveAt = leadership.leaseRequestedAt;
     this.#tokenAdvancedAt = now;
     this.#recordTokenSeen(fencingToken);
     this.#config.apply({ key: KEYS.leader, value: record, version });
@@ -227,7 +227,7 @@
       return;
     }
     if (this.#areCancellationsStale()) {
-      const reason = "cancellations can't be read";
+      const reason = "the known cancellations are stale";
       if (this.hasValidLease) this.resign(reason);
       else this.stepDown(reason);
       return;
@@ -237,10 +237,11 @@
     if (this.#isTokenAdvanceDue()) this.advanceFencingToken();
   }
 
-  /** True if the records are loaded, but what is known of cancellations is too old to reply to agents (I1). */
+  /** True if the records are loaded but the view of cancellations is too old to reply to agents (I1). */
   #areCancellationsStale(): boolean {
     return (
-      this.#events.cancellationsKnownThrough() !== null && this.#ctx.now >= this.#policy.knowledgeValidUntil
+      this.#events.cancellationsKnownThrough() !== null &&
+      this.#ctx.now >= this.#policy.cancellationsFreshUntil
     );
   }
 
@@ -260,7 +261,7 @@
     );
   }
 
-  /** Starts in flight are let through first, for at most one more period: under a new token they would begin anew. */
+  /** Waits for starts in flight, for at most one more period: under a new token they would have to start over. */
   #isTokenAdvanceDue(): boolean {
     if (this.#tokenAdvancer.isInFlight || !this.hasValidLease) return false;
     const ageMs = this.#ctx.now - this.#tokenAdvancedAt;
@@ -269,8 +270,8 @@
   }
 
   /**
-   * Advances the fencing token within the term, unless the lease expired or an advance is in flight: what was sent under
-   * the token before can't be executed any more by an agent that has seen the new one.
+   * Advances the fencing token within the term, unless the lease has expired or an advance is in flight. An agent that
+   * has seen the new token no longer executes commands sent under the previous one.
    */
   advanceFencingToken(): void {
     const { lease } = this;
--- a/src/core/election/fencing-token-advancer.ts
+++ b/src/core/election/fencing-token-advancer.ts
@@ -5,19 +5,19 @@
 import { KEYS } from "../store/records.js";
 import { ELECTION_CALL_TIMEOUT_MS } from "./timing.js";
 
-/** What an advance of the fencing token needs to know of the election, and reports to it. */
+/** Queries and callbacks of `FencingTokenAdvancer` to the election. */
 export interface FencingTokenEvents {
-  /** The lease of the term under way; null while this node doesn't lead. */
+  /** The lease of the current term; null while this node is not the leader. */
   currentLease(): LeaderLease | null;
-  /** The lease now has this fencing token. */
+  /** The lease was updated to this fencing token. */
   onTokenAdvanced(fencingToken: number): void;
-  /** The leader key is not the one of this term: another node leads. */
+  /** The leader key is no longer that of this term: another node has been elected. */
   onLeaderKeyReplaced(): void;
 }
 
 /**
- * Advances the fencing token within a term. An agent that has seen the new token executes nothing that was sent under
- * the one before, which is what makes acknowledging ended attempts safe (I6).
+ * Advances the fencing token within a term. An agent that has seen the new token executes no command sent under the
+ * previous one, which makes it safe to acknowledge ended attempts (I6).
  */
 export class FencingTokenAdvancer {
   readonly #ctx: Context;
@@ -31,12 +31,12 @@
     this.#events = events;
   }
 
-  /** True from the request until its outcome is known; it may outlast the term. */
+  /** True from the request until its outcome is known, which may be after the end of the term. */
   get isInFlight(): boolean {
     return this.#isInFlight;
   }
 
-  /** Raises the epoch key, conditioned on the leader key. One advance at a time: none may be in flight. */
+  /** Increments the epoch key, conditioned on the leader key. Must not be called while an advance is in flight. */
   advance(lease: LeaderLease): void {
     this.#isInFlight = true;
     const token = lease.fencingToken + 1;
@@ -75,8 +75,8 @@
   }
 
   /**
-   * The advance may have been executed without this node's knowing, so the keys are read before deciding. While the
-   * leader key is that of this term no other node can have raised the epoch: a higher value is this leader's own.
+   * Reads the keys to find out whether the advance was executed. While the leader key is that of this term, no other
+   * node can have incremented the epoch, so a higher value was written by this leader.
    */
   #resolveUnknownOutcome(lease: LeaderLease): void {
     const call = { kind: "list", prefix: KEYS.configPrefix, after: null } as const;
--- a/src/core/election/lease-renewal-policy.ts
+++ b/src/core/election/lease-renewal-policy.ts
@@ -1,28 +1,28 @@
 import type { Context } from "../context.js";
 
-/** Clocks may drift apart by 0.05%; whatever is waited out is stretched by twice that. */
+/** Clocks may drift apart by 0.05%; waiting times are extended by twice that. */
 export const CLOCK_DRIFT_FACTOR = 1.001;
-/** The grace period of an isolated leader, in terms of its lease. */
+/** The grace period of an isolated leader, as a multiple of the leader lease. */
 const ISOLATED_GRACE_LEASES = 2;
-/** The longest that a watch of the job keys waits for a change. */
+/** The maximum time for which a watch of the job keys waits for a change. */
 const MAX_WATCH_WAIT_MS = 2000;
 const MIN_STALENESS_BOUND_MS = 2000;
-/** What an agent may need to terminate its tasks when its lease expires, and a user's answer to arrive early. */
+/** Allows for an agent to terminate its tasks at lease expiry, and for a user's response to arrive early. */
 const CANCEL_MARGIN_MS = 2500;
-/** That margin in whole seconds, as the bound on the grace period reckons with it. */
+/** The same margin in whole seconds, for the bound on the grace period. */
 const GRACE_MARGIN_S = 3;
 
-/** What the renewal policy depends on beside the settings. */
+/** Inputs of the renewal policy other than the settings. */
 export interface RenewalFacts {
-  /** Every cancellation confirmed before this time is applied here (I1); null until the records are loaded. */
+  /** All cancellations confirmed before this time have been applied (I1); null until the records are loaded. */
   cancellationsKnownThrough(): number | null;
-  /** True while no peer is heard. */
+  /** True while no peer heartbeats are received. */
   isIsolated(): boolean;
 }
 
 /**
- * For how long a leader may go on replying to agents, and so renewing their leases. Two bounds apply: the grace period
- * after its own lease expired, and the staleness of its knowledge of cancellations (I1).
+ * Decides how long a leader may continue to reply to agents and thereby renew their leases. Two bounds apply: the grace
+ * period after its own lease has expired, and the staleness of its view of cancellations (I1).
  */
 export class LeaseRenewalPolicy {
   readonly #ctx: Context;
@@ -34,8 +34,8 @@
   }
 
   /**
-   * How long a leader goes on replying to heartbeats after its lease expired. Bounded so that a partitioned leader and
-   * the agent leases that it renewed are over before the tasks of a cancelled job must be.
+   * How long a leader continues to reply to heartbeats after its lease has expired. Bounded so that a partitioned
+   * leader stops replying, and the agent leases that it renewed expire, before tasks of a cancelled job must end.
    */
   get gracePeriodMs(): number {
     const { cancelS, leaseS } = this.#ctx.deployment;
@@ -45,8 +45,8 @@
   }
 
   /**
-   * The grace period as things are now. A leader that lost the key-value store and all peers at once is most likely the
-   * partitioned one: it frees its agents early for the leader that the others elect meanwhile.
+   * The grace period under current conditions. A leader that has lost the key-value store and all peers is most likely
+   * the partitioned one, so it stops replying early and its agents can follow the leader that the other nodes elect.
    */
   get currentGracePeriodMs(): number {
     const { leader_grant_ms: leaderLeaseMs } = this.#ctx.settings;
@@ -55,21 +55,21 @@
       : this.gracePeriodMs;
   }
 
-  /** Every cancellation confirmed before this time is applied here; minus infinity until the records are loaded. */
+  /** All cancellations confirmed before this time have been applied; minus infinity until the records are loaded. */
   get cancellationsKnownThrough(): number {
     return this.#facts.cancellationsKnownThrough() ?? Number.NEGATIVE_INFINITY;
   }
 
   /**
-   * Until when a heartbeat may be replied to without knowing of newer cancellations: an agent lease renewed before then
-   * expires before such a cancellation is due (I1). This depends on knowledge, not on the leader lease: keep-alives may
+   * Until when heartbeats may be replied to without newer information on cancellations: an agent lease renewed before
+   * then expires before any unknown cancellation is due (I1). Independent of the leader lease, because keep-alives may
    * succeed while the watch hangs.
    */
-  get knowledgeValidUntil(): number {
+  get cancellationsFreshUntil(): number {
     return this.cancellationsKnownThrough + this.#stalenessBoundMs;
   }
 
-  /** What `cancelS` leaves beside an agent lease. The minimum lets a leader reply at all where that is next to nothing. */
+  /** The time left of `cancelS` after an agent lease. The minimum lets a leader reply even if almost none is left. */
   get #stalenessBoundMs(): number {
     const { cancelS, leaseS } = this.#ctx.deployment;
     const boundMs = ((cancelS - leaseS * CLOCK_DRIFT_FACTOR) * 1000 - CANCEL_MARGIN_MS) / CLOCK_DRIFT_FACTOR;
@@ -77,8 +77,8 @@
   }
 
   /**
-   * How long a watch of the job keys may wait. Its response proves knowledge as of the request, and that ages until the
-   * next response: the wait has to be a fraction of the staleness bound, or a healthy leader would resign.
+   * The maximum wait of a watch request on the job keys. A response covers changes up to its request, and that view
+   * ages until the next response. The wait must be a fraction of the staleness bound, or a healthy leader would resign.
    */
   get watchWaitMs(): number {
     return Math.min(MAX_WATCH_WAIT_MS, this.#stalenessBoundMs / 4);
--- a/src/core/election/previous-leader-bound.ts
+++ b/src/core/election/previous-leader-bound.ts
@@ -5,20 +5,20 @@
 interface LastTerm {
   /** The last fencing token of the term. */
   readonly fencingToken: number;
-  /** No leader up to and including that term replies to agents after this time. */
+  /** No leader of this or an earlier term replies to agents after this time. */
   readonly repliesUntil: number;
 }
 
 /**
- * Bounds until when the leaders of earlier terms may go on replying to agents, so that a new leader waits out an agent
- * lease renewed by one of them only where there may be one (I3).
+ * Upper bound on how long leaders of earlier terms may continue to reply to agents. With it, a new leader waits for the
+ * expiry of an agent lease renewed by an earlier leader only if there may be one (I3).
  */
 export class PreviousLeaderBound {
   readonly #ctx: Context;
   readonly #policy: LeaseRenewalPolicy;
-  /** This process's own last term; null before it has led. */
+  /** The last term of this process as leader; null if there was none. */
   #ownLastTerm: LastTerm | null = null;
-  /** Peers that have acknowledged a fencing token of this term. */
+  /** Peers that have reported a fencing token of this term or a later one. */
   readonly #acknowledgedBy = new Set<string>();
 
   constructor(ctx: Context, policy: LeaseRenewalPolicy) {
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Until when an earlier leader may reply, as a term begins with this fencing token. The first leader ever has none
-   * before it. If this very process led last, with nobody between (the epoch counts every election), it knows;
-   * otherwise the longest grace period after a leader lease is assumed.
+   * Starts a term with this fencing token and returns until when an earlier leader may reply. The first leader of a
+   * cluster has no predecessor. If this process also led the previous term (the epoch counts every election, so no
+   * other term lies between), its own bound is used. Otherwise the longest grace period after a lease is assumed.
    */
   beginTerm(fencingToken: number): number {
     this.#acknowledgedBy.clear();
@@ -41,15 +41,16 @@
     return now + longestMs * CLOCK_DRIFT_FACTOR;
   }
 
-  /** Remembers the term that ends now, for the next one of this process. */
+  /** Records the term that ends now for the next term of this process. */
   endTerm(lease: LeaderLease): void {
     const repliesUntil = Math.max(lease.previousLeaderUntil, this.#ctx.now);
     this.#ownLastTerm = { fencingToken: lease.fencingToken, repliesUntil };
   }
 
   /**
-   * A node that has seen a fencing token of this term replies to no agent under an older one, nor does any later process
-   * of it: once every peer has, no earlier leader is left. A partitioned peer keeps the bound as it is.
+   * A node that has seen a fencing token of this term no longer replies to agents under an older one, nor does any
+   * later process of that node. Once all peers have seen one, no earlier leader is active. While a peer is partitioned,
+   * the bound stays unchanged.
    */
   observePeerToken(lease: LeaderLease, peer: string, fencingToken: number): void {
     if (fencingToken < lease.firstFencingToken || this.#acknowledgedBy.has(peer)) return;
--- a/src/core/job-lifecycle.ts
+++ b/src/core/job-lifecycle.ts
@@ -10,7 +10,7 @@
 
 const REREAD_RETRY_MS = 300;
 
-/** What the life of jobs is led with. */
+/** The components that `JobLifecycle` works on. */
 export interface JobLifecycleDependencies {
   readonly cluster: ClusterState;
   readonly agents: AgentManager;
@@ -18,22 +18,22 @@
   readonly dependencies: DependencyGraph;
 }
 
-/** What the life of jobs needs of the term, and reports to it. */
+/** Queries and callbacks of `JobLifecycle` to the term. */
 export interface JobLifecycleEvents {
-  /** True once the term is over: late responses must have no effect. */
+  /** True once the term has ended: late responses must have no effect. */
   hasTermEnded(): boolean;
-  /** Jobs have changed so that a scheduling round may act on it. */
+  /** Jobs have changed in a way that a scheduling round may act on. */
   onJobsChanged(): void;
-  /** A finished job has left the cluster state. */
+  /** A finished job was removed from the cluster state. */
   onJobRemoved(job: Job): void;
-  /** Runs something at the first tick after a delay, unless the term ends before. */
+  /** Runs a callback at the first tick after a delay, unless the term ends first. */
   runAfter(delayMs: number, run: () => void): void;
 }
 
 /**
- * The states of jobs in a leader's term, from the job's key to its final record. Accepted, cancelled and done are each
- * decided by one conditioned write of the job's key (I8): what is applied here has been decided there, and a write that
- * lost reads the key again.
+ * Tracks the states of jobs in a leader's term, from the job's key to its final record. Each transition to accepted,
+ * cancelled or done is one conditional write of the job's key (I8). Only recorded transitions are applied here; when a
+ * write fails its condition, the key is read again.
  */
 export class JobLifecycle {
   readonly #ctx: Context;
@@ -56,7 +56,7 @@
     this.#events = events;
   }
 
-  /** Applies a job's key, unless a version as new has been applied. */
+  /** Applies a job's key, unless the same or a newer version has been applied. */
   applyRecord(entry: StoreEntry): void {
     const record = readJob(entry.value);
     const uid = entry.key.slice(KEYS.jobsPrefix.length);
@@ -71,31 +71,31 @@
       if (record.state === "cancelled") this.cancel(knownJob);
       return;
     }
-    // A late change of a job that has ended in this term must not bring it back.
+    // A late change to a job that has ended in this term must not add it again.
     if (this.#dependencies.isKnownEnded(uid)) return;
     const job = this.#cluster.addJob(record.spec, record.acceptedAt, entry.version);
     if (record.state === "cancelled") job.state = "cancelled";
     this.#dependencies.add(job);
     if (job.state === "cancelled") this.#dependencies.onJobCancelled(job);
-    if (this.#agents.areRecordsLoaded) this.finishIfOver(job);
+    if (this.#agents.areRecordsLoaded) this.finalizeIfEnded(job);
     this.#events.onJobsChanged();
   }
 
-  /** Does what the states of restored jobs call for, once all placements are restored. */
-  settleRestoredJobs(): void {
+  /** Stops the tasks of cancelled jobs and finalizes ended jobs, once all placements are restored. */
+  reconcileRestoredJobs(): void {
     for (const job of this.#cluster.jobs.values()) {
       if (job.state === "cancelled") this.#stopAllTasks(job);
-      this.finishIfOver(job);
+      this.finalizeIfEnded(job);
     }
   }
 
-  /** Applies a cancellation that is on record: the job's own, or that of one of its dependencies. */
+  /** Applies a recorded cancellation of the job or of one of its dependencies. */
   cancel(job: Job): void {
     if (job.state !== "active") return;
     job.state = "cancelled";
     job.isFinalRecordQueued = false;
     this.#stopAllTasks(job);
-    this.finishIfOver(job);
+    this.finalizeIfEnded(job);
     this.#dependencies.onJobCancelled(job);
     this.#events.onJobsChanged();
   }
@@ -104,8 +104,8 @@
     for (const placement of [...job.placements.values()]) this.#agents.stopTask(placement, 0, "cancelled");
   }
 
-  /** Queues the final record of a job that is complete or cancelled, once it has no placement left anywhere (I3). */
-  finishIfOver(job: Job): void {
+  /** Queues the final record of a complete or cancelled job once it has no placements left (I3). */
+  finalizeIfEnded(job: Job): void {
     if (!this.#agents.areRecordsLoaded || job.isFinalRecordQueued || job.placements.size > 0) return;
     if (job.state === "cancelled" || (job.state === "active" && job.isComplete)) {
       job.isFinalRecordQueued = true;
@@ -113,7 +113,7 @@
     }
   }
 
-  /** The job's final record is written: removes it from the cluster state. */
+  /** Removes the job from the cluster state after its final record is written. */
   onFinalRecordWritten(job: Job): void {
     if (job.state === "active") job.state = "done";
     this.#cluster.jobs.delete(job.index);
@@ -122,7 +122,7 @@
     this.#dependencies.onJobEnded(job, job.endedAt === null ? { state } : { state, at: job.endedAt });
   }
 
-  /** A write conditioned on the job's key has failed: reads what is on record now (I8). */
+  /** Reads the job's key again after a write conditioned on it has failed (I8). */
   reread(job: Job): void {
     rereadJob(this.#ctx, job.uid, (stored) => {
       if (this.#events.hasTermEnded() || !this.#cluster.jobs.has(job.index)) return;
@@ -132,7 +132,7 @@
           this.#repeatWrites(job);
           break;
         case "over":
-          this.#onFoundOver(job, stored.state, stored.endedAt);
+          this.#onAlreadyFinalized(job, stored.state, stored.endedAt);
           break;
         case "unknown":
           this.#events.runAfter(REREAD_RETRY_MS, () => this.reread(job));
@@ -141,15 +141,15 @@
     });
   }
 
-  /** The final record was written already, by an earlier leader or by a write whose outcome was unknown. */
-  #onFoundOver(job: Job, state: "done" | "cancelled", endedAt: number | null): void {
+  /** The final record already exists, from an earlier leader or from a write whose outcome was unknown. */
+  #onAlreadyFinalized(job: Job, state: "done" | "cancelled", endedAt: number | null): void {
     job.state = state;
     job.endedAt = endedAt;
     this.#stopAllTasks(job);
     if (job.placements.size === 0) this.onFinalRecordWritten(job);
   }
 
-  /** Whether or not the key has changed after all, what is yet to be written is written on the version just read. */
+  /** Queues the pending writes again, conditioned on the version just read, whether or not the key has changed. */
   #repeatWrites(job: Job): void {
     if (job.state === "active") {
       for (const placement of job.placements.values())
--- a/src/core/leader-status.ts
+++ b/src/core/leader-status.ts
@@ -2,7 +2,7 @@
 import type { ClusterState } from "./model/cluster-state.js";
 import type { Machine } from "./model/machine.js";
 
-/** What a leader shows its operators, beside what every node shows. The field names are theirs to rely on. */
+/** The part of the status page that only a leader has. Operators' tools depend on the field names. */
 export function leaderStatus(
   leaderTerm: LeaderTerm,
   hasValidLease: boolean,
@@ -34,18 +34,18 @@
     phase: machine.isLeaseExpired ? "lost" : machine.phase,
     mode: machine.mode,
     tasks: machine.placements.size,
-    share: Math.round(machine.bookedShare() * 1000) / 1000,
+    share: Math.round(machine.allocatedCpuShare() * 1000) / 1000,
   };
 }
 
-/** Jobs with pending tasks, and why these are pending. */
+/** Lists jobs with pending tasks and their pending reasons. */
 function queueStatus(cluster: ClusterState): Record<string, unknown>[] {
   return [...cluster.jobs.values()]
     .filter((job) => job.pendingCount > 0)
     .map((job) => ({ job: job.uid, tasks: job.pendingCount, why: job.pendingReason ?? "it is next" }));
 }
 
-/** Jobs whose dependencies are not satisfied, and which these are. */
+/** Lists jobs with unsatisfied dependencies and those dependencies. */
 function awaitingStatus({ cluster, dependencies }: LeaderTerm): Record<string, unknown>[] {
   return [...cluster.jobs.values()]
     .filter((job) => job.state === "active" && !job.dependenciesSatisfied)
@@ -56,7 +56,7 @@
     }));
 }
 
-/** By team, in seconds; no field at all where round-robin turns don't count. */
+/** The longest wait of each team in seconds; the field is absent if round-robin turns are disabled. */
 function longestWaitStatus(leaderTerm: LeaderTerm): Record<string, unknown> {
   const waits = leaderTerm.longestWaits();
   if (!waits) return {};
--- a/src/core/leader-term.ts
+++ b/src/core/leader-term.ts
@@ -25,26 +25,26 @@
 import type { RecordSource, StoredRecords } from "./store/record-reader.js";
 import { RecordWriter, type RecordWriterEvents } from "./store/record-writer.js";
 
-/** Scheduling rounds are at least so far apart. */
+/** Minimum interval between scheduling rounds. */
 const ROUND_INTERVAL_MS = 100;
-/** A round without a cause, for what only time changes. */
+/** Interval of rounds that no event triggers, for conditions that change only with time. */
 const IDLE_ROUND_INTERVAL_MS = 1000;
-/** What looks at every machine, whether or not anything happened there, is done this often. */
-const SURVEY_INTERVAL_MS = 500;
+/** Interval of the work that iterates over all machines. */
+const MACHINE_SCAN_INTERVAL_MS = 500;
 
-/** What a term is led with. */
+/** The components that a term depends on. */
 export interface LeaderTermDependencies {
   readonly config: ConfigWatch;
   readonly election: Election;
   readonly lease: LeaderLease;
   readonly featureGate: FeatureGate;
-  /** Chooses where the records come from, given the source that reads all of them from the key-value store. */
+  /** Chooses the source of the records, given the one that reads all of them from the key-value store. */
   readonly chooseSource: (fullRead: RecordSource) => RecordSource;
 }
 
 /**
- * One term of a leader: the cluster state as the leader knows it, and everything that works on it. The term begins by
- * loading the records that earlier leaders left, and decides nothing before; it is dropped whole when it ends.
+ * One term of a leader: its cluster state and the components that work on it. A term starts by loading the records of
+ * earlier leaders and makes no decisions until they are loaded. All of its state is discarded when it ends.
  */
 export class LeaderTerm {
   readonly lease: LeaderLease;
@@ -55,7 +55,7 @@
   readonly provisioner: Provisioner;
   readonly migrator: ReplicaMigrator;
   readonly dependencies: DependencyGraph;
-  /** True once the term is over: what still runs of it must have no effect. */
+  /** True once the term has ended: callbacks that are still pending must have no effect. */
   hasEnded = false;
   readonly #ctx: Context;
   readonly #config: ConfigWatch;
@@ -66,10 +66,10 @@
   readonly #progress: ProgressPublisher;
   readonly #machineTypesRecord: MachineTypesRecord;
   readonly #machineModes: MachineModes;
-  /** True if something has changed that a scheduling round may act on. */
+  /** True if a change has occurred that a scheduling round may act on. */
   #isRoundNeeded = true;
   #lastRoundAt = 0;
-  #lastSurveyAt = Number.NEGATIVE_INFINITY;
+  #lastMachineScanAt = Number.NEGATIVE_INFINITY;
 
   constructor(ctx: Context, { config, election, lease, featureGate, chooseSource }: LeaderTermDependencies) {
     this.#ctx = ctx;
@@ -108,9 +108,9 @@
     this.#progress = new ProgressPublisher(ctx, cluster);
     this.#machineModes = new MachineModes(ctx, config, cluster, agents, scheduler);
     this.#machineTypesRecord = new MachineTypesRecord(ctx, config, lease);
-    const jobOwners = { cluster, agents, recordWriter, dependencies };
-    this.#jobLifecycle = new JobLifecycle(ctx, jobOwners, this.#jobLifecycleEvents());
-    this.#recovery = new ClusterRecovery(ctx, { ...jobOwners, scheduler });
+    const sharedDependencies = { cluster, agents, recordWriter, dependencies };
+    this.#jobLifecycle = new JobLifecycle(ctx, sharedDependencies, this.#jobLifecycleEvents());
+    this.#recovery = new ClusterRecovery(ctx, { ...sharedDependencies, scheduler });
     this.#jobWatch = new JobWatch(
       ctx,
       () => election.watchWaitMs,
@@ -157,12 +157,12 @@
     };
   }
 
-  /** Every change of a job's key before this time has been applied here (I1); null until the records are loaded. */
+  /** All changes of job keys before this time have been applied (I1); null until the records are loaded. */
   get cancellationsKnownThrough(): number | null {
     return this.#jobWatch.cancellationsKnownThrough;
   }
 
-  /** Ends the term: nothing of it is written, called or replied to from now on. */
+  /** Ends the term: from now on it writes no records, makes no calls and sends no replies. */
   end(): void {
     this.hasEnded = true;
     this.recordWriter.isStopped = true;
@@ -170,14 +170,14 @@
     this.provisioner.end();
   }
 
-  /* ---- loading what earlier leaders left ---- */
+  /* ---- loading the records of earlier leaders ---- */
 
   #onRecordsLoaded(records: StoredRecords): void {
     const placements = this.#recovery.restore(records, (entry) => this.applyJobRecord(entry));
     this.applyMachineModes();
     this.agents.areRecordsLoaded = true;
     this.#recovery.reconcileMachines();
-    this.#jobLifecycle.settleRestoredJobs();
+    this.#jobLifecycle.reconcileRestoredJobs();
     this.migrator.resume(this.#config.migration);
     this.#requestRound();
     this.#ctx.log("info", "leader ready", {
@@ -191,12 +191,12 @@
 
   /* ---- jobs and placements ---- */
 
-  /** Applies a job's key: from loading, from the watch, or straight from the node that wrote it. */
+  /** Applies a job's key from loading, from the watch, or directly from the node that wrote it. */
   applyJobRecord(entry: StoreEntry): void {
     this.#jobLifecycle.applyRecord(entry);
   }
 
-  /** A start is sent only once its placement is on record (I2). */
+  /** Sends the start commands of placements, which is allowed only once they are recorded (I2). */
   #sendRecordedStarts(placements: readonly Placement[]): void {
     for (const placement of placements) {
       if (placement.machine.placements.has(placement) && placement.observedState === null)
@@ -221,39 +221,39 @@
     this.recordWriter.markDirty(job, task, false);
     applyTaskOutcome(this.#ctx, this.recordWriter, placement, cause);
     if (breaksGang(placement, cause)) this.#stopRestOfGang(placement);
-    if (!this.migrator.onPlacementEnded(placement)) this.#jobLifecycle.finishIfOver(job);
+    if (!this.migrator.onPlacementEnded(placement)) this.#jobLifecycle.finalizeIfEnded(job);
   }
 
-  /** A gang runs whole or not at all. */
+  /** Stops the other tasks of a gang, as a gang runs only with all of its tasks. */
   #stopRestOfGang({ job }: Placement): void {
     for (const member of [...job.placements.values()]) {
-      if (!member.stop) this.agents.stopTask(member, 0, "its gang is broken");
+      if (!member.stop) this.agents.stopTask(member, 0, "another task of the gang failed or was lost");
     }
   }
 
-  /* ---- heartbeats, the passing of time ---- */
+  /* ---- heartbeats and ticks ---- */
 
-  /** The reply to an agent's heartbeat, which renews the agent's lease. */
+  /** Handles an agent's heartbeat. Returns the reply, which renews the agent's lease. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
     return this.agents.replyTo(heartbeat);
   }
 
-  /** Does what is due with time: leases, fencing, machines, migration, and a scheduling round. */
+  /** Runs time-driven work: leases, fencing, machines, migration, and a scheduling round if one is due. */
   tick(budget: TimeBudget): void {
     this.#jobWatch.tick();
     if (!this.agents.areRecordsLoaded) return;
     this.dependencies.tick();
     this.agents.sendQueuedFencing();
-    this.#surveyMachinesIfDue();
+    this.#scanMachinesIfDue();
     if (this.hasEnded) return;
     this.#runRoundIfDue(budget);
     this.#progress.tick();
   }
 
-  #surveyMachinesIfDue(): void {
+  #scanMachinesIfDue(): void {
     const { now } = this.#ctx;
-    if (now - this.#lastSurveyAt < SURVEY_INTERVAL_MS) return;
-    this.#lastSurveyAt = now;
+    if (now - this.#lastMachineScanAt < MACHINE_SCAN_INTERVAL_MS) return;
+    this.#lastMachineScanAt = now;
     this.agents.expireLeases();
     this.#machineModes.drain();
     if (this.hasEnded) return;
@@ -261,7 +261,7 @@
     if (this.#election.hasValidLease) this.migrator.tick();
   }
 
-  /** At the end of each batch: decides, writes records and sends commands, in this order (I2). */
+  /** Finishes a batch: runs a scheduling round if due, writes records, then sends commands, in this order (I2). */
   finishBatch(budget: TimeBudget): void {
     if (this.hasEnded || !this.agents.areRecordsLoaded) return;
     this.#runRoundIfDue(budget);
@@ -289,15 +289,15 @@
     this.#machineTypesRecord.write(types);
   }
 
-  /** Applies the modes that operators have set machines to; machines cordoned for failures stay so. */
+  /** Applies the machine modes set by operators. Machines cordoned for failures stay cordoned. */
   applyMachineModes(): void {
     this.#machineModes.apply();
     this.#requestRound();
   }
 
-  /* ---- what others ask ---- */
+  /* ---- queries ---- */
 
-  /** The indices of job and machine names in use, which must not be reclaimed. */
+  /** Returns the indices of job and machine names in use, which must not be reclaimed. */
   indicesInUse(): { jobs: Set<number>; machines: Set<number> } {
     const jobs = new Set(this.cluster.jobs.keys());
     for (const machine of this.cluster.machines.values()) {
@@ -306,21 +306,21 @@
     return { jobs, machines: new Set(this.cluster.machines.keys()) };
   }
 
-  /** By team, the longest wait in milliseconds; null where round-robin turns don't count. */
+  /** Returns the longest wait of each team in milliseconds; null if round-robin turns are disabled. */
   longestWaits(): ReadonlyMap<string, number> | null {
     const { turns } = this.scheduler;
     const { deployment, wallMs } = this.#ctx;
     return turns && longestWaitMsByTeam(turns, this.cluster.jobs.values(), deployment.teams, wallMs);
   }
 
-  /** How many tasks of a job are done and running; null for a job that this leader doesn't have. */
+  /** Returns the numbers of done and running tasks of a job; null if it is not in this leader's cluster state. */
   progressOf(uid: string): { done: number; running: number } | null {
     const job = this.cluster.jobByUid(uid);
     return job ? { done: job.doneCount, running: job.countRunning() } : null;
   }
 }
 
-/** A gang is broken once a member has failed or is lost before the job is complete. */
+/** True if a task failed or was lost before its gang completed, which breaks the gang. */
 function breaksGang({ job }: Placement, cause: ExitReason | "lost"): boolean {
   return job.spec.shape === "gang" && cause !== "done" && cause !== "stopped" && !job.isComplete;
 }
--- a/src/core/migration/migration-planner.ts
+++ b/src/core/migration/migration-planner.ts
@@ -36,7 +36,7 @@
   trackUtilization(): void {
     const { now, settings } = this.#ctx;
     for (const machine of this.#cluster.machines.values()) {
-      if (machine.phase === "up" && machine.bookedShare() < settings.move_low)
+      if (machine.phase === "up" && machine.allocatedCpuShare() < settings.move_low)
         machine.underutilizedSince ??= now;
       else machine.underutilizedSince = null;
     }
@@ -131,7 +131,7 @@
     const machineCpu = machine.type?.size.cpu ?? 0;
     if (machineCpu === 0) return null;
     const free = add(machine.freeCapacity(), need, -plannedReplicas);
-    const share = machine.bookedShare() + (need.cpu * plannedReplicas) / machineCpu;
+    const share = machine.allocatedCpuShare() + (need.cpu * plannedReplicas) / machineCpu;
     if (!fits(need, free) || share + need.cpu / machineCpu >= settings.move_high) return null;
     if (!zonesAllowMigration(job, from, machine)) return null;
     // The gap between the old copy and the new one is shorter where the image is.
--- a/src/core/migration/replica-migration.ts
+++ b/src/core/migration/replica-migration.ts
@@ -140,8 +140,8 @@
     to.reservedForMigration = add(to.reservedForMigration, job.spec.need);
     this.#ctx.log("info", "replica migration started", {
       ...recordFields(record),
-      from_share: from.bookedShare(),
-      to_share: to.bookedShare(),
+      from_share: from.allocatedCpuShare(),
+      to_share: to.allocatedCpuShare(),
       low_share: settings.move_low,
     });
     this.#recordWriter.writeMigration(record, () => {
--- a/src/core/model/cluster-state.ts
+++ b/src/core/model/cluster-state.ts
@@ -8,21 +8,21 @@
 import { add, NO_RESOURCES } from "./resources.js";
 
 /**
- * The cluster state: unfinished jobs, machines and the placements between them. Placements come and go here alone, so
- * that job, machine and quota usage always agree (I3).
+ * The cluster state: unfinished jobs, machines and the placements of tasks on machines. Placements are added and
+ * removed only here, so that job, machine and quota usage are always consistent (I3).
  */
 export class ClusterState {
   /** Unfinished jobs by index. */
   readonly jobs = new Map<number, Job>();
   /** Machines by index. */
   readonly machines = new Map<number, Machine>();
-  /** What the placements of each team use, by its name. */
+  /** Resources used by the placements of each team, by team name. */
   readonly teamUsage = new Map<string, Resources>();
-  /** The cloud's catalogue by name. */
+  /** The machine types of the cloud's catalogue by name. */
   readonly machineTypes = new Map<string, MachineType>();
-  /** Rises with every placement added or removed: what was computed before may be stale. */
+  /** Incremented with every placement added or removed: results computed before that may be stale. */
   placementChanges = 0;
-  /** When the cloud confirmed a machine's termination, by its name: late lists and heartbeats may still show it. */
+  /** When the cloud confirmed a termination, by machine name: late lists and heartbeats may still show the machine. */
   readonly terminatedMachines = new Map<string, number>();
   readonly names: NameRegistry;
 
@@ -30,7 +30,7 @@
     this.names = names;
   }
 
-  /** The machine of this name, which is added if it is not known; one that is known gets the address, if there is one. */
+  /** Returns the machine of this name, adding it if absent. Updates the address of an existing one if it is given. */
   ensureMachine(name: string, origin: MachineOrigin, createdAt: number): Machine {
     const index = this.names.machines.intern(name);
     const known = this.machines.get(index);
@@ -44,32 +44,32 @@
     return machine;
   }
 
-  /** Takes in the cloud's catalogue; types that it no longer lists stay known. */
+  /** Updates the machine types from the cloud's catalogue. Types that it no longer lists are kept. */
   setMachineTypes(types: readonly MachineType[]): void {
     for (const type of types) this.machineTypes.set(type.name, type);
     for (const machine of this.machines.values())
       machine.type = this.machineTypes.get(machine.typeName) ?? null;
   }
 
-  /** The unfinished job of this id, if there is one. */
+  /** Returns the unfinished job with this id, or undefined. */
   jobByUid(uid: string): Job | undefined {
     const index = this.names.jobs.find(uid);
     return index === undefined ? undefined : this.jobs.get(index);
   }
 
-  /** Adds a job that is not there yet. */
+  /** Adds a job, which must not be present yet. */
   addJob(spec: JobSpec, acceptedAt: number, version: number): Job {
     const job = new Job(this.names.jobs.intern(spec.uid), spec, acceptedAt, version);
     this.jobs.set(job.index, job);
     return job;
   }
 
-  /** Removes a machine whose placements have been removed before. */
+  /** Removes a machine, whose placements must have been removed first. */
   removeMachine(machine: Machine): void {
     this.machines.delete(machine.index);
   }
 
-  /** Binds a task to a machine, and counts what it uses. */
+  /** Binds a task to a machine and adds its resources to the usage. */
   addPlacement(placement: Placement): void {
     const { job, machine } = placement;
     job.addPlacement(placement);
@@ -78,7 +78,7 @@
     machine.idleSince = null;
   }
 
-  /** Removes a placement that has ended; one that was removed before is left as it is. */
+  /** Removes a placement that has ended. Has no effect if it was already removed. */
   removePlacement(placement: Placement, now: number): void {
     const { job, machine } = placement;
     if (!machine.placements.delete(placement)) return;
--- a/src/core/model/deployment.ts
+++ b/src/core/model/deployment.ts
@@ -1,25 +1,25 @@
 import type { Resources } from "./resources.js";
 
-/** The limits of the key-value store. */
+/** Limits of the key-value store. */
 export interface StoreLimits {
-  /** Requests and writes a second. */
+  /** Maximum requests and writes per second. */
   readonly rps: number;
   readonly writeRps: number;
   readonly valueBytes: number;
-  /** The size of a transaction. */
+  /** Maximum number of changes in a transaction. */
   readonly txnOps: number;
 }
 
 /** A team with its quota. */
 export interface Team {
   readonly name: string;
-  /** The guaranteed quota: what the team gets before others go beyond theirs. */
+  /** The guaranteed quota, which is served before other teams exceed theirs. */
   readonly guarantee: Resources;
-  /** The quota limit: the most that its tasks may use together; 0 means none is allowed. */
+  /** The quota limit: the maximum total usage of its tasks; 0 allows none. */
   readonly limit: Resources;
 }
 
-/** A machine type of the cloud's catalogue. It is stored in this form, so no field may be renamed. */
+/** A machine type of the cloud's catalogue. Stored in this form, so no field may be renamed. */
 export interface MachineType {
   readonly name: string;
   readonly size: Resources;
@@ -31,7 +31,7 @@
   readonly zones: readonly string[];
 }
 
-/** A service-level objective of the operators for the jobs of a class; fields that don't apply are null. */
+/** A service-level objective for the jobs of a class. Fields that do not apply are null. */
 export interface Objective {
   readonly kind: string;
   readonly jobClass: string | null;
@@ -39,7 +39,7 @@
   readonly share: number | null;
 }
 
-/** The deployment as the platform's settings file describes it. Durations are in seconds. */
+/** The deployment described by the platform's settings file. Durations are in seconds. */
 export interface Deployment {
   /** This node's name. */
   readonly node: string;
@@ -49,11 +49,11 @@
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
   readonly heartbeatIntervalS: number;
-  /** How long an agent goes on without a reply before it ends its tasks. */
+  /** Duration of an agent lease: without a reply for this long, an agent terminates its tasks. */
   readonly leaseS: number;
-  /** How long a task of a gang waits for the others to be ready. */
+  /** How long a task of a gang waits for the other tasks to become ready. */
   readonly gangWaitS: number;
-  /** Within what time the tasks of a running gang notice that one of them has disappeared. */
+  /** Maximum time for the tasks of a running gang to detect that one of them has disappeared. */
   readonly gangPeerS: number;
   /** How long after a confirmed cancellation a task of the job may still run. */
   readonly cancelS: number;
@@ -61,10 +61,10 @@
   readonly storeWriteRps: number;
   readonly valueBytes: number;
   readonly txnOps: number;
-  /** The limits that the key-value store will have from some moment on. */
+  /** Limits that will apply to the key-value store from an unspecified time on. */
   readonly nextStoreLimits?: StoreLimits | null;
-  /** Requests to the cloud a second. */
+  /** Maximum requests to the cloud per second. */
   readonly cloudRps: number;
-  /** By how much the cloud's list of machines usually lags. */
+  /** Typical lag of the cloud's machine list. */
   readonly listLagS: number;
 }
--- a/src/core/model/interner.ts
+++ b/src/core/model/interner.ts
@@ -1,6 +1,6 @@
 /**
- * Maps names to dense indices, which the core uses in place of names. An index that is reclaimed is reused two batches
- * later and no sooner: until then commands that were decoded before may still carry it.
+ * Maps names to dense indices, which the core uses instead of names. A reclaimed index is reused no sooner than two
+ * batches later, because commands that were decoded earlier may still contain it until then.
  */
 export class Interner {
   readonly #index = new Map<string, number>();
@@ -9,18 +9,18 @@
   /** The batch in which each index was last returned by `intern`. */
   readonly #internedInBatch: number[] = [];
   #batch = 0;
-  /** Reclaimed in the batch before the present one: free from the next batch on. */
+  /** Indices reclaimed in the previous batch, which become free in the next batch. */
   #reclaimedInPreviousBatch: number[] = [];
   #reclaimedInThisBatch: number[] = [];
 
-  /** The name of an index; throws a RangeError for an index that stands for none. */
+  /** Returns the name of an index; throws a RangeError if the index is not assigned. */
   nameOf(index: number): string {
     const name = this.#names[index];
-    if (name === undefined) throw new RangeError(`no name has index ${index}`);
+    if (name === undefined) throw new RangeError(`index ${index} is not assigned to a name`);
     return name;
   }
 
-  /** The index of a name, which gets one if it has none. */
+  /** Returns the index of a name, assigning one if necessary. */
   intern(name: string): number {
     const known = this.#index.get(name);
     if (known !== undefined) {
@@ -34,14 +34,14 @@
     return index;
   }
 
-  /** The index of a name; undefined if it has none. */
+  /** Returns the index of a name, or undefined if it has none. */
   find(name: string): number | undefined {
     return this.#index.get(name);
   }
 
   /**
-   * Reclaims every index that is not in use, save those that commands of this batch may carry: only when the commands
-   * have been processed is it known whether these are in use.
+   * Reclaims every index that is not in use, except those that commands of this batch may contain: whether these are in
+   * use is known only after the commands have been processed.
    */
   reclaim(inUse: ReadonlySet<number>): void {
     for (const [name, index] of this.#index) {
@@ -64,7 +64,7 @@
   }
 }
 
-/** The interners that the shell, which decodes and encodes, shares with the core. */
+/** The interners shared by the core and the shell, which decodes commands and encodes effects. */
 export class NameRegistry {
   readonly jobs = new Interner();
   readonly machines = new Interner();
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -1,77 +1,77 @@
 import type { JobSpec, Priority } from "./job-spec.js";
 import type { Placement } from "./placement.js";
 
-/** A job's state: "active" until it is cancelled or all of its tasks are done. */
+/** The state of a job: "active" until it is cancelled or all of its tasks are done. */
 export type JobState = "active" | "cancelled" | "done";
 
-/** The states of a task, in one byte each. */
+/** Task states, stored in one byte each. */
 const PENDING = 0;
 const PLACED = 1;
 const DONE = 2;
 
 /**
- * An unfinished job in the leader's cluster state. Each of its tasks is pending, placed or done; placements come and go
- * through `ClusterState` alone, which keeps machines and quotas in step.
+ * An unfinished job in the leader's cluster state. Each of its tasks is pending, placed or done. Placements are added
+ * and removed only through `ClusterState`, which keeps the usage of machines and quotas consistent.
  */
 export class Job {
-  /** The interner's index of its uid. */
+  /** Interner index of the uid. */
   readonly index: number;
   readonly uid: string;
   readonly spec: JobSpec;
-  /** Wall time of its submission, in ms. */
+  /** Wall time of submission, in ms. */
   readonly acceptedAt: number;
-  /** The version of its key: writes of it depend on that (I5). */
+  /** Version of the job's key: writes of the key are conditioned on it (I5). */
   version: number;
   state: JobState = "active";
-  /** No task of it is placed before this time, after failures. */
+  /** After failures, no task of the job is placed before this time. */
   backoffUntil = 0;
-  /** Preemption-protected until then against all but production jobs, since it waited long before it began. */
+  /** Until this time only production jobs may preempt this job, because it waited long before it started. */
   protectedUntil = 0;
-  /** Why tasks of it are pending as of the last scheduling round, in words for the operators. */
+  /** The pending reason as of the last scheduling round, as text for operators. */
   pendingReason: string | null = null;
-  /** The pending reasons logged so far: reasons alternate from round to round, and each is logged once. */
+  /** The pending reasons logged so far. Each is logged once, because reasons alternate between rounds. */
   readonly loggedReasons = new Set<string>();
-  /** True if a record of its placements can't be read: no task of it may be started, as any may be running. */
+  /** True if a placement record of the job is unreadable: no task may be started, as any may be running. */
   hasUnreadableRecord = false;
-  /** Failed tasks since a task was last done. */
+  /** Number of failed tasks since a task was last done. */
   failures = 0;
-  /** Indices of the machines on which tasks of it have failed. */
+  /** Indices of machines on which tasks of the job have failed. */
   readonly failedMachines = new Set<number>();
   /** The active placements by task number. */
   readonly placements = new Map<number, Placement>();
-  /** How many tasks are done. */
+  /** Number of tasks that are done. */
   doneCount = 0;
-  /** When the last placement of a task that ran was removed; minus infinity if none was. */
+  /** When a placement whose task had run was last removed; minus infinity if never. */
   lastRanAt = Number.NEGATIVE_INFINITY;
-  /** True once the write that ends it is queued (I8). */
+  /** True once the write of the job's final record is queued (I8). */
   isFinalRecordQueued = false;
-  /** Since when scheduling rounds have found no place for a task of it. */
+  /** Since when scheduling rounds have found no machine for a task of the job. */
   blockedSince: number | null = null;
-  /** True if no job of its class and team has begun for some time, and it is the oldest of them. */
+  /** True if no job of its class and team has started for some time and it is the oldest of them. */
   hasRoundRobinTurn = false;
-  /** Machines' free capacity may be reserved for it until then. */
+  /** Until when free capacity of machines may be reserved for the job. */
   reservationUntil = 0;
-  /** When preemption was last tried for it in vain: it is not tried again at once. */
+  /** When preemption last failed for the job; it is not retried immediately. */
   preemptionTriedAt = Number.NEGATIVE_INFINITY;
-  /** Tasks are being preempted for it: no more are before this time. */
+  /** Tasks are being preempted for the job: no further ones are preempted before this time. */
   preemptionUntil = 0;
-  /** For a gang, until when it waits for capacity on machines that cache its image; null if it has not tried. */
+  /** For a gang, until when it waits for capacity on machines that cache its image; null before its first try. */
   imageWaitUntil: number | null = null;
-  /** The versions of its placement records (chunks) by key: writes of them depend on these (I5). */
+  /** Versions of its placement records (chunks) by key: writes of the chunks are conditioned on them (I5). */
   readonly chunkVersions = new Map<string, number>();
-  /** Tasks in the smallest of its chunks: where chunks overlap the smaller one is right, so none may grow again. */
+  /** Task count of its smallest chunk. Where chunks overlap, the smaller one is correct, so none may grow again. */
   chunkTasks = Number.POSITIVE_INFINITY;
-  /** Wall time of its end in ms, as in its final record. */
+  /** Wall time of the end in ms, as in the final record. */
   endedAt: number | null = null;
   /** Its own priority or, if higher, that of a job that depends on it. */
   effectivePriority: Priority;
-  /** Wall time in ms by which it should be done, for its own deadline or for one of a job that depends on it. */
+  /** Deadline as wall time in ms, from its own deadline or that of a job that depends on it. */
   effectiveDeadlineAt: number | null;
-  /** How many unfinished jobs depend on it. */
+  /** Number of unfinished jobs that depend on it. */
   dependentCount = 0;
-  /** False while a job that it depends on is not on record as done: until then it is not queued. */
+  /** False while a dependency is not recorded as done: until then the job is not queued. */
   dependenciesSatisfied: boolean;
-  /** Wall time in ms from which its waiting counts: its acceptance or, if later, the end of its last dependency. */
+  /** Wall time in ms from which its wait is counted: acceptance or, if later, the end of its last dependency. */
   queuedSince: number;
   /** PENDING, PLACED or DONE by task number. */
   readonly #taskStates: Uint8Array;
@@ -91,7 +91,7 @@
     this.#taskStates = new Uint8Array(spec.tasks);
   }
 
-  /** How many tasks may be placed now: none while dependencies are not satisfied. */
+  /** The number of tasks that may be placed now; 0 while dependencies are not satisfied. */
   get pendingCount(): number {
     return this.state === "active" && this.dependenciesSatisfied
       ? this.spec.tasks - this.doneCount - this.placements.size
@@ -108,7 +108,7 @@
     return this.#taskStates[task] === DONE;
   }
 
-  /** The lowest number of a pending task; null if there is none. */
+  /** Returns the lowest number of a pending task; null if there is none. */
   nextPending(): number | null {
     for (let task = this.#firstPendingHint; task < this.#taskStates.length; task++) {
       if (this.#taskStates[task] === PENDING) {
@@ -120,13 +120,13 @@
     return null;
   }
 
-  /** Called by `ClusterState.addPlacement` alone. */
+  /** Must be called only by `ClusterState.addPlacement`. */
   addPlacement(placement: Placement): void {
     this.placements.set(placement.task, placement);
     if (this.#taskStates[placement.task] === PENDING) this.#taskStates[placement.task] = PLACED;
   }
 
-  /** Called by `ClusterState.removePlacement` alone: the task is pending again, unless it is done. */
+  /** Must be called only by `ClusterState.removePlacement`. The task becomes pending again unless it is done. */
   removePlacement({ task, runningSince }: Placement, now: number): void {
     this.placements.delete(task);
     if (runningSince !== null) this.lastRanAt = now;
@@ -136,14 +136,14 @@
     }
   }
 
-  /** Marks a task as done for good. Numbers beyond the job's tasks, and repeats, have no effect. */
+  /** Marks a task as permanently done. Has no effect for out-of-range numbers or tasks that are already done. */
   markDone(task: number): void {
     if (task >= this.#taskStates.length || this.#taskStates[task] === DONE) return;
     this.#taskStates[task] = DONE;
     this.doneCount++;
   }
 
-  /** How many tasks are running, those that write a checkpoint before they stop included. */
+  /** Returns the number of running tasks, including those that write a checkpoint before they stop. */
   countRunning(): number {
     let count = 0;
     for (const { observedState } of this.placements.values())
@@ -151,7 +151,7 @@
     return count;
   }
 
-  /** How many tasks are placed in a zone. */
+  /** Returns the number of tasks placed in a zone. */
   countInZone(zone: string): number {
     let count = 0;
     for (const { machine } of this.placements.values()) if (machine.zone === zone) count++;
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -5,108 +5,110 @@
 import type { Resources } from "./resources.js";
 import { fits, NO_RESOURCES } from "./resources.js";
 
-/** True if a task of this job may run on an empty machine of this type. */
+/** True if a task of the job may run on an empty machine of the type. */
 export function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return fits(spec.need, type.size) && (spec.types === null || spec.types.includes(type.name));
 }
 
-/** An image that a machine is taken to have in its cache, or to be fetching. */
+/** An image that is assumed to be in the cache of a machine or being fetched. */
 export interface CachedImage {
-  /** When it is fetched, by estimate. */
+  /** Estimated time at which the fetch is complete. */
   readyAt: number;
   usedAt: number;
   gb: number;
 }
 
 /**
- * Whether a machine takes tasks, as the operators have set it; faulty machines are drained, too. "cordon" lets run what
- * is there and takes nothing new; "drain" also evicts, and the machine is terminated once it is empty.
+ * Whether a machine accepts tasks, as set by operators; faulty machines are also drained. "cordon" keeps running tasks
+ * but accepts no new ones; "drain" also evicts tasks, and the machine is terminated once it is empty.
  */
 export type MachineMode = "open" | "cordon" | "drain";
 
-/** Where a machine is and what it is, as its agent's heartbeat or the cloud says. */
+/** Location and type of a machine, from its agent's heartbeat or from the cloud. */
 export interface MachineOrigin {
-  /** Of its agent; empty where it is not known yet. */
+  /** Address of the agent; empty if not known yet. */
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** A machine in the leader's cluster state: what its agent reports, what is placed there, what it is needed for. */
+/** A machine in the leader's cluster state: the state reported by its agent, its placements and reservations. */
 export class Machine {
-  /** The interner's index of its name. */
+  /** Interner index of the name. */
   readonly index: number;
   readonly name: string;
-  /** Of its agent; empty where it is not known yet. */
+  /** Address of the agent; empty if not known yet. */
   address: string;
   typeName: string;
-  /** Null while the cloud's catalogue has no type of that name. */
+  /** Null while the cloud's catalogue has no type of this name. */
   type: MachineType | null = null;
   zone: string;
   spot: boolean;
-  /** booting: no heartbeat has come yet; up: its agent has reported; releasing: marked for termination. */
+  /** booting: no heartbeat received yet; up: the agent has sent a heartbeat; releasing: marked for termination. */
   phase: "booting" | "up" | "releasing" = "booting";
-  /** Of the newest heartbeat (I4); 0 before the first. */
+  /** The agent's incarnation in the newest heartbeat (I4); 0 before the first. */
   incarnation = 0;
   sequence = -1;
-  /** The highest fencing token that its agent had seen by the newest heartbeat. */
+  /** The highest fencing token seen by the agent, as of the newest heartbeat. */
   fencingToken = 0;
-  /** When the last heartbeat came. Replies to direct commands don't count (I7): an agent that reaches no node expires. */
+  /**
+   * When the last heartbeat was received. Replies to direct commands do not count (I7): the lease of an agent that
+   * reaches no node must expire.
+   */
   heartbeatAt = Number.NEGATIVE_INFINITY;
-  /** When a heartbeat was last answered, which renews the agent's lease. */
+  /** When a heartbeat was last replied to, which renews the agent's lease. */
   repliedAt = Number.NEGATIVE_INFINITY;
-  /** When its agent was first seen to carry a fencing token of this term; null until then. */
+  /** When the agent first reported a fencing token of this term; null until then. */
   fencedAt: number | null = null;
-  /** Since when the effect of something sent to its agent is awaited in a heartbeat; null if nothing is awaited. */
+  /** Since when a heartbeat is awaited that acknowledges something sent to the agent; null if none is awaited. */
   acknowledgementAwaitedSince: number | null = null;
-  /** Since when nothing sent to its agent has an effect (I7): nothing is placed here; terminated if this lasts. */
+  /** Since when nothing sent to the agent takes effect (I7): no task is placed here; terminated if this persists. */
   unreachableSince: number | null = null;
-  /** When the first heartbeat of the present incarnation came. */
+  /** When the first heartbeat of the current incarnation was received. */
   incarnationSince = Number.NEGATIVE_INFINITY;
-  /** True from the expiry of its agent's lease to the next heartbeat: no task runs here, and none is placed here. */
+  /** True from the expiry of the agent's lease until the next heartbeat: no task runs or is placed here. */
   isLeaseExpired = false;
-  /** When the cloud reclaims it by its interruption notice; null without one. */
+  /** When the cloud reclaims it according to its interruption notice; null without one. */
   reclaimDueAt: number | null = null;
   mode: MachineMode = "open";
   readonly placements = new Set<Placement>();
-  /** What its placements use. */
+  /** Resources used by its placements. */
   used: Resources = NO_RESOURCES;
-  /** The same by the placements' priority. */
+  /** Resources used by its placements, by placement priority. */
   readonly usedByPriority: Resources[] = [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES];
-  /** What is kept free for a replica that is about to migrate here. */
+  /** Resources reserved for a replica that is about to migrate here. */
   reservedForMigration: Resources = NO_RESOURCES;
-  /** What is used by reported tasks without a placement. */
+  /** Resources used by reported tasks that have no placement. */
   usedByUnknownTasks: Resources = NO_RESOURCES;
   /** The newest heartbeat. */
   heartbeat: Heartbeat | null = null;
-  /** Its image cache, as far as it can be told, by image name. */
+  /** Estimated content of its image cache, by image name. */
   readonly images = new Map<string, CachedImage>();
-  /** When it was created. */
   createdAt: number;
-  /** Since when nothing runs on it; null while something does. */
+  /** Since when no task runs here; null while one does. */
   idleSince: number | null = null;
-  /** One of more GPU machines than are needed: nothing without GPUs is placed here; terminated once it is empty. */
+  /** A surplus GPU machine: tasks that need no GPU are not placed here, and it is terminated once it is empty. */
   isMarkedForScaleIn = false;
-  /** The job that its free capacity is reserved for. */
+  /** Reservation of its free capacity for a job. */
   reservation: Reservation | null = null;
-  /** Since when little enough runs on it for its replicas to be migrated away. */
+  /** Since when its utilization is low enough for its replicas to be migrated away. */
   underutilizedSince: number | null = null;
-  /** Nothing is placed on it before this time, after a refused start. */
+  /** After a rejected start, no task is placed here before this time. */
   backoffUntil = 0;
-  /** Failed tasks since a task was last done here. */
+  /** Number of failed tasks since a task was last done here. */
   failures = 0;
-  /** Indices of the jobs of which tasks have failed here. */
+  /** Indices of jobs whose tasks have failed here. */
   readonly failedJobs = new Set<number>();
-  /** The machine record that lists it as of the last write; null if none does. */
+  /** Index of the machine record that contains it as of the last write; null if none does. */
   recordIndex: number | null = null;
-  /** True while a command batch was sent directly whose reply has not come. */
+  /** True while a directly sent command batch awaits its reply. */
   isCommandInFlight = false;
-  /** No command batch is sent directly before this time, after one without a reply. */
+  /** After a command batch without a reply, none is sent directly before this time. */
   commandRetryAt = 0;
-  /** The cloud is not asked to terminate it before this time, after a request that failed. */
+  /** After a failed termination request to the cloud, none is sent before this time. */
   terminationRetryAt = 0;
-  /** Why it is marked for termination. */
+  /** Why the machine is marked for termination. */
   terminationReason: string | null = null;
 
   constructor(index: number, name: string, origin: MachineOrigin, createdAt: number) {
@@ -120,10 +122,10 @@
   }
 
   /**
-   * True if a task fits beside what is here.
+   * True if a task fits in the free capacity.
    *
-   * @param need What the task needs.
-   * @param preemptibleBelow Placements of a lower priority than this count as free.
+   * @param need Resources required by the task.
+   * @param preemptibleBelow Resources used by placements of a lower priority than this count as free.
    */
   hasCapacityFor(need: Resources, preemptibleBelow = 0): boolean {
     const { used, reservedForMigration: reserved, usedByUnknownTasks: unknown } = this;
@@ -142,7 +144,7 @@
     );
   }
 
-  /** What is free beside placements, the pending migration and unknown tasks; nothing if its type is not known. */
+  /** Capacity not used by placements, the pending migration or unknown tasks; none if the type is not known. */
   freeCapacity(): Resources {
     const size = this.type?.size ?? NO_RESOURCES;
     return {
@@ -152,14 +154,14 @@
     };
   }
 
-  /** The share of its CPUs that is in use or kept for the pending migration; 1 if its type is not known. */
-  bookedShare(): number {
+  /** The share of CPU in use or reserved for the pending migration; 1 if the type is not known. */
+  allocatedCpuShare(): number {
     const cpu = this.type?.size.cpu ?? 0;
     return cpu > 0 ? (this.used.cpu + this.reservedForMigration.cpu + this.usedByUnknownTasks.cpu) / cpu : 1;
   }
 
-  /** The share of its CPUs that placements of one priority use; 1 if its type is not known. */
-  bookedShareOf(priority: number): number {
+  /** The share of CPU used by placements of one priority; 1 if the type is not known. */
+  allocatedCpuShareOf(priority: number): number {
     const cpu = this.type?.size.cpu ?? 0;
     return cpu > 0 ? (this.usedByPriority[priority]?.cpu ?? 0) / cpu : 1;
   }
--- a/src/core/model/placement.ts
+++ b/src/core/model/placement.ts
@@ -2,40 +2,40 @@
 import type { Priority, TaskState } from "./job-spec.js";
 import type { Machine } from "./machine.js";
 
-/** Keeps a machine's free capacity for a job, until the job uses it or the reservation expires. */
+/** Reserves the free capacity of a machine for a job until the job uses it or the reservation expires. */
 export interface Reservation {
   readonly job: Job;
-  /** True if it holds against jobs of any priority. */
+  /** True if it applies to jobs of any priority, even a higher one. */
   readonly isFirm: boolean;
-  /** When it expires. */
+  /** Expiry of the reservation. */
   readonly until: number;
 }
 
-/** A task bound to a machine. It holds its task, quota, zone and capacity until it is proved to have ended (I3). */
+/** A task bound to a machine. It occupies the task, quota, zone and capacity until it is proved to have ended (I3). */
 export interface Placement {
   readonly job: Job;
-  /** The task's number within its job. */
+  /** Task number within the job. */
   readonly task: number;
   readonly machine: Machine;
-  /** The agent's incarnation that the task was placed on: a later one proves that it has ended. */
+  /** The incarnation of the agent when the task was placed; a later one proves that the task has ended. */
   readonly incarnation: number;
-  /** The attempt number, which carries the fencing token of its start. */
+  /** The attempt number, which contains the fencing token of the start. */
   readonly attempt: number;
   readonly placedAt: number;
-  /** The effective priority of its job when it was placed. */
+  /** The effective priority of the job at the time of placement. */
   readonly priority: Priority;
-  /** True once it is on record in the key-value store: nothing is sent to the agent before. */
+  /** True once it is recorded in the key-value store; nothing is sent to the agent before that. */
   isRecorded: boolean;
-  /** Its job was not cancelled at this time: the write of its record depended on that (I2). */
+  /** The job was not cancelled as of this time, which was a condition of the write of the record (I2). */
   notCancelledAsOf: number;
-  /** The state that its agent last reported; null while no heartbeat has listed it. */
+  /** The state last reported by the agent; null until a heartbeat lists the task. */
   observedState: TaskState | null;
-  /** The highest fencing token that this leader sent a start of it under; 0 if it has sent none. */
+  /** The highest fencing token under which this leader sent a start; 0 if it has sent none. */
   startSentUnder: number;
   /** When the start was last sent. */
   startSentAt: number;
-  /** When it was first observed running. */
+  /** When the task was first observed running. */
   runningSince: number | null;
-  /** The stop asked for: when, when it was last sent, and how many seconds the task has to write a checkpoint. */
+  /** The requested stop: the checkpoint grace period, when it was requested and last sent, and the reason. */
   stop: { graceS: number; at: number; sentAt: number; reason: string } | null;
 }
--- a/src/core/model/resources.ts
+++ b/src/core/model/resources.ts
@@ -1,6 +1,6 @@
 /**
- * Amounts of the resources that tasks need and machines offer: thousandths of a core, of a GPU and of a GB.
- * They are whole numbers, so that sums never drift.
+ * Resources that tasks require and machines offer, in thousandths of a core, of a GPU and of a GB.
+ * The amounts are integers, so that sums accumulate no rounding errors.
  */
 export interface Resources {
   readonly cpu: number;
@@ -8,20 +8,20 @@
   readonly ram: number;
 }
 
-/** Nothing of any resource. */
+/** Zero of each resource. */
 export const NO_RESOURCES: Resources = { cpu: 0, gpu: 0, ram: 0 };
 
-/** What a task needs, rounded up to whole thousandths, so that a sum never understates it. */
+/** Resources required by a task, rounded up to whole thousandths so that sums never understate them. */
 export function roundUpDemand(cpu: number, gpu: number, ram: number): Resources {
   return { cpu: thousandthsUp(cpu), gpu: thousandthsUp(gpu), ram: thousandthsUp(ram) };
 }
 
-/** What a machine or a quota offers, rounded down to whole thousandths. */
+/** Resources offered by a machine or quota, rounded down to whole thousandths. */
 export function roundDownCapacity(cpu: number, gpu: number, ram: number): Resources {
   return { cpu: thousandthsDown(cpu), gpu: thousandthsDown(gpu), ram: thousandthsDown(ram) };
 }
 
-/** 1.1 * 1000 is slightly above 1100: the rounding error of the product must not count as a thousandth. */
+/** 1.1 * 1000 is slightly above 1100; this rounding error must not be rounded up to a thousandth. */
 const ROUNDING_ERROR = 1e-6;
 
 function thousandthsUp(amount: number): number {
@@ -32,7 +32,7 @@
   return Math.floor(amount * 1000 + ROUNDING_ERROR);
 }
 
-/** `a + factor * b`, resource by resource; -1 subtracts. */
+/** Returns `a + factor * b` for each resource; a factor of -1 subtracts. */
 export function add(a: Resources, b: Resources, factor = 1): Resources {
   return {
     cpu: a.cpu + b.cpu * factor,
@@ -41,12 +41,12 @@
   };
 }
 
-/** True if the capacity has at least what is needed of every resource. */
+/** True if the capacity covers the need for every resource. */
 export function fits(need: Resources, capacity: Resources): boolean {
   return need.cpu <= capacity.cpu && need.gpu <= capacity.gpu && need.ram <= capacity.ram;
 }
 
-/** How many tasks of this need fit into the capacity together; infinite for a need of nothing. */
+/** Returns how many tasks with this need fit into the capacity; infinity if the need is zero. */
 export function countFitting(need: Resources, capacity: Resources): number {
   let count = Number.POSITIVE_INFINITY;
   if (need.cpu > 0) count = Math.min(count, Math.floor(capacity.cpu / need.cpu));
--- a/src/core/model/store-limits.ts
+++ b/src/core/model/store-limits.ts
@@ -1,17 +1,17 @@
 import type { Deployment, StoreLimits } from "./deployment.js";
 
-/** How long the lower write rate is kept to after the store has refused a call for its rate. */
+/** How long the lower write rate applies after the store has throttled a call. */
 const THROTTLED_MS = 60_000;
-/** The share of the present write rate that is used meanwhile if no lower rate is known. */
+/** The fraction of the current write rate to use while throttled if no next write rate is known. */
 const THROTTLED_SHARE = 0.7;
 
-/** Conditions that a transaction may have, per change that it may have. */
+/** Allowed conditions per allowed change of a transaction. */
 const CONDITIONS_PER_CHANGE = 4;
 
 /**
- * The limits that requests to the store keep to. The present ones may be replaced by the next ones at any moment, so
- * sizes and counts keep to the smaller of both from the start: the replacement is then no event. The write rate is the
- * present one until the store throttles.
+ * The limits applied to requests to the store. The current limits may be replaced by the next ones at any time, so
+ * sizes and counts use the smaller of both from the start, and the replacement needs no handling. The current write
+ * rate applies until the store throttles.
  */
 export class EffectiveStoreLimits {
   readonly #present: Omit<StoreLimits, "rps">;
@@ -23,35 +23,35 @@
     this.#next = nextStoreLimits ?? null;
   }
 
-  /** The most bytes of one encoded value. */
+  /** Maximum size of an encoded value, in bytes. */
   get valueBytes(): number {
     return Math.min(this.#present.valueBytes, this.#next?.valueBytes ?? Number.POSITIVE_INFINITY);
   }
 
-  /** The most changes of one transaction. */
+  /** Maximum number of changes in a transaction. */
   get txnOps(): number {
     return Math.min(this.#present.txnOps, this.#next?.txnOps ?? Number.POSITIVE_INFINITY);
   }
 
-  /** The most conditions of one transaction. */
+  /** Maximum number of conditions in a transaction. */
   get txnConditions(): number {
     return this.txnOps * CONDITIONS_PER_CHANGE;
   }
 
-  /** The most changes a second, by all nodes together, at this time. */
+  /** Maximum number of changes per second at this time, for all nodes together. */
   writeRps(now: number): number {
     const { writeRps } = this.#present;
     if (now >= this.#throttledUntil) return writeRps;
     return Math.min(writeRps, this.#next?.writeRps ?? writeRps * THROTTLED_SHARE);
   }
 
-  /** Lowers the write rate for a while: the store has refused a call for its rate. */
+  /** Lowers the write rate for a while after the store has throttled a call. */
   onThrottled(now: number): void {
     this.#throttledUntil = now + THROTTLED_MS;
   }
 }
 
-/** The size of a value as the store counts it: the UTF-8 bytes of its JSON text. */
+/** Returns the size of a value as counted by the store: the UTF-8 length of its JSON text in bytes. */
 export function encodedBytes(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
--- a/src/core/peer-heartbeat-sender.ts
+++ b/src/core/peer-heartbeat-sender.ts
@@ -9,17 +9,17 @@
 
 const HEARTBEAT_INTERVAL_MS = 1000;
 
-/** What the heartbeats tell of. */
+/** The components whose state is sent in heartbeats. */
 export interface PeerHeartbeatSources {
   readonly config: ConfigWatch;
   readonly election: Election;
   readonly heartbeatRouter: HeartbeatRouter;
   readonly failover: Failover;
-  /** Null where fair admission is not switched on. */
+  /** Null if fair admission is disabled. */
   readonly admission: Admission | null;
 }
 
-/** Sends this node's state to every peer once a second, and sooner when leadership has changed. */
+/** Sends this node's state to every peer once per second, and immediately after a change of leadership. */
 export class PeerHeartbeatSender {
   readonly #ctx: Context;
   readonly #sources: PeerHeartbeatSources;
@@ -30,12 +30,12 @@
     this.#sources = sources;
   }
 
-  /** Is it time for the next heartbeats? */
+  /** True if the next heartbeats are due. */
   get isDue(): boolean {
     return this.#ctx.now - this.#sentAt >= HEARTBEAT_INTERVAL_MS;
   }
 
-  /** Makes the next heartbeats due at once. */
+  /** Makes the next heartbeats due immediately. */
   expedite(): void {
     this.#sentAt = Number.NEGATIVE_INFINITY;
   }
--- a/src/core/peer-message-handler.ts
+++ b/src/core/peer-message-handler.ts
@@ -7,19 +7,19 @@
 import type { PeerTable } from "./peer-table.js";
 import type { FeatureGate } from "./store/feature-gate.js";
 
-/** Who takes note of what peers send. */
+/** The components that process messages from peers. */
 export interface PeerMessageReceivers {
   readonly peers: PeerTable;
   readonly election: Election;
   readonly featureGate: FeatureGate;
   readonly progress: ProgressCounts;
-  /** Null where fair admission is not switched on. */
+  /** Null if fair admission is disabled. */
   readonly admission: Admission | null;
-  /** Applies a job's key on the leader; without effect on other nodes. */
+  /** Applies a job's key on the leader; has no effect on other nodes. */
   readonly applyJobRecord: (entry: StoreEntry) => void;
 }
 
-/** Job records, heartbeats and progress between peers. No safety rule depends on any of them. */
+/** Dispatches job records, heartbeats and progress from peers. No safety rule depends on these messages. */
 export class PeerMessageHandler {
   readonly #ctx: Context;
   readonly #receivers: PeerMessageReceivers;
@@ -29,7 +29,7 @@
     this.#receivers = receivers;
   }
 
-  /** Takes note of a message, unless it comes from a node that is no peer by the deployment. */
+  /** Processes a message, or ignores it if the sender is not a peer in the deployment. */
   onMessage(from: string, message: PeerMessage): void {
     const { peers, progress, applyJobRecord } = this.#receivers;
     if (!peers.has(from)) return;
@@ -45,7 +45,7 @@
         break;
       case "forwardedHeartbeats":
       case "forwardedReplies":
-        // Not for the core: the shell takes them itself, and brings forwarded heartbeats as commands.
+        // Handled by the shell, which passes forwarded heartbeats to the core as commands.
         break;
       default:
         message satisfies never;
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Sends a job's key that this node has written to the leader. A cancellation goes to every peer: any of them may lead,
-   * or still reply to agents, without this node's knowing.
+   * Sends a job's key that this node has written to the leader. A cancellation is sent to every peer, because any of
+   * them may have become leader, or may still reply to agents, before this node is notified.
    */
   sendJobRecord(entry: StoreEntry, isCancellation: boolean, leader: string | null): void {
     for (const to of this.#ctx.deployment.peers) {
--- a/src/core/peer-table.ts
+++ b/src/core/peer-table.ts
@@ -2,105 +2,106 @@
 import type { Context } from "./context.js";
 import type { PeerHeartbeat } from "./messages/peers.js";
 
-/** A peer counts as heard for so long after its last heartbeat. */
-const HEARD_MS = 3500;
-/** A peer last heard speaking an older protocol counts as running for so long. */
-const OLDER_PEER_MS = 15_000;
+/** A peer counts as alive for this long after its last heartbeat. */
+const PEER_TIMEOUT_MS = 3500;
+/** A peer with an older protocol version counts as running for this long after its last heartbeat. */
+const OLDER_PEER_TIMEOUT_MS = 15_000;
 
 interface Peer {
-  heardAt: number;
-  /** As of its last heartbeat: the key-value store serves it. */
+  lastHeartbeatAt: number;
+  /** Whether the peer could use the key-value store, as of its last heartbeat. */
   storeHealthy: boolean;
-  /** As of its last heartbeat: how many agents it hears. */
+  /** The number of agents whose heartbeats the peer received, as of its last heartbeat. */
   agentsHeard: number;
   /** True while messages can be sent to it. */
   isLinkUp: boolean;
-  /** Undefined for a peer that can't stand by. */
+  /** State of its standby cache; undefined for a peer that reports none. */
   standby: Warmth | undefined;
 }
 
-/** What this node knows of its peers, by their heartbeats and the links to them. */
+/** The state of the peers, from their heartbeats and the state of the links to them. */
 export class PeerTable {
   readonly #ctx: Context;
   readonly #peers: ReadonlyMap<string, Peer>;
 
   constructor(ctx: Context) {
     this.#ctx = ctx;
-    const neverHeard = (): Peer => ({
-      heardAt: Number.NEGATIVE_INFINITY,
+    const initialPeer = (): Peer => ({
+      lastHeartbeatAt: Number.NEGATIVE_INFINITY,
       storeHealthy: false,
       agentsHeard: 0,
       isLinkUp: false,
       standby: undefined,
     });
-    this.#peers = new Map(ctx.deployment.peers.map((name) => [name, neverHeard()]));
+    this.#peers = new Map(ctx.deployment.peers.map((name) => [name, initialPeer()]));
   }
 
-  /** Is this node a peer by the deployment? */
+  /** True if the deployment lists this node as a peer. */
   has(node: string): boolean {
     return this.#peers.has(node);
   }
 
-  /** The link to a peer has come up or gone down. */
+  /** Records that the link to a peer has come up or gone down. */
   onLinkChanged(node: string, up: boolean): void {
     const peer = this.#peers.get(node);
     if (peer) peer.isLinkUp = up;
   }
 
-  /** Takes note of a peer's heartbeat. */
+  /** Records the state from a peer's heartbeat. */
   onHeartbeat(node: string, { storeHealthy, agentsHeard, standby }: PeerHeartbeat): void {
     const peer = this.#peers.get(node);
     if (!peer) return;
-    peer.heardAt = this.#ctx.now;
+    peer.lastHeartbeatAt = this.#ctx.now;
     peer.storeHealthy = storeHealthy;
     peer.agentsHeard = agentsHeard;
     peer.standby = standby;
   }
 
-  #isHeard(peer: Peer): boolean {
-    return this.#ctx.now - peer.heardAt < HEARD_MS;
+  #isAlive(peer: Peer): boolean {
+    return this.#ctx.now - peer.lastHeartbeatAt < PEER_TIMEOUT_MS;
   }
 
-  #isAnyHeard(condition: (peer: Peer) => boolean): boolean {
-    return [...this.#peers.values()].some((peer) => this.#isHeard(peer) && condition(peer));
+  #isAnyAlive(condition: (peer: Peer) => boolean): boolean {
+    return [...this.#peers.values()].some((peer) => this.#isAlive(peer) && condition(peer));
   }
 
-  /** True if this node has peers and hears none of them. */
+  /** True if this node has peers but receives heartbeats from none of them. */
   get isIsolated(): boolean {
-    return this.#peers.size > 0 && !this.#isAnyHeard(() => true);
+    return this.#peers.size > 0 && !this.#isAnyAlive(() => true);
   }
 
-  /** Does a peer that is heard say that the key-value store serves it? */
+  /** True if a live peer reports that it can use the key-value store. */
   get isStoreReachableByAny(): boolean {
-    return this.#isAnyHeard(({ storeHealthy }) => storeHealthy);
+    return this.#isAnyAlive(({ storeHealthy }) => storeHealthy);
   }
 
-  /** Does a peer that is heard say that it hears agents? */
-  get areAgentsHeardByAny(): boolean {
-    return this.#isAnyHeard(({ agentsHeard }) => agentsHeard > 0);
+  /** True if a live peer reports that it receives agent heartbeats. */
+  get areAgentsReportingToAny(): boolean {
+    return this.#isAnyAlive(({ agentsHeard }) => agentsHeard > 0);
   }
 
-  /** True for a peer that is heard and that messages can be sent to. */
-  canReceive(node: string): boolean {
+  /** True for a live peer to which the link is up. */
+  isReachable(node: string): boolean {
     const peer = this.#peers.get(node);
-    return peer?.isLinkUp === true && this.#isHeard(peer);
+    return peer?.isLinkUp === true && this.#isAlive(peer);
   }
 
-  /** True while a node that is yet to be upgraded may lead: it would start jobs whose dependencies are not satisfied. */
+  /** True while a node of the previous version may lead: it would start jobs with unsatisfied dependencies. */
   isAnyOlderAlive(isOlder: (node: string) => boolean): boolean {
     return [...this.#peers].some(
-      ([node, { heardAt }]) => isOlder(node) && this.#ctx.now - heardAt < OLDER_PEER_MS,
+      ([node, { lastHeartbeatAt }]) =>
+        isOlder(node) && this.#ctx.now - lastHeartbeatAt < OLDER_PEER_TIMEOUT_MS,
     );
   }
 
-  /** How ready each peer is to lead from its cache of the records. */
+  /** Returns the state of the standby cache of each peer. */
   standbys(): PeerStandby[] {
     return [...this.#peers].map(([node, peer]) => {
-      return { node, isHeard: this.#isHeard(peer), warmth: peer.standby };
+      return { node, isHeard: this.#isAlive(peer), warmth: peer.standby };
     });
   }
 
-  /** For the status, by peer. */
+  /** The peers part of the status, by peer name. */
   status(): Record<string, unknown> {
     return Object.fromEntries(
       [...this.#peers].map(([name, { isLinkUp, storeHealthy, standby }]) => [
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -3,17 +3,17 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 
-/** The one source of randomness in the core: the same seed gives the same draws. */
+/** Creates the only random number generator of the core. The same seed produces the same sequence. */
 export function seededRandom(seed: number): RandomGenerator {
   return xoroshiro128plus(seed);
 }
 
-/** Draws an integer between `from` and `to`, both included. */
+/** Draws an integer between `from` and `to`, inclusive. */
 export function randomInt(random: RandomGenerator, from: number, to: number): number {
   return uniformInt(random, from, to);
 }
 
-/** Draws an index with odds in proportion to the weights; null, without a draw, if they sum to nothing. */
+/** Draws an index with probability proportional to its weight; null, without a draw, if the sum is not positive. */
 export function weightedIndex(random: RandomGenerator, weights: readonly number[]): number | null {
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   if (!(total > 0)) return null;
@@ -22,6 +22,6 @@
     remaining -= weight;
     if (remaining < 0) return index;
   }
-  // Rounding may leave a little.
+  // Floating-point rounding may leave a small remainder.
   return weights.length - 1;
 }
--- a/src/core/record-restore.ts
+++ b/src/core/record-restore.ts
@@ -15,7 +15,7 @@
   readonly spot: boolean;
 }
 
-/** Restores the cluster state of a new leader from the records of previous ones. */
+/** Restores the cluster state of a new leader from the records of earlier leaders. */
 export class RecordRestore {
   readonly #ctx: Context;
   readonly #cluster: ClusterState;
@@ -49,21 +49,21 @@
   }
 
   /**
-   * Restores the placements and done marks of all chunks; the jobs must have been restored before. Returns how many
-   * placements are active. A placement on record stays active until there is proof that it has ended (I3).
+   * Restores the placements and done tasks of all chunks; the jobs must be restored first. Returns the number of active
+   * placements. A recorded placement stays active until there is proof that it has ended (I3).
    */
   restorePlacements(entries: readonly StoreEntry[]): number {
     const stored = readChunks(entries);
     for (const { key, uid } of stored.unreadable) {
       this.#ctx.log("error", "unreadable record", { key });
       const job = this.#cluster.jobByUid(uid);
-      // The record may be of running tasks: nothing of the job may start until it is readable (I3).
+      // The record may list running tasks: no task of the job may start until it is readable (I3).
       if (job) job.hasUnreadableRecord = true;
     }
     let restored = 0;
     for (const [uid, chunks] of stored.byJob) {
       const job = this.#cluster.jobByUid(uid);
-      // A job's key is replaced by its final record only when none of its placements is active: its chunks are obsolete.
+      // The job's key was replaced by its final record, so no placement is active and its chunks are obsolete.
       if (!job) for (const { key } of chunks) this.#recordWriter.queueDeletion(key);
       else restored += this.#restoreJob(job, chunks);
     }
@@ -87,7 +87,7 @@
   }
 
   #restorePlacement(job: Job, { task, machine: name, incarnation, attempt }: StoredPlacement): void {
-    // A machine that no readable record lists is restored by its name alone.
+    // A machine that is in no readable record is restored with its name only.
     const machine = this.#restoreMachine(name, { address: "", type: "", zone: "", spot: false });
     this.#cluster.addPlacement({
       job,
@@ -107,7 +107,7 @@
     });
   }
 
-  /** A machine on record has been up, if only under a previous leader. */
+  /** Restores a machine as up: a machine in a record has been up, possibly under an earlier leader. */
   #restoreMachine(name: string, details: MachineDetails): Machine {
     const machine = this.#cluster.ensureMachine(name, details, this.#ctx.now);
     if (machine.phase === "booting") machine.phase = "up";
--- a/src/core/scheduling/machine-scoring.ts
+++ b/src/core/scheduling/machine-scoring.ts
@@ -30,8 +30,8 @@
     // A service that must fetch its image anyway brings it where its further replicas will find capacity: on
     // machines full of production work the image would serve no other.
     if (job.spec.shape === "service" && !machine.images.has(job.spec.image))
-      seconds += BIN_PACKING_WEIGHT_S * machine.bookedShareOf(PRODUCTION_PRIORITY);
-    else seconds -= BIN_PACKING_WEIGHT_S * machine.bookedShare();
+      seconds += BIN_PACKING_WEIGHT_S * machine.allocatedCpuShareOf(PRODUCTION_PRIORITY);
+    else seconds -= BIN_PACKING_WEIGHT_S * machine.allocatedCpuShare();
     if (machine.isMarkedForScaleIn) seconds += GPU_WASTE_WEIGHT_S;
     else if (this.#gpuHeadroom.wouldBlockGpuTask(job, machine))
       seconds += job.spec.checkpointS > 0 ? GPU_WASTE_WITH_CHECKPOINT_WEIGHT_S : GPU_WASTE_WEIGHT_S;
