--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -29,7 +29,7 @@
   readonly estimates = new RuntimeEstimates();
   readonly limits: EffectiveStoreLimits;
   /** True if fair admission is enabled: the queue order then also takes teams in round-robin turns. */
-  hasFairTurns = false;
+  areRoundRobinTurnsEnabled = false;
   /** When the key-value store last responded to this node. */
   storeRespondedAt = Number.NEGATIVE_INFINITY;
   /** Since when calls to the key-value store have been rejected or timed out; null while they succeed. */
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -74,7 +74,7 @@
     const { incarnation, seed, epochMs, standbyBytes = 0, admission = false } = identity;
     const ctx = new Context(deployment, this.names, seededRandom(seed), epochMs);
     this.ctx = ctx;
-    ctx.hasFairTurns = admission;
+    ctx.areRoundRobinTurnsEnabled = admission;
     this.#peers = new PeerTable(ctx);
     this.#admission = admission ? new Admission(ctx, incarnation) : null;
     this.#failover = new Failover(ctx, this.#peers, standbyBytes);
--- a/src/core/election/election-events.ts
+++ b/src/core/election/election-events.ts
@@ -1,5 +1,5 @@
 import type { LeaderLease } from "../model/leader-lease.js";
-import type { RenewalFacts } from "./lease-renewal-policy.js";
+import type { RenewalInputs } from "./lease-renewal-policy.js";
 
 /** The role of a node in the election. */
 export type ElectionState =
@@ -8,7 +8,7 @@
   | { readonly kind: "leader"; readonly lease: LeaderLease };
 
 /** Queries and callbacks of the election to its node. */
-export interface ElectionEvents extends RenewalFacts {
+export interface ElectionEvents extends RenewalInputs {
   /** This node has become the leader. */
   onElected(lease: LeaderLease): void;
   /** This node is no longer the leader. */
--- a/src/core/election/lease-renewal-policy.ts
+++ b/src/core/election/lease-renewal-policy.ts
@@ -13,7 +13,7 @@
 const GRACE_MARGIN_S = 3;
 
 /** Inputs of the renewal policy other than the settings. */
-export interface RenewalFacts {
+export interface RenewalInputs {
   /** All cancellations confirmed before this time have been applied (I1); null until the records are loaded. */
   cancellationsKnownThrough(): number | null;
   /** True while no peer heartbeats are received. */
@@ -26,11 +26,11 @@
  */
 export class LeaseRenewalPolicy {
   readonly #ctx: Context;
-  readonly #facts: RenewalFacts;
+  readonly #inputs: RenewalInputs;
 
-  constructor(ctx: Context, facts: RenewalFacts) {
+  constructor(ctx: Context, facts: RenewalInputs) {
     this.#ctx = ctx;
-    this.#facts = facts;
+    this.#inputs = facts;
   }
 
   /**
@@ -50,14 +50,14 @@
    */
   get currentGracePeriodMs(): number {
     const { leader_grant_ms: leaderLeaseMs } = this.#ctx.settings;
-    return this.#facts.isIsolated()
+    return this.#inputs.isIsolated()
       ? Math.min(this.gracePeriodMs, ISOLATED_GRACE_LEASES * leaderLeaseMs)
       : this.gracePeriodMs;
   }
 
   /** All cancellations confirmed before this time have been applied; minus infinity until the records are loaded. */
   get cancellationsKnownThrough(): number {
-    return this.#facts.cancellationsKnownThrough() ?? Number.NEGATIVE_INFINITY;
+    return this.#inputs.cancellationsKnownThrough() ?? Number.NEGATIVE_INFINITY;
   }
 
   /**
--- a/src/core/peer-heartbeat-sender.ts
+++ b/src/core/peer-heartbeat-sender.ts
@@ -19,7 +19,7 @@
   readonly admission: Admission | null;
 }
 
-/** Sends this node's state to every peer once per second, and immediately after a change of leadership. */
+/** Sends this node's state to every peer once per second, and sooner after a change of leadership. */
 export class PeerHeartbeatSender {
   readonly #ctx: Context;
   readonly #sources: PeerHeartbeatSources;
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -80,7 +80,7 @@
   ) {
     this.#ctx = ctx;
     this.#clusterState = clusterState;
-    this.turns = ctx.hasFairTurns ? new RoundRobinTurns() : null;
+    this.turns = ctx.areRoundRobinTurnsEnabled ? new RoundRobinTurns() : null;
     this.#negativeFits = new NegativeFitCache(ctx);
     this.#reservations = new Reservations(ctx);
     const gpuHeadroom = new GpuHeadroomGuard(ctx, clusterState);
