--- a/src/core/election/lease-renewal-policy.ts
+++ b/src/core/election/lease-renewal-policy.ts
@@ -28,9 +28,9 @@
   readonly #ctx: Context;
   readonly #inputs: RenewalInputs;
 
-  constructor(ctx: Context, facts: RenewalInputs) {
+  constructor(ctx: Context, inputs: RenewalInputs) {
     this.#ctx = ctx;
-    this.#inputs = facts;
+    this.#inputs = inputs;
   }
 
   /**
