--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -34,7 +34,10 @@
   readonly #ctx: Context;
   readonly #cluster: ClusterState;
   readonly #events: InventoryEvents;
-  /** No machines are created before this term's first full listing, which shows those created by earlier leaders. */
+  /**
+   * True once the first listing of this term is complete, and so includes the machines that earlier leaders
+   * created. No machines are created before.
+   */
   hasFullListing = false;
   #isListing = false;
   #listingSince = Number.NEGATIVE_INFINITY;
--- a/src/core/autoscaling/creation-requests.ts
+++ b/src/core/autoscaling/creation-requests.ts
@@ -22,7 +22,7 @@
 
 /**
  * Sends requests to create machines, one at a time per offer. Retries a request under the same id if no response
- * arrives, and backs off from offers without capacity.
+ * arrives, and backs off from an offer after a request for it that was not fulfilled.
  */
 export class CreationRequests {
   readonly #ctx: Context;
@@ -47,7 +47,7 @@
     return this.#inFlight.values();
   }
 
-  /** Returns whether the offer is backed off, so that no request may be sent. */
+  /** Returns whether the offer is in back-off, during which the caller must not request it. */
   isBackedOff(offer: Offer): boolean {
     return (this.#backoffs.get(offerKeyOf(offer))?.until ?? 0) > this.#ctx.now;
   }
--- a/src/core/autoscaling/gpu-headroom.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -9,7 +9,7 @@
 import type { Scheduler } from "../scheduling/scheduler.js";
 
 const ADJUST_INTERVAL_MS = 1000;
-/** Number of counting windows over which the peak number of machines needed is retained. */
+/** Number of counting windows (`spare_window_s`) over which the peak number of machines needed is retained. */
 const PEAK_WINDOWS = 1.25;
 /** GPU demand has ceased after this many mean interarrival times without a job, but not before the minimum. */
 const CEASED_INTERARRIVALS = 4;
@@ -40,8 +40,9 @@
 interface BlockedDemand {
   /** Number of machines that the blocked GPU tasks would fill. */
   gpuMachines: number;
-  /** True if the provisioner would create an on-demand or spot machine of the type for a job without GPUs. */
+  /** True if the provisioner would create an on-demand machine of the type for a job without GPUs. */
   isWantedOnDemand: boolean;
+  /** The same for a spot machine. */
   isWantedSpot: boolean;
 }
 
@@ -87,7 +88,10 @@
     return Math.ceil(tasks / Math.max(1, countFitting(need, type.size)));
   }
 
-  /** Returns whether running a job without GPUs on a GPU type costs over `dear_factor` times the lowest price. */
+  /**
+   * Returns whether a task of a job without GPUs costs more than `dear_factor` times as much on this GPU type as on
+   * the cheapest type without GPUs.
+   */
   isTooExpensive(job: Job, type: MachineType, spot: boolean): boolean {
     if (job.spec.need.gpu > 0 || type.size.gpu === 0) return false;
     let leastPerTask = Number.POSITIVE_INFINITY;
--- a/src/core/autoscaling/machine-reaper.ts
+++ b/src/core/autoscaling/machine-reaper.ts
@@ -12,7 +12,7 @@
 const SILENT_MARGIN_MS = 700;
 /** A heartbeat is missed after 1.5 intervals. */
 const MISSED_MS_PER_INTERVAL_S = 1500;
-/** A zone counts as partitioned for this many leases after most of its machines last missed a heartbeat together. */
+/** A zone counts as partitioned for this many leases after half of its machines last missed a heartbeat together. */
 const PARTITION_LEASES = 2;
 
 /** Marks idle, stuck, silent and failed machines for termination; `MachineTerminator` terminates them. */
@@ -92,7 +92,7 @@
     };
   }
 
-  /** Returns the zones in which at least half of the machines recently missed a heartbeat at the same time. */
+  /** Returns the zones in which half of the machines, and at least two, recently missed a heartbeat together. */
   #findPartitionedZones(up: readonly Machine[]): Set<string> {
     const { now, deployment } = this.#ctx;
     const missedMs = deployment.heartbeatIntervalS * MISSED_MS_PER_INTERVAL_S;
--- a/src/core/autoscaling/offer.ts
+++ b/src/core/autoscaling/offer.ts
@@ -11,7 +11,7 @@
 
 /** Returns a key that is the same for equal offers; `Offer` objects are created anew for each use. */
 export function offerKeyOf({ type, zone, spot }: Offer): string {
-  return `${type.name} ${zone} ${spot ? "spot" : "ordinary"}`;
+  return `${type.name} ${zone} ${spot ? "spot" : "on-demand"}`;
 }
 
 /** Returns whether a task of the job may run on an empty machine of the offer. */
--- a/src/core/autoscaling/provisioner.ts
+++ b/src/core/autoscaling/provisioner.ts
@@ -140,7 +140,10 @@
     return Math.max(0, Math.min(count, concurrentTasks - job.placements.size));
   }
 
-  /** Returns the zone with capacity for the most tasks of a job restricted to one, including incoming machines. */
+  /**
+   * For a job restricted to one zone, returns the zone with free capacity for the most tasks, including incoming
+   * machines. Zones with too little capacity and no offer are excluded; null if no zone is left.
+   */
   #chooseZone(job: Job, plan: ScaleOutPlan, tasks: number): string | null {
     const slotsByZone = this.#freeSlotsByZone(job, plan);
     let bestZone: string | null = null;
--- a/src/core/job-lifecycle.ts
+++ b/src/core/job-lifecycle.ts
@@ -131,7 +131,7 @@
           this.applyRecord(stored.entry);
           this.#repeatWrites(job);
           break;
-        case "over":
+        case "ended":
           this.#onFoundOver(job, stored.state, stored.endedAt);
           break;
         case "unknown":
--- a/src/core/migration/migration-planner.ts
+++ b/src/core/migration/migration-planner.ts
@@ -62,7 +62,7 @@
     return to ? { replica, from, to } : null;
   }
 
-  /** Selects one of the replicas that may be migrated at random, weighted by their CPU request. */
+  /** Randomly selects one of the replicas that may be migrated, weighted by CPU request; null if there is none. */
   #drawReplica(replicas: readonly Placement[]): Placement | null {
     // Only one migration runs at a time; a crash-looping replica would waste it.
     const movable = replicas.filter(
--- a/src/core/migration/replica-migration.ts
+++ b/src/core/migration/replica-migration.ts
@@ -164,7 +164,7 @@
     const placement = pending.job.placements.get(pending.record.task);
     if (!placement) return;
     this.#enterPhase(pending, "stopping");
-    this.#agents.stopTask(placement, 0, "move");
+    this.#agents.stopTask(placement, 0, "replica migration");
   }
 
   /** Returns how the migration has ended; null while it is in progress. */
--- a/src/core/scheduling/feasible-machines.ts
+++ b/src/core/scheduling/feasible-machines.ts
@@ -5,7 +5,7 @@
 import type { Resources } from "../model/resources.js";
 import type { GpuHeadroomGuard } from "./gpu-headroom-guard.js";
 
-/** Selects which feasible machines may be considered. */
+/** Restricts a search to some of the feasible machines. */
 export type MachineFilter = (machine: Machine) => boolean;
 
 /** Accepts every machine. */
@@ -21,10 +21,10 @@
   /** Schedulable machines with capacity for the smallest demand in the round, by type; few in a loaded cluster. */
   #withCapacityByType = new Map<string, Machine[]>();
   /**
-   * True if properties of the job itself (shape, image, failures) restricted the last search, so that other
-   * jobs with the same demand may still find feasible machines.
+   * True if properties of the job itself (shape, image, failures) restricted the last search. Other jobs with
+   * the same demand may then find machines where this one found none.
    */
-  isJobSpecific = false;
+  wasSearchJobSpecific = false;
   /** Number of machines examined in all searches, a measure of scheduling work. */
   machinesExamined = 0;
 
@@ -82,27 +82,31 @@
 
   /**
    * Returns the feasible machines for a task of the job, by type, in cluster-state order. For preemption,
-   * capacity used by tasks with a priority below `below` counts as free. Removes expired reservations.
+   * capacity used by tasks with a priority below `preemptibleBelow` counts as free. Removes expired reservations.
    */
-  findFor(job: Job, below = 0): Machine[] {
+  findFor(job: Job, preemptibleBelow = 0): Machine[] {
     const found: Machine[] = [];
-    this.isJobSpecific = job.spec.shape === "service";
+    this.wasSearchJobSpecific = job.spec.shape === "service";
     // Free capacity only shrinks within a round, so without preemption the smaller index is sufficient.
-    for (const machines of (below === 0 ? this.#withCapacityByType : this.#schedulableByType).values()) {
+    for (const machines of (preemptibleBelow === 0
+      ? this.#withCapacityByType
+      : this.#schedulableByType
+    ).values()) {
       const type = machines[0]?.type;
       if (!type || !fitsMachineType(job.spec, type)) continue;
       this.machinesExamined += machines.length;
-      this.#collect(job, below, machines, found);
+      this.#collect(job, preemptibleBelow, machines, found);
     }
     return found;
   }
 
   /** Appends the feasible machines to `found`; all of `machines` have one type, which fits the job. */
-  #collect(job: Job, below: number, machines: readonly Machine[], found: Machine[]): void {
+  #collect(job: Job, preemptibleBelow: number, machines: readonly Machine[], found: Machine[]): void {
     for (const machine of machines) {
-      if (!machine.hasCapacityFor(job.spec.need, below) || !this.mayRunOn(job, machine)) continue;
+      if (!machine.hasCapacityFor(job.spec.need, preemptibleBelow) || !this.mayRunOn(job, machine)) continue;
       if (this.#isReservedForOther(job, machine) || this.wouldWasteGpus(job, machine)) continue;
-      if (this.#hasFailedOn(job, machine) || this.#wouldSlowFetch(job, machine)) this.isJobSpecific = true;
+      if (this.#hasFailedOn(job, machine) || this.#wouldSlowFetch(job, machine))
+        this.wasSearchJobSpecific = true;
       else found.push(machine);
     }
   }
--- a/src/core/scheduling/gang-scheduling.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -67,12 +67,15 @@
     }
     if (!isKnownNotToFit) {
       if (this.#place(job, anyMachine)) return "placed";
-      if (!this.#feasibleMachines.isJobSpecific) this.#negativeFits.add(job, job.spec.tasks);
+      if (!this.#feasibleMachines.wasSearchJobSpecific) this.#negativeFits.add(job, job.spec.tasks);
     }
     return "noCapacity";
   }
 
-  /** Preempts once per attempt on machines with the image in time. Returns true while the gang waits for them. */
+  /**
+   * Preempts on machines that will have the image in time, at most once before the gang is placed. Returns true
+   * while the gang waits for these machines.
+   */
   #awaitsMachinesWithImage(job: Job, isWithinGuarantee: boolean, hasImageInTime: MachineFilter): boolean {
     if (job.imageWaitUntil !== null) return job.imageWaitUntil > this.#ctx.now;
     const freed = this.#preemption.preemptFor({
--- a/src/core/scheduling/gpu-headroom-guard.ts
+++ b/src/core/scheduling/gpu-headroom-guard.ts
@@ -10,7 +10,7 @@
 
 /** The capacity to keep free for GPU tasks on machines of one type. */
 interface Headroom {
-  /** The demand of a typical GPU task; null if none has been observed. */
+  /** The largest demand of a GPU task, per resource; null if none has been observed. */
   readonly need: Resources | null;
   /** The number of machines that must keep capacity for such a task. */
   readonly machines: number;
--- a/src/core/scheduling/guaranteed-quota.ts
+++ b/src/core/scheduling/guaranteed-quota.ts
@@ -3,8 +3,8 @@
 
 /**
  * Returns the jobs within their teams' guaranteed quotas: a job is included if its unfinished tasks and those of
- * all earlier jobs of the team fit into the quota. `jobs` are the unfinished jobs in queueing order, which the
- * result preserves.
+ * all earlier jobs of the team fit into the quota; for a job without GPUs, only the CPUs are compared. `jobs` are
+ * the unfinished jobs in queueing order, which the result preserves.
  */
 export function findGuaranteedJobs(teams: readonly Team[], jobs: readonly Job[]): Set<Job> {
   const demandByTeam = new Map<string, { cpu: number; gpu: number }>();
--- a/src/core/scheduling/machine-scoring.ts
+++ b/src/core/scheduling/machine-scoring.ts
@@ -5,7 +5,7 @@
 
 /** Cost of blocking a GPU task's capacity with a job that can't checkpoint, in seconds of delay. */
 const GPU_WASTE_WEIGHT_S = 60;
-/** The same for a job that can checkpoint; low, to leave machines without GPUs to jobs that can't use others. */
+/** The same for a job that can checkpoint; low, so that machines without GPUs are left to jobs that need them. */
 const GPU_WASTE_WITH_CHECKPOINT_WEIGHT_S = 5;
 /** Weight of the allocated CPU share (bin packing), in seconds of delay for a fully allocated machine. */
 const BIN_PACKING_WEIGHT_S = 5;
--- a/src/core/scheduling/objectives.ts
+++ b/src/core/scheduling/objectives.ts
@@ -82,7 +82,10 @@
   return kind === "wait" && !hasStarted ? withinS : Number.POSITIVE_INFINITY;
 }
 
-/** Returns whether the job's next objective is at risk but can still be met. */
+/**
+ * Returns whether the job's next objective is at risk but can still be met. Unless the start objective is still
+ * ahead, this is true of every job with the status `prioritized`, even if it has not missed any objective.
+ */
 export function isDeadlineAtRisk(ctx: Context, job: Job): boolean {
   const ageS = jobAgeS(ctx, job);
   const objectiveS = startObjectiveS(ctx, job);
--- a/src/core/scheduling/preemption-planner.ts
+++ b/src/core/scheduling/preemption-planner.ts
@@ -103,7 +103,8 @@
     if (victim.job.spec.team === team) return false;
     // A victim within its own team's guarantee is exempt; otherwise two teams would preempt each other alternately.
     if (this.#guaranteedJobs.has(victim.job)) return false;
-    // A gang that has run before has already had its start; otherwise a few machines would change hands repeatedly.
+    // A gang that has run before has already had its start. If it could reclaim capacity again, the same few
+    // machines would change hands repeatedly.
     if (shape === "gang" && Number.isFinite(job.lastRanAt)) return false;
     const ranMs = victim.runningSince === null ? 0 : this.#ctx.now - victim.runningSince;
     if (victim.job.spec.checkpointS === 0 && ranMs > RECLAIM_WITHOUT_CHECKPOINT_MS) return false;
@@ -125,7 +126,7 @@
   #lostWork({ job, runningSince }: Placement): number {
     const { spec } = job;
     const ranS = runningSince === null ? 0 : (this.#ctx.now - runningSince) / 1000;
-    // A task that has not run long enough for its start to count must start again.
+    // A task preempted before its start counts needs another start, so the time still missing adds to the loss.
     const lostStartS = this.#hasStartObjective(job) ? Math.max(0, START_COUNTS_AFTER_S - ranS) : 0;
     const lostS = spec.checkpointS > 0 ? spec.saveS + lostStartS : ranS;
     const tasks = spec.shape === "gang" ? spec.tasks : 1;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -121,7 +121,7 @@
   /** Stops a task, allowing time for a checkpoint if it writes any. A gang is stopped as a whole. */
   stopGracefully(placement: Placement, reason: string): void {
     const { job } = placement;
-    this.#ctx.log("debug", "task stopped", {
+    this.#ctx.log("debug", "stopping task", {
       job: job.uid,
       task: placement.task,
       machine: placement.machine.name,
--- a/src/core/scheduling/queue-order.ts
+++ b/src/core/scheduling/queue-order.ts
@@ -50,8 +50,9 @@
 }
 
 /**
- * Returns whether a starving job has missed its start and is deferred behind jobs that can still start in time.
- * With more starving jobs than capacity, first-come, first-served order would start all of them too late.
+ * Returns whether a starving job has missed its start and is deferred, for a limited time, behind jobs that can
+ * still start in time. With more starving jobs than capacity, first-come, first-served order would start all of
+ * them too late.
  */
 export function hasMissedStartDeadline(ctx: Context, job: Job): boolean {
   const waitedS = waitS(ctx, job);
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -29,8 +29,9 @@
    * zone with the most feasible machines. Otherwise smaller jobs would take each machine as it becomes free, and
    * the gang would never find enough machines at the same time.
    *
-   * A firm reservation, used for starving gangs, excludes jobs of any priority. Only one of the other gangs may
-   * hold reservations at a time: two gangs that each held part of the cluster would leave both parts idle.
+   * A firm reservation, used for starving gangs, excludes jobs of any priority. A gang that is not starving gets
+   * reservations only while no other gang holds any: two gangs that each held part of the cluster would leave both
+   * parts idle.
    */
   reserveZone(job: Job, isFirm: boolean, feasible: readonly Machine[]): void {
     if (!isFirm && this.#hasReservationOfOther(job)) return;
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -23,7 +23,7 @@
 import { TaskPlacer } from "./task-placer.js";
 import { TaskScheduler } from "./task-scheduling.js";
 
-/** A starving array may place its pending tasks divided by this number in one round. */
+/** A starving array may place at most one in this many of its pending tasks per round, rounded up. */
 const STARVING_ARRAY_DIVISOR = 4;
 
 /** A job with pending tasks in the queue of a round. */
--- a/src/core/scheduling/task-scheduling.ts
+++ b/src/core/scheduling/task-scheduling.ts
@@ -12,7 +12,7 @@
 import type { TaskPlacer } from "./task-placer.js";
 import { maxTasksPerZone } from "./zone-spread.js";
 
-/** A machine that must fetch a service's image gets at most the number of replicas divided by this at a time. */
+/** A machine that must fetch a service's image gets at most one in this many of its replicas at a time. */
 const FETCHING_MACHINE_DIVISOR = 4;
 
 /** Places tasks of arrays and replicas of services individually, as many as fit. */
@@ -57,7 +57,7 @@
   #placeOnAny(job: Job, count: number): number {
     if (this.#negativeFits.has(job, 1)) return 0;
     const placed = this.#place(job, count, anyMachine);
-    if (placed < count && !this.#feasibleMachines.isJobSpecific) this.#negativeFits.add(job, 1);
+    if (placed < count && !this.#feasibleMachines.wasSearchJobSpecific) this.#negativeFits.add(job, 1);
     return placed;
   }
 
--- a/src/core/store/batch-builder.ts
+++ b/src/core/store/batch-builder.ts
@@ -39,8 +39,8 @@
 
 /**
  * Builds the leader's next transaction and removes from the pending writes whatever it includes. The order, as far as
- * the limits allow, is: the migration, urgent chunks (starts), final records, deferred chunks (done marks), deletions,
- * and machine records from which a machine was removed.
+ * the limits allow, is: the migration, urgent chunks (starts and overdue done marks), final records, deferred chunks
+ * (other done marks), deletions, and machine records from which a machine was removed.
  */
 export class BatchBuilder {
   readonly #ctx: Context;
@@ -107,7 +107,10 @@
     return { urgent, deferred };
   }
 
-  /** Adds starts first, but leaves room for final records. Deferred chunks never displace starts. */
+  /**
+   * Adds urgent chunks (starts and overdue done marks), but leaves room for final records. Deferred chunks are added
+   * later, so that they never displace starts.
+   */
   #addUrgentChunks(chunks: readonly DirtyChunk[]): void {
     const reservedChanges = Math.min(
       this.#pending.finalJobs.size * CHANGES_PER_FINAL_RECORD,
--- a/src/core/store/dirty-chunks.ts
+++ b/src/core/store/dirty-chunks.ts
@@ -3,7 +3,7 @@
 import type { TaskRange } from "./chunk-layout.js";
 import { KEYS } from "./records.js";
 
-/** Consecutive tasks of a job whose placement record has not been written yet. */
+/** Consecutive tasks of a job whose current state has not been written to their placement record yet. */
 export interface DirtyChunk {
   readonly job: Job;
   readonly key: string;
--- a/src/core/store/record-writer.ts
+++ b/src/core/store/record-writer.ts
@@ -16,8 +16,8 @@
 const TRANSACTION_TIMEOUT_MS = 1500;
 const RETRY_DELAY_MS = 200;
 /**
- * A transaction is sent only when the write budget allows this many changes, or as many as are pending. In smaller
- * transactions starts would use up every change, and final records would never be written.
+ * A transaction is sent only when the write budget allows this many changes or, if fewer are pending, all of them. In
+ * smaller transactions, starts would use up every change, and final records would never be written.
  */
 const MIN_TRANSACTION_CHANGES = 6;
 
--- a/src/core/store/records.ts
+++ b/src/core/store/records.ts
@@ -174,7 +174,7 @@
 
 /**
  * Creates the record of a cancelled job. It may exceed the value limit if the job was stored under a higher one. In
- * that case the fields that determine where the job may run are cleared, since none of its tasks start any more.
+ * that case the fields that matter only for starting its tasks are cleared, since none of them starts any more.
  */
 export function cancelledRecord({ acceptedAt, spec }: JobRecord, valueBytes: number): JobRecord {
   const record: JobRecord = { state: "cancelled", acceptedAt, spec };
--- a/src/core/store/reread-job.ts
+++ b/src/core/store/reread-job.ts
@@ -12,7 +12,7 @@
 
 /** The job's final record exists. */
 export interface StoredFinishedJob {
-  readonly kind: "over";
+  readonly kind: "ended";
   readonly state: "done" | "cancelled";
   /** Wall-clock time at which the job ended, in milliseconds; null in records written by older versions. */
   readonly endedAt: number | null;
@@ -42,6 +42,6 @@
       return;
     }
     const record = readFinal(response.entry.value);
-    onRead({ kind: "over", state: record?.state ?? "done", endedAt: record?.at ?? null });
+    onRead({ kind: "ended", state: record?.state ?? "done", endedAt: record?.at ?? null });
   });
 }
