--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Decides whether to admit a submission that is not already recorded as accepted at this node. Spends a permit if one
+   * Decides whether to admit a submission of a job that this node does not know to be accepted. Spends a permit if one
    * is needed.
    */
   decide(uid: string, team: string): Decision {
@@ -134,7 +134,7 @@
     return this.#policy.teams.find(({ name }) => name === team)?.minimumRatePerS ?? 0;
   }
 
-  /** Reverts an admission, because the job was already accepted or its record could not be written. */
+  /** Reverts an admission whose job turned out to be accepted already or whose record could not be written. */
   rollBack(team: string, permitSpent: boolean): void {
     if (permitSpent) this.#permits.refund(team, this.#ctx.now);
     this.#countsOf(team).admitted--;
@@ -144,7 +144,7 @@
    * Must be called before each heartbeat. Builds this node's report and, while it is the leader, issues permits.
    * `fencingToken` is the fencing token of its term, or null if it is not allowed to issue permits.
    */
-  tick(leader: string | null, fencingToken: number | null, load: OpenJobSource): void {
+  tick(leader: string | null, fencingToken: number | null, openJobSource: OpenJobSource): void {
     const { now } = this.#ctx;
     this.#leader = leader;
     const policy = this.#policy;
@@ -159,16 +159,16 @@
     if (fencingToken === null) {
       this.#issuer = null;
       this.#leases = new Map();
-    } else this.#issue(fencingToken, policy, load);
+    } else this.#issue(fencingToken, policy, openJobSource);
   }
 
-  #issue(fencingToken: number, policy: AdmissionPolicy, load: OpenJobSource): void {
+  #issue(fencingToken: number, policy: AdmissionPolicy, openJobSource: OpenJobSource): void {
     const { now, deployment } = this.#ctx;
     if (this.#issuer?.fencingToken !== fencingToken)
       this.#issuer = new PermitIssuer(fencingToken, policy, now);
     this.#issuer.onReport(deployment.node, this.#report, now);
     const nodeCount = deployment.peers.length + 1;
-    this.#leases = this.#issuer.issue({ policy, openJobs: load.openJobs(), nodeCount, now });
+    this.#leases = this.#issuer.issue({ policy, openJobs: openJobSource.openJobs(), nodeCount, now });
     const own = this.#leases.get(deployment.node);
     if (own) this.#applyLease(own);
   }
@@ -232,7 +232,7 @@
 
   /** The admission section of the node's status. */
   status(): Record<string, unknown> {
-    const { mode, ratePerS, maxOpenJobs, teams } = this.report();
+    const { mode, ratePerS, maxOpenJobs, teams } = this.snapshot();
     const rounded = Math.round(ratePerS * 100) / 100;
     return {
       mode,
@@ -242,8 +242,8 @@
     };
   }
 
-  /** The admission state for metrics and status. */
-  report(): AdmissionStatus {
+  /** The current admission state for metrics and status. */
+  snapshot(): AdmissionStatus {
     const { now } = this.#ctx;
     const policy = this.#policy;
     return {
--- a/src/admission/permit-holder.ts
+++ b/src/admission/permit-holder.ts
@@ -2,7 +2,7 @@
 
 /** A node is issued permits only while its last report is no older than this. */
 const MAX_REPORT_AGE_MS = 3000;
-/** A node with this many unacknowledged leases is issued no more, because they probably do not reach it. */
+/** A node with this many unacknowledged leases is issued no further ones, because they probably do not reach it. */
 const MAX_UNACKNOWLEDGED = 3;
 
 interface IssuedLease {
--- a/src/admission/permit-issuer.ts
+++ b/src/admission/permit-issuer.ts
@@ -77,7 +77,8 @@
   #round = 0;
 
   /**
-   * Permits issued by a previous leader may still be spent, so the bucket starts with the permits of one second (A3).
+   * Permits issued by a previous leader may still be spent, so the bucket starts with one second's permits rather than
+   * the full burst (A3).
    */
   constructor(fencingToken: number, policy: AdmissionPolicy, now: number) {
     this.fencingToken = fencingToken;
@@ -156,7 +157,7 @@
     });
   }
 
-  /** Computes the whole permits of each team over all nodes. Fractions carry over to the next round as credit. */
+  /** Computes how many whole permits each team gets over all nodes. Fractions are carried over as credit. */
   #allocatePermits(teams: readonly TeamDemand[], maxNewJobs: readonly number[]): number[] {
     const escrow = sum(teams.map(({ outstanding }) => outstanding));
     const credit = sum([...this.#credit.values()]);
@@ -211,7 +212,7 @@
   return teams.map(({ used }, index) => Math.max(0, (shares[index] ?? 0) - used));
 }
 
-/** Counts a node without demand as 1, because it may receive a submission at any time. */
+/** Assumes a demand of 1 at a node without demand, because it may receive a submission at any time. */
 function expectedDemand(demand: number): number {
   return Math.max(1, demand);
 }
--- a/src/admission/permit-pool.ts
+++ b/src/admission/permit-pool.ts
@@ -2,8 +2,8 @@
 import type { AdmissionPolicy } from "./policy.js";
 
 /**
- * Without a lease, a team accrues its guaranteed minimum for up to this long, but can always accrue one job. A node
- * starts with the full amount.
+ * A team's guaranteed minimum, which applies without a lease, accrues for up to this long, but always up to at least
+ * one job. A node starts with the full amount.
  */
 const MINIMUM_BURST_S = 10;
 
--- a/src/admission/retry-reservations.ts
+++ b/src/admission/retry-reservations.ts
@@ -5,7 +5,7 @@
 /** How far in the future a reservation may be due. The queue of a team is full beyond this. */
 export const MAX_RESERVATION_S = MAX_RETRY_AFTER_S - 1;
 const MIN_RETRY_AFTER_S = 1;
-/** Retry-After is rounded to whole seconds, so a retry may arrive this much before its reservation is due or after. */
+/** Retry-After is in whole seconds, so a retry may come this long before its reservation is due, or this long after. */
 const EARLY_TOLERANCE_MS = 200;
 const LATE_TOLERANCE_MS = 5000;
 /** How long before a reservation is due a permit is earmarked for it. */
@@ -36,7 +36,7 @@
   /** Earmarked permits by team. Cached briefly, because there may be thousands of reservations. */
   readonly #earmarkedCounts = new Map<string, { readonly countedAt: number; count: number }>();
 
-  /** Redeems the reservation of a submission if one is due. Returns whether this node or another one made it. */
+  /** Redeems the reservation of a submission. Returns which node made it, or null if there is none that is due. */
   redeem(uid: string, now: number): "own" | "other" | null {
     const reservation = this.#byUid.get(uid);
     if (!reservation) return null;
--- a/src/core/agents/agent-manager.ts
+++ b/src/core/agents/agent-manager.ts
@@ -146,7 +146,7 @@
     this.#reconciler.reconcile(machine);
   }
 
-  /** True while starts are in flight that agents would refuse if this leader advanced its fencing token. */
+  /** True while starts under the current fencing token have shown no effect yet; a new token would invalidate them. */
   hasStartsInFlight(): boolean {
     return this.#commandPlanner.hasStartsInFlight();
   }
@@ -177,12 +177,12 @@
     return fencingTokenOf(attempt) >= this.#lease.firstFencingToken;
   }
 
-  /** Queues a machine, so that its due commands are sent directly at the end of this batch. */
+  /** Queues a machine, so that its due commands are sent directly once the controller finishes its current batch. */
   queueCommands(machine: Machine): void {
     this.#commandSender.queue(machine);
   }
 
-  /** Sends the due commands of the queued machines. Called at the end of each batch. */
+  /** Sends the due commands of the queued machines. Called at the end of each batch that the controller processes. */
   sendQueuedCommands(): void {
     this.#commandSender.sendQueued();
   }
@@ -208,7 +208,7 @@
     }
   }
 
-  /** Ends all placements of a machine on which no task can be running any more, for the given reason (I3). */
+  /** Ends all placements of a machine on which, for the given reason, no task can be running any more (I3). */
   expireMachine(machine: Machine, reason: string): void {
     machine.isLeaseExpired = true;
     machine.usedByUnknownTasks = NO_RESOURCES;
--- a/src/core/agents/command-planner.ts
+++ b/src/core/agents/command-planner.ts
@@ -11,7 +11,10 @@
 
 /** A command without an observed effect is sent again after this time. */
 const RESEND_INTERVAL_MS = 1000;
-/** A start is sent only if its job was found not cancelled within this time (I2): a few rounds of the job watch. */
+/**
+ * A start is sent only if its job was known not to be cancelled at most this long ago (I2), which is a few rounds of
+ * the job watch.
+ */
 const CANCELLATION_KNOWLEDGE_MAX_AGE_MS = 6000;
 
 /** Components that the command planner depends on, and its callback. */
@@ -115,7 +118,10 @@
     commands.push({ kind: "stop", job: job.index, task, attempt, graceS: stop.graceS });
   }
 
-  /** True while starts are in flight that agents would refuse if this leader advanced its fencing token. */
+  /**
+   * True while starts under the current fencing token have shown no effect yet. If this leader advanced the token,
+   * agents would refuse those in flight, and those not sent yet would be abandoned.
+   */
   hasStartsInFlight(): boolean {
     for (const machine of this.#cluster.machines.values()) {
       if (machine.isLeaseExpired || machine.phase !== "up") continue;
--- a/src/core/agents/command-sender.ts
+++ b/src/core/agents/command-sender.ts
@@ -18,7 +18,7 @@
   readonly #planner: CommandPlanner;
   /** The machine that each batch in flight was sent to, by batch number. */
   readonly #inFlight = new Map<number, Machine>();
-  /** Machines whose due commands are to be sent at the end of this batch. */
+  /** Machines whose due commands the next `sendQueued` sends. */
   readonly #queued = new Set<Machine>();
 
   constructor(ctx: Context, lease: LeaderLease, planner: CommandPlanner) {
--- a/src/core/agents/fencing-queue.ts
+++ b/src/core/agents/fencing-queue.ts
@@ -2,7 +2,7 @@
 import type { LeaderLease } from "../model/leader-lease.js";
 import type { Machine } from "../model/machine.js";
 
-/** Sending starts this many heartbeat intervals into the term: most agents adopt the leader by a heartbeat reply. */
+/** Sending starts this many heartbeat intervals into the term, when heartbeat replies have reached most agents. */
 const GRACE_HEARTBEAT_INTERVALS = 1.5;
 /** The minimum rate at which the fencing token is sent to agents. */
 const MIN_SENDS_PER_S = 40;
--- a/src/core/agents/heartbeat-intake.ts
+++ b/src/core/agents/heartbeat-intake.ts
@@ -69,7 +69,7 @@
     return machine;
   }
 
-  /** Returns the heartbeat's machine; null if it is terminated: a delayed heartbeat must not add it again. */
+  /** Returns the heartbeat's machine; null if it is terminated, as a delayed heartbeat must not add it again. */
   #machineOf(heartbeat: Heartbeat): Machine | null {
     const name = this.#ctx.names.machines.nameOf(heartbeat.machine);
     const isKnown = this.#cluster.machines.has(heartbeat.machine);
--- a/src/core/agents/heartbeat-router.ts
+++ b/src/core/agents/heartbeat-router.ts
@@ -121,7 +121,7 @@
     return this.#lastHeartbeatAt.size;
   }
 
-  /** Adds the interner indices that waiting heartbeats contain to those in use. */
+  /** Adds the interner indices in waiting heartbeats to `used`, so that they are not reused. */
   collectIndices(used: { jobs: Set<number>; machines: Set<number> }): void {
     for (const { heartbeat } of this.#waiting) {
       used.machines.add(heartbeat.machine);
@@ -129,7 +129,7 @@
     }
   }
 
-  /** Removes the newest heartbeats of all machines but these, as the indices of the others may be reused. */
+  /** Removes the newest heartbeat of each machine that is not in `machines`, as its index may be reused. */
   retainMachines(machines: ReadonlySet<number>): void {
     for (const machine of this.#newest.keys()) if (!machines.has(machine)) this.#newest.delete(machine);
   }
--- a/src/core/agents/task-outcome.ts
+++ b/src/core/agents/task-outcome.ts
@@ -41,7 +41,7 @@
 
 function applyCompletion(ctx: Context, recordWriter: RecordWriter, placement: Placement): void {
   const { job, machine, task, runningSince } = placement;
-  // A task that resumed from a checkpoint ran for only a part of its total duration, so it is left out.
+  // A task that may have resumed from a checkpoint is not observed: it may have run for only a part of its duration.
   if (runningSince !== null && (job.spec.checkpointS === 0 || !Number.isFinite(job.lastRanAt)))
     ctx.estimates.observe(job.spec, (ctx.now - runningSince) / 1000);
   if (job.spec.shape === "gang") {
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -153,7 +153,7 @@
 
   /** For the metrics; null where fair admission is not switched on. */
   get admissionStatus(): AdmissionStatus | null {
-    return this.#admission?.report() ?? null;
+    return this.#admission?.snapshot() ?? null;
   }
 
   /** The node that leads, as far as this node knows. */
--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -85,7 +85,7 @@
     else if (!dependency) this.#nextReadAt.set(uid, this.#ctx.now);
   }
 
-  /** Called if a task of the job has started, so that an earlier leader must have found its dependencies satisfied. */
+  /** Called if a task of the job has already started: an earlier leader must have found its dependencies satisfied. */
   onJobStarted(job: Job): void {
     job.dependenciesSatisfied = true;
   }
@@ -151,7 +151,10 @@
     }
   }
 
-  /** Computes a job's effective priority and deadline from its dependents. A change propagates to its dependencies. */
+  /**
+   * Computes a job's effective priority and deadline from its own and those of its dependents. A change propagates to
+   * its dependencies.
+   */
   #inheritUrgency(job: Job): void {
     const { spec, acceptedAt } = job;
     let { priority } = spec;
--- a/src/core/jobs/job-requests.ts
+++ b/src/core/jobs/job-requests.ts
@@ -11,7 +11,7 @@
 import { SubmissionHandler } from "./submission.js";
 import { SubmissionValidator } from "./submission-validator.js";
 
-/** Callbacks of {@link JobRequests} to its node. */
+/** Callbacks from {@link JobRequests} to its node. */
 export interface JobRequestEvents {
   /** Called when this node has written a job's record, to accept or to cancel the job. */
   onJobWritten(entry: StoreEntry, cancelled: boolean): void;
--- a/src/core/jobs/polling.ts
+++ b/src/core/jobs/polling.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * A poll with the conditions that its answer depends on. They are those sent with the transaction: versions read while
- * it is in flight must not be used instead.
+ * A poll with the conditions that the transaction checks for it. Its answer depends on these, not on newer versions
+ * that this node reads while the transaction is in flight.
  */
 interface BatchedPoll extends Poll {
   readonly conditions: readonly VersionCondition[];
--- a/src/core/jobs/progress-counts.ts
+++ b/src/core/jobs/progress-counts.ts
@@ -1,7 +1,7 @@
 /** Maximum number of jobs whose counts are kept. The least recently updated counts are removed first. */
 const MAX_JOBS = 20_000;
 
-/** Numbers of a job's tasks that are done and running. */
+/** How many of a job's tasks are done and how many are running. */
 export interface TaskCounts {
   readonly done: number;
   readonly running: number;
--- a/src/core/jobs/rejection-batch.ts
+++ b/src/core/jobs/rejection-batch.ts
@@ -4,7 +4,7 @@
 import type { RejectionResponse } from "./responses.js";
 
 const STORE_TIMEOUT_MS = 1500;
-/** The keys of the job's record and of its final record, neither of which may exist. */
+/** One condition each on the keys of the job's record and of its final record, neither of which may exist. */
 const CONDITIONS_PER_JOB = 2;
 
 /** A submission that is rejected unless its job was accepted before. */
--- a/src/standby/cache-feed.ts
+++ b/src/standby/cache-feed.ts
@@ -10,7 +10,7 @@
 const WATCH_PAUSE_MS = 400;
 const RETRY_MS = 1000;
 
-/** How far one prefix of the cache is up to date. `reason` says why it is not, for the status. */
+/** Whether one prefix of the cache is up to date. `reason` is shown in the status and says why it is not. */
 type Progress =
   /** All records have yet to be read, or are being read. */
   | { readonly kind: "reading"; readonly reason: string }
--- a/src/standby/failover.ts
+++ b/src/standby/failover.ts
@@ -109,7 +109,7 @@
   }
 }
 
-/** The commands that an effect sends to an agent; null if it is not sent to an agent or rejects a heartbeat. */
+/** The commands that an effect sends to an agent; null if it is not addressed to an agent or rejects a heartbeat. */
 function commandsOf(effect: Effect): readonly AgentCommand[] | null {
   if (effect.kind === "sendAgentCommands") return effect.commands;
   if (effect.kind !== "replyToAgent" && effect.kind !== "replyToForwardedHeartbeat") return null;
--- a/src/standby/record-cache.ts
+++ b/src/standby/record-cache.ts
@@ -54,12 +54,12 @@
     return sum;
   }
 
-  /** One prefix contains all changes up to and including this revision; 0 until it is complete. */
+  /** Returns the revision up to and including which a prefix contains all changes; 0 until it is complete. */
   prefixCompleteThrough(prefix: CachedPrefix): number {
     return this.#section(prefix).completeThrough;
   }
 
-  /** All prefixes contain all changes up to and including this revision; 0 until all of them are complete. */
+  /** The revision up to and including which all prefixes contain all changes; 0 until all of them are complete. */
   get completeThrough(): number {
     return Math.min(...CACHED_PREFIXES.map((prefix) => this.prefixCompleteThrough(prefix)));
   }
--- a/src/standby/warm-start.ts
+++ b/src/standby/warm-start.ts
@@ -21,8 +21,8 @@
 /**
  * Loads the records of a term from the standby cache, once the cache is confirmed to be complete
  * (docs/design/warm-standby.md). Every write of a previous leader is conditioned on its leader key. The election
- * replaced that key, so no such write succeeds after the election's revision. One watch without waiting per prefix
- * returns all changes since the cached revision; a response at the election's revision or later includes every write of
+ * replaced that key, so no such write succeeds after the election's revision. One watch per prefix that returns at once
+ * yields all changes since the cached revision; a response at the election's revision or later includes every write of
  * previous leaders.
  */
 export class WarmStart implements RecordSource {
--- a/test/permit-leases.test.ts
+++ b/test/permit-leases.test.ts
@@ -132,7 +132,7 @@
 
   assert.equal(admission.mode, "slice");
 
-  const before = admission.report();
+  const before = admission.snapshot();
   const answers = admission.messageFor("n0").report.sequence;
   admission.onPeerHeartbeat("n0", {
     ...lateNote,
@@ -144,7 +144,7 @@
     },
   });
 
-  assert.deepEqual(admission.report(), before);
+  assert.deepEqual(admission.snapshot(), before);
 });
 
 test("permits in flight count as issued and are not issued again when they arrive late", () => {
@@ -169,7 +169,7 @@
   const cluster = new AdmissionCluster({ admission_open_jobs: 6, admission_rate: 1000 }, RED_ONLY);
   cluster.heartbeatRounds(4);
   const formerProcess = cluster.node("n1").admission;
-  const heldPermits = formerProcess.report().teams[0]?.available ?? 0;
+  const heldPermits = formerProcess.snapshot().teams[0]?.available ?? 0;
 
   assert.ok(heldPermits > 0);
 
@@ -305,7 +305,7 @@
           const { admission } = cluster.node(node);
           // What is accepted under the floor, or by a retry reservation, is outside of the limit.
           if (admission.mode === "slice") {
-            const { available = 0 } = admission.report().teams.find(({ name }) => name === "red") ?? {};
+            const { available = 0 } = admission.snapshot().teams.find(({ name }) => name === "red") ?? {};
             cluster.submit(node, "red", Math.min(count, available));
           }
           assert.ok((cluster.openJobs.get("red") ?? 0) <= room);
--- a/test/support/admission-cluster.ts
+++ b/test/support/admission-cluster.ts
@@ -126,5 +126,5 @@
 
 /** How many permits of a team a node may still spend. */
 export function availablePermits(node: AdmissionNode, team: string): number {
-  return node.admission.report().teams.find(({ name }) => name === team)?.available ?? 0;
+  return node.admission.snapshot().teams.find(({ name }) => name === team)?.available ?? 0;
 }
