--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -153,7 +153,7 @@
 
   /** For the metrics; null if fair admission is disabled. */
   get admissionStatus(): AdmissionStatus | null {
-    return this.#admission?.report() ?? null;
+    return this.#admission?.snapshot() ?? null;
   }
 
   /** The name of the leader as known to this node; null if there is none. */
