--- a/test/admission-world.test.ts
+++ b/test/admission-world.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { type FaultRates, NO_FAULTS } from "./model/fault-rates.js";
 import type { SubmittedJob } from "./model/jobs.js";
 import { ModelCluster } from "./model/model-cluster.js";
-import { NO_TROUBLE, type Trouble } from "./model/trouble.js";
 import { jobSpec } from "./support/controller-harness.js";
 
 const QUIET_S = 20;
@@ -17,7 +17,7 @@
 
 /** What happens beside the burst. */
 interface Circumstances {
-  readonly trouble?: Trouble;
+  readonly trouble?: FaultRates;
   readonly meanwhile?: (cluster: ModelCluster, second: number) => void;
 }
 
@@ -29,7 +29,7 @@
 
 /** One team submits ten times what both do in quiet. */
 function playBurst(seed: number, { trouble, meanwhile }: Circumstances): Day {
-  const cluster = new ModelCluster({ seed, trouble, admission: true });
+  const cluster = new ModelCluster({ seed, faultRates: trouble, admission: true });
   const others: SubmittedJob[] = [];
   let nextJob = 1;
   const submit = (team: string) => {
@@ -69,7 +69,7 @@
       if (second === 40 && node) node.peersPartitionedUntil = cluster.now + 15_000;
     },
   },
-  "during a rolling upgrade": { trouble: { ...NO_TROUBLE, upgrade: true } },
+  "during a rolling upgrade": { trouble: { ...NO_FAULTS, upgrade: true } },
 };
 
 for (const [what, circumstances] of Object.entries(CIRCUMSTANCES)) {
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -8,7 +8,7 @@
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 import { leaderWithFairAdmission } from "./support/fair-admission.js";
 import { FakeStore } from "./support/fake-store.js";
-import { readMessageInProduction } from "./support/production-readers.js";
+import { parseMessageAsProduction } from "./support/production-readers.js";
 
 /** Submits jobs of a team until one is throttled; returns that response and the ids that were accepted. */
 function submitUntilThrottled(
@@ -166,7 +166,7 @@
   const heartbeat = harness.heartbeats.get("n1");
 
   assert.ok(heartbeat?.kind === "heartbeat" && heartbeat.admission);
-  assert.ok(readMessageInProduction(encodePeerMessage(heartbeat)));
+  assert.ok(parseMessageAsProduction(encodePeerMessage(heartbeat)));
 
   const plainHeartbeat = new ControllerHarness().becomeLeader().heartbeats.get("n1");
   assert.ok(plainHeartbeat?.kind === "heartbeat" && plainHeartbeat.admission === undefined);
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -3,7 +3,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
-import { leaderWithRunningTask, successorOfSilentLeader } from "./support/leaders.js";
+import { leaderWithRunningTask, newLeaderAwaitingAgent } from "./support/leaders.js";
 
 /** How many ms after its election the leader starts j-1 again, machine A being silent and B alive; 60 s at most. */
 function restartDelayMs(harness: ControllerHarness, eachStep: () => void = () => {}): number {
@@ -18,7 +18,7 @@
 }
 
 test("a new leader waits for the previous leader's grace period and the agent lease before it restarts tasks of a silent machine", () => {
-  const { harness } = successorOfSilentLeader();
+  const { harness } = newLeaderAwaitingAgent();
   harness.cloudRule = () => ({ kind: "unavailable", reason: "down" });
   const electedAt = harness.controller.leaderTerm?.lease.electedAt ?? 0;
   const boundMs = harness.controller.election.gracePeriodMs + 3000 + 12_000;
@@ -38,7 +38,7 @@
 
 test("a new leader skips the previous leader's grace period only once every peer has shown the new fencing token", () => {
   for (const peers of [["n0", "n2"], ["n2"], ["n0"]]) {
-    const { harness } = successorOfSilentLeader();
+    const { harness } = newLeaderAwaitingAgent();
     const token = harness.controller.leaderTerm?.lease.fencingToken ?? 0;
     const receiveToken = (fencingToken: number) => {
       for (const from of peers) {
--- a/test/feasible-machines.test.ts
+++ b/test/feasible-machines.test.ts
@@ -3,14 +3,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
-import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
+import { executeCommands, liveTasks } from "./support/scripted-agents.js";
 
 test("a spread service has at most half of its replicas, rounded up, in one zone", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { shape: "service", priority: 3, tasks: 3, spread: true, estimateS: 0 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
 
   assert.equal(liveTasks(tasksByMachine, "A").length, 2);
 });
@@ -27,7 +27,7 @@
   tasksByMachine.set("A", []);
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { ...service, tasks: 5, image: "one" }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
 
   assert.equal(liveTasks(tasksByMachine, "A", "j-1").length, 5);
 
@@ -36,7 +36,7 @@
     harness.sendHeartbeat(name);
   }
   harness.submit(jobSpec("j-2", { ...service, tasks: 8, image: "two" }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   const replicasByMachine = [...tasksByMachine.keys()].map(
     (name) => liveTasks(tasksByMachine, name, "j-2").length,
   );
--- a/test/fleet-size.test.ts
+++ b/test/fleet-size.test.ts
@@ -99,8 +99,8 @@
   assert.equal(countUnfenced(cluster), 0, "after the cut");
 
   assert.deepEqual(cluster.violations, []);
-  assert.equal(cluster.store.throttled, 0, "changes within the rate");
-  assert.equal(cluster.store.invalid, 0, "records within the limits");
+  assert.equal(cluster.store.throttledTransactions, 0, "changes within the rate");
+  assert.equal(cluster.store.invalidTransactions, 0, "records within the limits");
   assert.ok(
     cluster.storeNetwork.requests.peakPerSecond <= STORE_RPS,
     `${cluster.storeNetwork.requests.peakPerSecond} store requests in a second`,
@@ -110,7 +110,7 @@
     `${cluster.cloud.requests.peakPerSecond} cloud calls in a second`,
   );
   assert.ok(
-    cluster.storeNetwork.longestUnrenewedMs <= 1000,
-    `a leader went ${cluster.storeNetwork.longestUnrenewedMs} ms without renewing`,
+    cluster.storeNetwork.longestRenewalGapMs <= 1000,
+    `a leader went ${cluster.storeNetwork.longestRenewalGapMs} ms without renewing`,
   );
 });
--- a/test/job-lookup.test.ts
+++ b/test/job-lookup.test.ts
@@ -87,5 +87,5 @@
 
   for (let i = 1; i <= 30; i++) assert.equal(phaseOf(harness.poll(`j-${i}`)), "queued", `j-${i}`);
   assert.ok(conditionCounts.length > 0 && Math.max(...conditionCounts) <= 16, String(conditionCounts));
-  assert.equal(harness.store.invalid, 0);
+  assert.equal(harness.store.invalidTransactions, 0);
 });
--- a/test/model/agent-network.ts
+++ b/test/model/agent-network.ts
@@ -82,17 +82,17 @@
   /** A node replies to the agent that waits for it; a repeated reply reaches nobody. */
   replyFrom(node: ControllerNode, requestId: number, reply: HeartbeatReply): void {
     if (!this.#onReply.has(requestId)) return;
-    this.noteJobs(node, reply);
-    this.passReply(requestId, reply);
+    this.recordJobs(node, reply);
+    this.deliverReply(requestId, reply);
   }
 
   /** Notes which jobs the commands of a reply are about, while the indices of the node that sends them still hold. */
-  noteJobs(node: ControllerNode, reply: HeartbeatReply): void {
-    if (reply.kind === "commands") this.#noteJobsOf(node, reply.commands);
+  recordJobs(node: ControllerNode, reply: HeartbeatReply): void {
+    if (reply.kind === "commands") this.#recordCommandJobs(node, reply.commands);
   }
 
   /** Passes a reply, whose jobs were noted, on to the agent. */
-  passReply(requestId: number, reply: HeartbeatReply): void {
+  deliverReply(requestId: number, reply: HeartbeatReply): void {
     this.#onReply.get(requestId)?.(reply);
     this.#onReply.delete(requestId);
   }
@@ -100,7 +100,7 @@
   /** Carries a node's direct commands to an agent, and its answer back; either may be lost, late or repeated. */
   sendCommands(node: ControllerNode, epoch: number, effect: SendAgentCommands): void {
     const simulation = this.#simulation;
-    this.#noteJobsOf(node, effect.commands);
+    this.#recordCommandJobs(node, effect.commands);
     const machine = node.core
       ? this.#machines.get(node.core.names.machines.nameOf(effect.machine))
       : undefined;
@@ -125,13 +125,13 @@
       const { sent, executed } = execute();
       if (isAnswerLost || !sent) fail();
       else {
-        const heartbeat = node.epoch === epoch && node.core ? sent.readBy(node) : null;
+        const heartbeat = node.epoch === epoch && node.core ? sent.decodeFor(node) : null;
         this.#answerCommands(node, epoch, effect.id, simulation.between(1, 6), { heartbeat, executed });
       }
     });
   }
 
-  #noteJobsOf(node: ControllerNode, commands: readonly AgentCommand[]): void {
+  #recordCommandJobs(node: ControllerNode, commands: readonly AgentCommand[]): void {
     for (const command of commands)
       this.#jobOfCommand.set(command, node.core?.names.jobs.nameOf(command.job) ?? "?");
   }
@@ -148,7 +148,7 @@
     this.#controllers.deliver(node, {
       kind: "heartbeat",
       requestId,
-      heartbeat: sent.readBy(node),
+      heartbeat: sent.decodeFor(node),
       body: sent,
     });
     const duplicateRate = simulation.now < this.manyDuplicatesUntil ? 0.5 : this.#duplicateRate;
@@ -160,7 +160,7 @@
       this.#controllers.deliver(receiver, {
         kind: "heartbeat",
         requestId: simulation.nextRequestId(),
-        heartbeat: sent.readBy(receiver),
+        heartbeat: sent.decodeFor(receiver),
         body: sent,
       });
     });
--- a/test/model/agent-tasks.ts
+++ b/test/model/agent-tasks.ts
@@ -195,10 +195,10 @@
     task.saved = saved;
     machine.nextHeartbeatAt = Math.min(machine.nextHeartbeatAt, this.#simulation.now + 100);
     const job = this.#jobs.get(task.uid);
-    if (job && exitReason === "done") this.#noteDone(job, task.task);
+    if (job && exitReason === "done") this.#recordDone(job, task.task);
   }
 
-  #noteDone(job: SubmittedJob, task: number): void {
+  #recordDone(job: SubmittedJob, task: number): void {
     const { uid, shape, tasks } = job.spec;
     if (shape === "gang") for (let member = 0; member < tasks; member++) job.done.add(member);
     else job.done.add(task);
--- a/test/model/agents.ts
+++ b/test/model/agents.ts
@@ -2,12 +2,12 @@
 import { AgentNetwork } from "./agent-network.js";
 import { AgentTasks } from "./agent-tasks.js";
 import type { Controllers } from "./controllers.js";
+import type { FaultRates } from "./fault-rates.js";
 import type { SubmittedJobs } from "./jobs.js";
 import { isHung, type SimulatedMachine } from "./machines.js";
 import type { RuleChecks } from "./rule-checks.js";
 import type { RunningTasks } from "./running-tasks.js";
 import type { Simulation } from "./simulation.js";
-import type { Trouble } from "./trouble.js";
 
 const STEP_MS = 100;
 
@@ -19,7 +19,7 @@
   readonly jobs: SubmittedJobs;
   readonly runningTasks: RunningTasks;
   readonly rules: RuleChecks;
-  readonly trouble: Trouble;
+  readonly faultRates: FaultRates;
   /** Called when the last task of a job is done. */
   readonly onJobFinished: (uid: string) => void;
 }
@@ -33,18 +33,18 @@
   readonly #runningTasks: RunningTasks;
 
   constructor(options: AgentsOptions) {
-    const { simulation, controllers, machines, runningTasks, trouble } = options;
+    const { simulation, controllers, machines, runningTasks, faultRates } = options;
     this.#simulation = simulation;
     this.#runningTasks = runningTasks;
     this.leases = new AgentLeases(simulation, runningTasks);
-    this.tasks = new AgentTasks({ ...options, errorRate: trouble.taskError });
+    this.tasks = new AgentTasks({ ...options, errorRate: faultRates.taskError });
     this.network = new AgentNetwork({
       simulation,
       controllers,
       machines,
       leases: this.leases,
       tasks: this.tasks,
-      duplicateRate: trouble.lateDuplicates,
+      duplicateRate: faultRates.lateDuplicates,
     });
   }
 
--- a/test/model/cloud.ts
+++ b/test/model/cloud.ts
@@ -13,14 +13,14 @@
 const CAPACITY = 4;
 const INITIAL_MACHINES = 2;
 const TIMEOUT_MS = 5000;
-const ONE_WAY_MS = 60;
+const ONE_WAY_LATENCY_MS = 60;
 /** A machine that never comes up within the day. */
 const STUCK_BOOT_MS = 3_600_000;
 
 type CreateRequest = Extract<CloudRequest, { kind: "create" }>;
 
 /** Which machine to make. */
-interface MachineOrder {
+interface MachineParameters {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
@@ -80,7 +80,7 @@
       return;
     }
     this.requests.count(this.#simulation.now);
-    this.#simulation.after(ONE_WAY_MS, () => respond(ONE_WAY_MS, this.#run(request)));
+    this.#simulation.after(ONE_WAY_LATENCY_MS, () => respond(ONE_WAY_LATENCY_MS, this.#run(request)));
   }
 
   #run(request: CloudRequest): CloudResponse {
@@ -101,8 +101,8 @@
   }
 
   #create(request: CreateRequest): CloudResponse {
-    const before = this.#createdByRequest.get(request.requestId);
-    if (before) return { kind: "created", machines: before };
+    const alreadyCreated = this.#createdByRequest.get(request.requestId);
+    if (alreadyCreated) return { kind: "created", machines: alreadyCreated };
     const type = TYPES.find(({ name }) => name === request.type);
     const count = Math.min(request.count, CAPACITY * this.#scale - this.#countAlive(request));
     if (!type || count <= 0) return { kind: "noCapacity" };
@@ -127,15 +127,15 @@
 
   /** A page of the list as it was some seconds ago; machines that are gone may still be in it. */
   #list(after: string | null): CloudResponse {
-    const seenAt = this.#simulation.now - this.#simulation.between(3000, 6000);
+    const snapshotAt = this.#simulation.now - this.#simulation.between(3000, 6000);
     const listed = [...this.#machines.values()]
-      .filter(({ createdAt, name }) => createdAt <= seenAt && (after === null || name > after))
+      .filter(({ createdAt, name }) => createdAt <= snapshotAt && (after === null || name > after))
       .filter(({ alive }) => alive || this.#simulation.chance(0.3));
-    const machines = listed.slice(0, LIST_PAGE_SIZE).map((machine) => listedMachine(machine, seenAt));
+    const machines = listed.slice(0, LIST_PAGE_SIZE).map((machine) => listedMachine(machine, snapshotAt));
     return { kind: "page", machines, more: listed.length > LIST_PAGE_SIZE };
   }
 
-  #createMachine({ type, zone, spot, bootMs }: MachineOrder): SimulatedMachine {
+  #createMachine({ type, zone, spot, bootMs }: MachineParameters): SimulatedMachine {
     const bootedAt = this.#simulation.now + bootMs;
     const machine = newMachine({
       name: `i-${String(this.#nextMachine++).padStart(6, "0")}`,
@@ -152,14 +152,14 @@
   }
 }
 
-function listedMachine(machine: SimulatedMachine, seenAt: number): CloudMachine {
+function listedMachine(machine: SimulatedMachine, snapshotAt: number): CloudMachine {
   return {
     name: machine.name,
     address: `${machine.name}:1`,
     type: machine.type.name,
     zone: machine.zone,
     spot: machine.spot,
-    phase: machine.bootedAt <= seenAt ? "running" : "booting",
-    ageS: (seenAt - machine.createdAt) / 1000,
+    phase: machine.bootedAt <= snapshotAt ? "running" : "booting",
+    ageS: (snapshotAt - machine.createdAt) / 1000,
   };
 }
--- a/test/model/compound-faults.ts
+++ b/test/model/compound-faults.ts
@@ -42,15 +42,15 @@
     if (!leader) return;
     const forMs = simulation.between(2000, 40_000);
     const affected = machines.filter(() => simulation.chance(0.3));
-    const lasting = [
+    const lastingFaults = [
       ...this.#leaderFaults(leader, forMs),
       ...this.#machineFaults(affected, forMs),
       ...this.#networkFaults(forMs),
     ];
-    const sudden = this.#suddenFaults(leader);
-    const first = this.#pick(lasting);
-    const second = simulation.chance(0.4) ? this.#pick(lasting) : undefined;
-    const amidst = this.#pick(sudden);
+    const outagesAndCrashes = this.#outagesAndCrashes(leader);
+    const first = this.#pick(lastingFaults);
+    const second = simulation.chance(0.4) ? this.#pick(lastingFaults) : undefined;
+    const outageOrCrash = this.#pick(outagesAndCrashes);
     first?.();
     second?.();
     const cancelAfterMs = simulation.between(0, 3500);
@@ -60,11 +60,11 @@
         simulation.chance(0.5) ? simulation.between(2000, 30_000) : 0,
       ),
     );
-    if (simulation.chance(0.3) || !amidst) return;
-    const amidstAfterMs = simulation.chance(0.7)
+    if (simulation.chance(0.3) || !outageOrCrash) return;
+    const outageOrCrashAfterMs = simulation.chance(0.7)
       ? cancelAfterMs + simulation.between(0, 1500)
       : simulation.between(0, forMs);
-    simulation.after(amidstAfterMs, amidst);
+    simulation.after(outageOrCrashAfterMs, outageOrCrash);
   }
 
   #pick(faults: readonly Fault[]): Fault | undefined {
@@ -96,7 +96,7 @@
         leader.watchesHangUntil = simulation.now + 50_000;
         leader.peersPartitionedUntil = leader.watchesHangUntil;
       },
-      () => this.#controllers.freeze(leader.index, forMs),
+      () => this.#controllers.pause(leader.index, forMs),
     ];
   }
 
@@ -135,7 +135,7 @@
     ];
   }
 
-  #suddenFaults(leader: ControllerNode): Fault[] {
+  #outagesAndCrashes(leader: ControllerNode): Fault[] {
     const simulation = this.#simulation;
     const controllers = this.#controllers;
     const { store } = this.#targets;
@@ -168,10 +168,10 @@
     }
     const rank = (uid: string) => (jobs.get(uid)?.spec.shape === "service" ? 0 : 1);
     const running = [...machinesByJob].sort(([uid], [otherUid]) => rank(uid) - rank(otherUid));
-    for (const [uid, itsMachines] of running.slice(0, count)) {
+    for (const [uid, jobMachines] of running.slice(0, count)) {
       users.cancel(uid);
       if (hangMs === 0) continue;
-      for (const machine of itsMachines.slice(0, 4)) machine.hungUntil = this.#simulation.now + hangMs;
+      for (const machine of jobMachines.slice(0, 4)) machine.hungUntil = this.#simulation.now + hangMs;
     }
   }
 }
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -14,7 +14,7 @@
   readonly index: number;
   readonly name: string;
   /** It is yet to be upgraded: it neither says nor hears which protocol others speak. */
-  isOldVersion: boolean;
+  isPreviousVersion: boolean;
   /** Null while the process is down. */
   core: Controller | null;
   /** Rises with each start and end of the process: what was under way for an earlier one is dropped. */
@@ -35,9 +35,9 @@
   /** Packets of a partition are delivered when it ends, not lost. */
   delaysPackets: boolean;
   /** The process stands still until then, while its clock runs on. */
-  frozenUntil: number;
+  pausedUntil: number;
   /** The freeze falls between deciding and writing: effects of the next command leave it when it goes on. */
-  freezesAfterDeciding: boolean;
+  pausesBeforeSending: boolean;
   /** Commands that came while it stood still, and effects that it had decided on. */
   readonly pendingCommands: Command[];
   readonly unsentEffects: Effect[];
@@ -54,7 +54,7 @@
   readonly standby: boolean;
   /** Submissions are admitted by the teams' shares. */
   readonly admission: boolean;
-  readonly startWithOldVersion: boolean;
+  readonly startWithPreviousVersion: boolean;
   readonly onEffect: EffectHandler;
 }
 
@@ -70,7 +70,7 @@
     this.nodes = NODES.map((name, index) => ({
       index,
       name,
-      isOldVersion: options.startWithOldVersion,
+      isPreviousVersion: options.startWithPreviousVersion,
       core: null,
       epoch: 0,
       clockRate: 1 + (simulation.between(-50, 50) / 50) * 0.0005,
@@ -82,8 +82,8 @@
       storeRefusesUntil: 0,
       watchesHangUntil: 0,
       delaysPackets: false,
-      frozenUntil: 0,
-      freezesAfterDeciding: false,
+      pausedUntil: 0,
+      pausesBeforeSending: false,
       pendingCommands: [],
       unsentEffects: [],
     }));
@@ -96,7 +96,7 @@
 
   /** True once every node runs the new version: from then on users ask for what is new. */
   get areUpgraded(): boolean {
-    return this.nodes.every((node) => !node.isOldVersion);
+    return this.nodes.every((node) => !node.isPreviousVersion);
   }
 
   /** The first node that holds itself to be the leader. */
@@ -124,15 +124,15 @@
   }
 
   /** A process does nothing for a while; what reaches it waits, and so may what it has just decided. */
-  freeze(index: number, forMs: number): void {
+  pause(index: number, forMs: number): void {
     const node = this.nodes[index];
-    if (!node?.core || this.#simulation.now < node.frozenUntil) return;
-    node.frozenUntil = this.#simulation.now + forMs;
-    node.freezesAfterDeciding = this.#simulation.chance(0.5);
+    if (!node?.core || this.#simulation.now < node.pausedUntil) return;
+    node.pausedUntil = this.#simulation.now + forMs;
+    node.pausesBeforeSending = this.#simulation.chance(0.5);
     const { epoch } = node;
     this.#simulation.after(forMs, () => {
       if (node.epoch !== epoch) return;
-      node.freezesAfterDeciding = false;
+      node.pausesBeforeSending = false;
       for (const effect of node.unsentEffects.splice(0)) this.#options.onEffect(node, epoch, effect);
       const commands = node.pendingCommands.splice(0);
       if (commands.length > 0) this.#handle(node, commands);
@@ -141,10 +141,10 @@
 
   /** Hands a command to the process; one that stands still gets it later. */
   deliver(node: ControllerNode, command: Command): void {
-    if (this.#simulation.now >= node.frozenUntil) this.#handle(node, [command]);
-    else if (node.freezesAfterDeciding && node.core) {
-      node.freezesAfterDeciding = false;
-      node.unsentEffects.push(...this.#decide(node, node.core, [command]));
+    if (this.#simulation.now >= node.pausedUntil) this.#handle(node, [command]);
+    else if (node.pausesBeforeSending && node.core) {
+      node.pausesBeforeSending = false;
+      node.unsentEffects.push(...this.#computeEffects(node, node.core, [command]));
     } else node.pendingCommands.push(command);
   }
 
@@ -161,13 +161,13 @@
     const { scale, standby, admission } = this.#options;
     node.pendingCommands.length = 0;
     node.unsentEffects.length = 0;
-    node.frozenUntil = 0;
+    node.pausedUntil = 0;
     node.core = new Controller(scaledDeployment(node.name, scale), {
       incarnation: `${node.name}-${epoch}`,
       seed: node.index * 1000 + epoch,
       epochMs: 1_000_000_000,
-      standbyBytes: standby && !node.isOldVersion ? STANDBY_BYTES : 0,
-      admission: admission && !node.isOldVersion,
+      standbyBytes: standby && !node.isPreviousVersion ? STANDBY_BYTES : 0,
+      admission: admission && !node.isPreviousVersion,
     });
     for (const peer of this.nodes) {
       if (peer !== node) this.deliver(node, { kind: "peerLinkChanged", node: peer.name, up: true });
@@ -183,10 +183,11 @@
   #handle(node: ControllerNode, commands: readonly Command[]): void {
     const { core, epoch } = node;
     if (!core) return;
-    for (const effect of this.#decide(node, core, commands)) this.#options.onEffect(node, epoch, effect);
+    for (const effect of this.#computeEffects(node, core, commands))
+      this.#options.onEffect(node, epoch, effect);
   }
 
-  #decide(node: ControllerNode, core: Controller, commands: readonly Command[]): Effect[] {
+  #computeEffects(node: ControllerNode, core: Controller, commands: readonly Command[]): Effect[] {
     const nodeNow = this.#simulation.now * node.clockRate + node.clockOffsetMs;
     return core.handle(commands, nodeNow, { isSpent: () => this.#simulation.chance(0.02) });
   }
--- a/test/model/timeline.ts
+++ b/test/model/event-queue.ts
@@ -7,7 +7,7 @@
 }
 
 /** A binary heap of events: the earliest first, and among those of one moment the first made. */
-export class Timeline {
+export class EventQueue {
   readonly #heap: Event[] = [];
   #nextOrder = 0;
 
--- a/test/model/trouble.ts
+++ b/test/model/fault-rates.ts
@@ -2,7 +2,7 @@
  * The faults of a day. Unless said otherwise each is the probability, in every second of the troubled part of the day, that
  * the fault begins.
  */
-export interface Trouble {
+export interface FaultRates {
   /** A controller ends and is back after 0.2 or 4 s; a quarter as often all of them end together. */
   readonly crash: number;
   /** A controller loses everybody, the store or the agents, or is refused by the store; packets are lost or delayed. */
@@ -24,7 +24,7 @@
   /** Controllers are back within a fraction of a second, also twice in a row and all together. */
   readonly quickRestart: number;
   /** A controller stands still for longer than a lease, and goes on where it was. */
-  readonly freeze: number;
+  readonly pause: number;
   /** Many machines at once end, hang, are reclaimed or are cut off with their zone, mostly with a controller's crash. */
   readonly massFailure: number;
   /** The store is down, then all controllers restart, one after the other, and all again. */
@@ -38,7 +38,7 @@
 }
 
 /** A day without any trouble: others are made from it. */
-export const NO_TROUBLE: Trouble = {
+export const NO_FAULTS: FaultRates = {
   crash: 0,
   partition: 0,
   outage: 0,
@@ -49,7 +49,7 @@
   lateDuplicates: 0,
   isolation: 0,
   quickRestart: 0,
-  freeze: 0,
+  pause: 0,
   massFailure: 0,
   rollingRestart: 0,
   compoundFault: 0,
--- a/test/model/faults.ts
+++ b/test/model/faults.ts
@@ -1,28 +1,28 @@
 import type { Agents } from "./agents.js";
 import { CompoundFaults, type FaultTargets } from "./compound-faults.js";
 import type { ControllerNode, Controllers } from "./controllers.js";
+import type { FaultRates } from "./fault-rates.js";
 import type { SimulatedMachine } from "./machines.js";
 import type { Simulation } from "./simulation.js";
-import type { Trouble } from "./trouble.js";
 
 const RECLAIM_NOTICE_MS = 10_000;
 
 /** What the faults are built from. */
 export interface FaultsOptions extends FaultTargets {
-  readonly trouble: Trouble;
+  readonly faultRates: FaultRates;
 }
 
 /** The faults of a run, drawn at random at the rates of its trouble. */
 export class Faults {
-  readonly #trouble: Trouble;
+  readonly #faultRates: FaultRates;
   readonly #targets: FaultTargets;
   readonly #simulation: Simulation;
   readonly #controllers: Controllers;
   readonly #agents: Agents;
   readonly #compound: CompoundFaults;
 
-  constructor({ trouble, ...targets }: FaultsOptions) {
-    this.#trouble = trouble;
+  constructor({ faultRates, ...targets }: FaultsOptions) {
+    this.#faultRates = faultRates;
     this.#targets = targets;
     this.#simulation = targets.simulation;
     this.#controllers = targets.controllers;
@@ -33,19 +33,20 @@
   /** Begins the faults of one second. */
   injectForOneSecond(): void {
     const simulation = this.#simulation;
-    const trouble = this.#trouble;
+    const faultRates = this.#faultRates;
     const node = this.#controllers.nodes[simulation.between(0, 2)];
     const machines = [...this.#targets.machines.values()].filter(
       ({ alive, bootedAt }) => alive && bootedAt <= simulation.now,
     );
     const machine = machines[simulation.between(0, Math.max(0, machines.length - 1))];
     if (node) this.#injectIntoController(node);
-    if (simulation.chance(trouble.massFailure)) this.#failTogether(machines);
-    if (simulation.chance(trouble.compoundFault)) this.#compound.begin(machines);
-    if (simulation.chance(trouble.rollingRestart)) this.#rollingRestart();
-    if (machine && simulation.chance(trouble.oneWayPartition))
+    if (simulation.chance(faultRates.massFailure)) this.#failManyMachines(machines);
+    if (simulation.chance(faultRates.compoundFault)) this.#compound.begin(machines);
+    if (simulation.chance(faultRates.rollingRestart)) this.#rollingRestart();
+    if (machine && simulation.chance(faultRates.oneWayPartition))
       machine.inboundPartitionedUntil = simulation.now + simulation.between(5000, 60_000);
-    if (simulation.chance(trouble.outage)) this.#targets.store.startOutage(simulation.between(2000, 20_000));
+    if (simulation.chance(faultRates.outage))
+      this.#targets.store.startOutage(simulation.between(2000, 20_000));
     if (machine) this.#injectIntoMachine(machine);
   }
 
@@ -60,9 +61,9 @@
   onJobFinished(uid: string): void {
     const simulation = this.#simulation;
     const { users } = this.#targets;
-    if (!simulation.chance(this.#trouble.cancelAtCompletion)) return;
+    if (!simulation.chance(this.#faultRates.cancelAtCompletion)) return;
     simulation.after(simulation.between(0, 400), () => users.cancel(uid));
-    simulation.after(simulation.between(0, 400), () => users.repeat(uid));
+    simulation.after(simulation.between(0, 400), () => users.resubmit(uid));
   }
 
   /** Plans the upgrade of all nodes, one after the other; `onStoreLimitsFall` is called after it. */
@@ -76,7 +77,7 @@
     }
     for (const node of this.#controllers.nodes) {
       simulation.after(20_000 + node.index * simulation.between(6000, 14_000), () => {
-        node.isOldVersion = false;
+        node.isPreviousVersion = false;
         this.#controllers.crash(node.index, simulation.between(100, 4000));
       });
     }
@@ -85,28 +86,28 @@
 
   #injectIntoController(node: ControllerNode): void {
     const simulation = this.#simulation;
-    const trouble = this.#trouble;
-    if (simulation.chance(trouble.crash))
+    const faultRates = this.#faultRates;
+    if (simulation.chance(faultRates.crash))
       this.#controllers.crash(node.index, simulation.chance(0.3) ? 200 : 4000);
-    if (simulation.chance(trouble.crash / 4)) this.#crashAll(200, 4000);
-    if (simulation.chance(trouble.partition)) this.#partition(node);
-    if (simulation.chance(trouble.quickRestart)) this.#quickRestart(node);
-    if (simulation.chance(trouble.isolation)) {
+    if (simulation.chance(faultRates.crash / 4)) this.#crashAll(200, 4000);
+    if (simulation.chance(faultRates.partition)) this.#partition(node);
+    if (simulation.chance(faultRates.quickRestart)) this.#quickRestart(node);
+    if (simulation.chance(faultRates.isolation)) {
       node.peersPartitionedUntil = simulation.now + simulation.between(5000, 40_000);
       node.storePartitionedUntil = node.peersPartitionedUntil;
     }
-    if (simulation.chance(trouble.freeze))
-      this.#controllers.freeze(node.index, simulation.between(1000, 45_000));
+    if (simulation.chance(faultRates.pause))
+      this.#controllers.pause(node.index, simulation.between(1000, 45_000));
   }
 
   #injectIntoMachine(machine: SimulatedMachine): void {
     const simulation = this.#simulation;
-    const trouble = this.#trouble;
-    if (simulation.chance(trouble.hang))
+    const faultRates = this.#faultRates;
+    if (simulation.chance(faultRates.hang))
       machine.hungUntil = simulation.now + simulation.between(2000, 30_000);
-    if (simulation.chance(trouble.hang))
+    if (simulation.chance(faultRates.hang))
       machine.partitionedUntil = simulation.now + simulation.between(2000, 30_000);
-    if (!simulation.chance(trouble.reclaim)) return;
+    if (!simulation.chance(faultRates.reclaim)) return;
     if (simulation.chance(0.5)) this.#agents.terminate(machine);
     else {
       machine.reclaimAt = simulation.now + RECLAIM_NOTICE_MS;
@@ -149,7 +150,7 @@
   }
 
   /** A good part of the machines at once, mostly with a controller's crash in the middle of it. */
-  #failTogether(machines: readonly SimulatedMachine[]): void {
+  #failManyMachines(machines: readonly SimulatedMachine[]): void {
     const simulation = this.#simulation;
     const forMs = simulation.between(5000, 40_000);
     const kind = simulation.between(0, 3);
--- a/test/model/jobs.ts
+++ b/test/model/jobs.ts
@@ -20,7 +20,7 @@
 }
 
 /** What a user knew of a job when asking: a later answer may not take it back. */
-export interface ConfirmedEnd {
+export interface ConfirmedOutcome {
   readonly cancelled: boolean;
   readonly done: boolean;
 }
@@ -59,6 +59,6 @@
 }
 
 /** What its user knows of a job's end at this moment. */
-export function confirmedEndOf(job: SubmittedJob): ConfirmedEnd {
+export function confirmedOutcomeOf(job: SubmittedJob): ConfirmedOutcome {
   return { cancelled: job.cancelledAt !== null, done: job.confirmedDone };
 }
--- a/test/model/model-cluster.ts
+++ b/test/model/model-cluster.ts
@@ -5,6 +5,7 @@
 import { Cloud } from "./cloud.js";
 import { ControllerLog } from "./controller-log.js";
 import { type ControllerNode, Controllers } from "./controllers.js";
+import { type FaultRates, NO_FAULTS } from "./fault-rates.js";
 import { Faults } from "./faults.js";
 import { SubmittedJobs } from "./jobs.js";
 import type { SimulatedMachine } from "./machines.js";
@@ -13,7 +14,6 @@
 import { RunningTasks } from "./running-tasks.js";
 import { Simulation } from "./simulation.js";
 import { StoreNetwork } from "./store-network.js";
-import { NO_TROUBLE, type Trouble } from "./trouble.js";
 import { Users } from "./users.js";
 
 /** How often the store looks for leases that are over. */
@@ -28,7 +28,7 @@
 export interface ModelClusterOptions {
   readonly seed: number;
   /** None unless given. */
-  readonly trouble?: Trouble | undefined;
+  readonly faultRates?: FaultRates | undefined;
   /** At scale 1 there are eight machines to begin with; teams' quotas and the cloud grow with it. */
   readonly scale?: number | undefined;
   /** Followers keep a warm standby of the records. */
@@ -61,14 +61,14 @@
   readonly #observer: EffectObserver | undefined;
 
   constructor(options: ModelClusterOptions) {
-    const { seed, trouble = NO_TROUBLE, scale = 1, standby = false, admission = false, observer } = options;
+    const { seed, faultRates = NO_FAULTS, scale = 1, standby = false, admission = false, observer } = options;
     this.#observer = observer;
     this.simulation = new Simulation(seed);
     this.controllers = new Controllers(this.simulation, {
       scale,
       standby,
       admission,
-      startWithOldVersion: trouble.upgrade,
+      startWithPreviousVersion: faultRates.upgrade,
       onEffect: (node, epoch, effect) => this.#route(node, epoch, effect),
     });
     const { simulation, controllers, jobs, machines, runningTasks, store } = this;
@@ -82,7 +82,7 @@
       ...shared,
       runningTasks,
       rules,
-      trouble,
+      faultRates,
       onJobFinished: (uid) => this.faults.onJobFinished(uid),
     });
     this.agents = agents;
@@ -93,8 +93,8 @@
       onBooted: (machine) => agents.start(machine),
       onTerminated: (machine) => agents.terminate(machine),
     });
-    this.faults = new Faults({ ...shared, trouble, agents, users: this.users, store: this.storeNetwork });
-    this.#start(trouble);
+    this.faults = new Faults({ ...shared, faultRates, agents, users: this.users, store: this.storeNetwork });
+    this.#start(faultRates);
   }
 
   /** Virtual time, in milliseconds: that of the last event played. */
@@ -118,13 +118,13 @@
   }
 
   /** Begins the day. The order matters: it is that of the draws and of events at the same moment. */
-  #start({ upgrade }: Trouble): void {
+  #start({ upgrade }: FaultRates): void {
     this.controllers.startAll();
     this.cloud.createInitialMachines();
     this.simulation.every(LEASE_EXPIRY_STEP_MS, () => this.store.expire(this.now));
     this.store.limits = STORE_LIMITS;
     this.store.onWrite = (key, value) => {
-      if (!this.controllers.areUpgraded) this.rules.checkReadableInProduction(key, value);
+      if (!this.controllers.areUpgraded) this.rules.checkReadableByProduction(key, value);
     };
     if (!upgrade) return;
     this.faults.scheduleUpgrade(() => {
--- a/test/model/peer-network.ts
+++ b/test/model/peer-network.ts
@@ -21,7 +21,10 @@
   send(sender: ControllerNode, { to, message }: Extract<Effect, { kind: "sendToPeer" }>): void {
     const receiver = this.#reachable(sender, to);
     if (!receiver) return;
-    const received = asUnderstood(structuredClone(message), sender.isOldVersion || receiver.isOldVersion);
+    const received = stripNewFields(
+      structuredClone(message),
+      sender.isPreviousVersion || receiver.isPreviousVersion,
+    );
     this.#controllers.deliverAfter(receiver, receiver.epoch, this.#latencyMs(), () => ({
       kind: "peerMessage",
       from: sender.name,
@@ -39,7 +42,7 @@
     if (!receiver) return;
     this.#simulation.after(this.#latencyMs(), () => {
       if (!receiver.core) return;
-      const heartbeat = body.readBy(receiver);
+      const heartbeat = body.decodeFor(receiver);
       this.#controllers.deliver(receiver, {
         kind: "forwardedHeartbeat",
         from: sender.name,
@@ -55,9 +58,9 @@
     { to, id, reply }: Extract<Effect, { kind: "replyToForwardedHeartbeat" }>,
   ): void {
     if (!this.#reachable(sender, to)) return;
-    this.#agents.noteJobs(sender, reply);
+    this.#agents.recordJobs(sender, reply);
     const delayMs = this.#simulation.chance(0.01) ? this.#simulation.between(1000, 3000) : this.#latencyMs();
-    this.#simulation.after(delayMs, () => this.#agents.passReply(id, reply));
+    this.#simulation.after(delayMs, () => this.#agents.deliverReply(id, reply));
   }
 
   #reachable(sender: ControllerNode, name: string): ControllerNode | undefined {
@@ -77,8 +80,8 @@
   }
 }
 
-function asUnderstood(message: PeerMessage, byOldVersion: boolean): PeerMessage {
-  return message.kind === "heartbeat" && byOldVersion
+function stripNewFields(message: PeerMessage, isPreviousVersion: boolean): PeerMessage {
+  return message.kind === "heartbeat" && isPreviousVersion
     ? { ...message, protocol: undefined, standby: undefined, admission: undefined }
     : message;
 }
--- a/test/model/rule-checks.ts
+++ b/test/model/rule-checks.ts
@@ -1,6 +1,6 @@
 import type { Deployment } from "../../src/core/model/deployment.js";
-import { readRecordInProduction } from "../support/production-readers.js";
-import type { ConfirmedEnd, SubmittedJob, SubmittedJobs } from "./jobs.js";
+import { parseRecordAsProduction } from "../support/production-readers.js";
+import type { ConfirmedOutcome, SubmittedJob, SubmittedJobs } from "./jobs.js";
 import { type AgentTask, isActive, type SimulatedMachine } from "./machines.js";
 import type { RunningTasks } from "./running-tasks.js";
 import type { Simulation } from "./simulation.js";
@@ -82,22 +82,22 @@
   }
 
   /** What a user is answered about a job agrees with what has happened, and takes nothing back that was confirmed. */
-  checkAnsweredPhase(job: SubmittedJob, phase: string, before: ConfirmedEnd): void {
+  checkAnsweredPhase(job: SubmittedJob, phase: string, confirmedBefore: ConfirmedOutcome): void {
     const { uid, tasks } = job.spec;
     if (phase === "done") {
       if (job.done.size < tasks) this.report("not_done", uid);
-      if (before.cancelled) this.report("went_back", `${uid}: cancelled, then done`);
+      if (confirmedBefore.cancelled) this.report("went_back", `${uid}: cancelled, then done`);
     } else if (phase === "cancelled") {
       if (!this.#jobs.isCancelRequested(job)) this.report("went_back", `${uid}: cancelled by nobody`);
-      if (before.done) this.report("went_back", `${uid}: done, then cancelled`);
-    } else if (before.done || before.cancelled) {
+      if (confirmedBefore.done) this.report("went_back", `${uid}: done, then cancelled`);
+    } else if (confirmedBefore.done || confirmedBefore.cancelled) {
       this.report("went_back", `${uid}: over, then ${phase}`);
     }
   }
 
   /** Until every controller is upgraded the version in production has to be able to read each record. */
-  checkReadableInProduction(key: string, value: unknown): void {
-    if (readRecordInProduction(key, value) === null)
+  checkReadableByProduction(key: string, value: unknown): void {
+    if (parseRecordAsProduction(key, value) === null)
       this.report("unreadable", `production can't read ${key}: ${JSON.stringify(value)}`);
   }
 
--- a/test/model/days.ts
+++ b/test/model/scenarios.ts
@@ -1,16 +1,16 @@
 import type { JobShape, JobSpec, Priority } from "../../src/core/model/job-spec.js";
 import type { Resources } from "../../src/core/model/resources.js";
 import { jobSpec } from "../support/controller-harness.js";
+import { type FaultRates, NO_FAULTS } from "./fault-rates.js";
 import { ModelCluster, type ModelClusterOptions } from "./model-cluster.js";
 import type { Simulation } from "./simulation.js";
-import { NO_TROUBLE, type Trouble } from "./trouble.js";
 
 /** Faults are injected, and most jobs submitted, in the first part of the day; then work can finish. */
-const TROUBLED_S = 150;
-const DAY_S = 300;
+const FAULTS_END_S = 150;
+const SCENARIO_S = 300;
 /** The last fault may begin with the last troubled second, and last for a minute. */
-const SETTLED_S = TROUBLED_S + 65;
-const SERVICES_END_S = TROUBLED_S + 10;
+const STARVATION_CHECKS_START_S = FAULTS_END_S + 65;
+const SERVICES_CANCELLED_S = FAULTS_END_S + 10;
 
 const SHAPES: readonly JobShape[] = ["array", "array", "service", "gang"];
 const GANG_NEED: Resources = { cpu: 4000, gpu: 1000, ram: 8000 };
@@ -90,17 +90,17 @@
   act(second: number): void {
     const simulation = this.#simulation;
     const { users, controllers } = this.#cluster;
-    const isTroubled = second < TROUBLED_S;
-    if (isTroubled && simulation.chance(0.25)) this.#submitJob();
-    if (controllers.areUpgraded && second < TROUBLED_S - 30 && simulation.chance(0.06))
+    const areFaultsActive = second < FAULTS_END_S;
+    if (areFaultsActive && simulation.chance(0.25)) this.#submitJob();
+    if (controllers.areUpgraded && second < FAULTS_END_S - 30 && simulation.chance(0.06))
       this.#submitPipeline();
     if (simulation.chance(0.05)) {
       const uid = this.#anyUid();
-      if (uid !== undefined && isTroubled) users.cancel(uid);
+      if (uid !== undefined && areFaultsActive) users.cancel(uid);
     }
     if (simulation.chance(0.1)) users.pollUnknown();
     if (simulation.chance(0.05)) this.#submitInvalid();
-    if (simulation.chance(0.1)) users.repeat(this.#anyUid() ?? "");
+    if (simulation.chance(0.1)) users.resubmit(this.#anyUid() ?? "");
   }
 
   #anyUid(): string | undefined {
@@ -139,8 +139,8 @@
       const awaits = stages
         .filter((_, index) => index === stage - 1 || simulation.chance(0.3))
         .map(({ uid }) => uid);
-      const mayAwaitEarlier = earlier && earlier.acceptedAt !== null && earlier.spec.shape !== "service";
-      if (stage === 0 && mayAwaitEarlier && simulation.chance(0.5)) awaits.push(earlier.spec.uid);
+      const canDependOnEarlier = earlier && earlier.acceptedAt !== null && earlier.spec.shape !== "service";
+      if (stage === 0 && canDependOnEarlier && simulation.chance(0.5)) awaits.push(earlier.spec.uid);
       const urgency = stage > 1 ? { priority: 2 as const, deadlineS: 120 } : {};
       const tasks = Math.min(job.tasks, 4);
       const spec = { ...job, ...urgency, shape, tasks, estimateS: simulation.between(1, 5) };
@@ -151,15 +151,15 @@
 }
 
 /** Plays a day of random jobs, cancellations and faults; the last part has none, so that work can finish. */
-export function play(options: ModelClusterOptions): ModelCluster {
+export function runScenario(options: ModelClusterOptions): ModelCluster {
   const cluster = new ModelCluster(options);
   const randomUsers = new RandomUsers(cluster, options.scale ?? 1);
-  for (let second = 1; second <= DAY_S; second++) {
+  for (let second = 1; second <= SCENARIO_S; second++) {
     cluster.run(second * 1000);
     randomUsers.act(second);
-    if (second > SETTLED_S) cluster.rules.checkStarvation();
-    if (second < TROUBLED_S) cluster.faults.injectForOneSecond();
-    if (second === SERVICES_END_S) cancelServices(cluster);
+    if (second > STARVATION_CHECKS_START_S) cluster.rules.checkStarvation();
+    if (second < FAULTS_END_S) cluster.faults.injectForOneSecond();
+    if (second === SERVICES_CANCELLED_S) cancelServices(cluster);
   }
   return cluster;
 }
@@ -170,17 +170,17 @@
 }
 
 /** The days that the tests play, by what goes wrong on them. */
-export const TROUBLES: Record<string, Trouble> = {
-  "no faults": NO_TROUBLE,
-  "crashing controllers": { ...NO_TROUBLE, crash: 0.08 },
-  "controllers that restart at once": { ...NO_TROUBLE, quickRestart: 0.08 },
-  "partitions and store outages": { ...NO_TROUBLE, partition: 0.08, outage: 0.02 },
-  "isolated controllers": { ...NO_TROUBLE, isolation: 0.06, quickRestart: 0.02 },
-  "failing machines": { ...NO_TROUBLE, hang: 0.08, reclaim: 0.05, taskError: 0.001 },
-  "one-way partitions of agents": { ...NO_TROUBLE, oneWayPartition: 0.06 },
-  "late duplicates of heartbeats": { ...NO_TROUBLE, lateDuplicates: 0.1, crash: 0.03, reclaim: 0.05 },
+export const SCENARIOS: Record<string, FaultRates> = {
+  "no faults": NO_FAULTS,
+  "crashing controllers": { ...NO_FAULTS, crash: 0.08 },
+  "controllers that restart at once": { ...NO_FAULTS, quickRestart: 0.08 },
+  "partitions and store outages": { ...NO_FAULTS, partition: 0.08, outage: 0.02 },
+  "isolated controllers": { ...NO_FAULTS, isolation: 0.06, quickRestart: 0.02 },
+  "failing machines": { ...NO_FAULTS, hang: 0.08, reclaim: 0.05, taskError: 0.001 },
+  "one-way partitions of agents": { ...NO_FAULTS, oneWayPartition: 0.06 },
+  "late duplicates of heartbeats": { ...NO_FAULTS, lateDuplicates: 0.1, crash: 0.03, reclaim: 0.05 },
   "crashes, partitions, outages and failing machines": {
-    ...NO_TROUBLE,
+    ...NO_FAULTS,
     crash: 0.05,
     partition: 0.05,
     outage: 0.015,
@@ -188,19 +188,19 @@
     reclaim: 0.03,
     taskError: 0.0005,
   },
-  "paused controllers": { ...NO_TROUBLE, freeze: 0.05, crash: 0.02 },
-  "mass failures of machines": { ...NO_TROUBLE, massFailure: 0.04 },
-  "store outages and rolling restarts": { ...NO_TROUBLE, rollingRestart: 0.015, hang: 0.02 },
-  "compound faults": { ...NO_TROUBLE, compoundFault: 0.04 },
+  "paused controllers": { ...NO_FAULTS, pause: 0.05, crash: 0.02 },
+  "mass failures of machines": { ...NO_FAULTS, massFailure: 0.04 },
+  "store outages and rolling restarts": { ...NO_FAULTS, rollingRestart: 0.015, hang: 0.02 },
+  "compound faults": { ...NO_FAULTS, compoundFault: 0.04 },
   "compound faults, cancellations at completion": {
-    ...NO_TROUBLE,
+    ...NO_FAULTS,
     compoundFault: 0.03,
     cancelAtCompletion: 0.5,
     crash: 0.02,
   },
-  "a rolling upgrade": { ...NO_TROUBLE, upgrade: true },
+  "a rolling upgrade": { ...NO_FAULTS, upgrade: true },
   "a rolling upgrade among faults": {
-    ...NO_TROUBLE,
+    ...NO_FAULTS,
     upgrade: true,
     crash: 0.03,
     partition: 0.03,
@@ -219,7 +219,7 @@
     lateDuplicates: 0.05,
     isolation: 0.02,
     quickRestart: 0.03,
-    freeze: 0.015,
+    pause: 0.015,
     massFailure: 0.01,
     rollingRestart: 0.004,
     compoundFault: 0.01,
@@ -229,8 +229,8 @@
 };
 
 /** The faults of the day with this name; a name that no day has is a mistake of the test. */
-export function troubleNamed(name: string): Trouble {
-  const trouble = TROUBLES[name];
-  if (!trouble) throw new RangeError(`there is no day named ${name}`);
-  return trouble;
+export function scenarioNamed(name: string): FaultRates {
+  const faultRates = SCENARIOS[name];
+  if (!faultRates) throw new RangeError(`there is no day named ${name}`);
+  return faultRates;
 }
--- a/test/model/sent-heartbeat.ts
+++ b/test/model/sent-heartbeat.ts
@@ -28,7 +28,7 @@
   }
 
   /** The heartbeat in the indices of a node whose process is up. */
-  readBy({ core }: ControllerNode): Heartbeat {
+  decodeFor({ core }: ControllerNode): Heartbeat {
     if (!core) throw new Error("no controller to read the heartbeat");
     const tasks = this.#tasks.map(({ uid, task, attempt, state, exitReason, saved }) => ({
       job: core.names.jobs.intern(uid),
--- a/test/model/simulation.ts
+++ b/test/model/simulation.ts
@@ -1,5 +1,5 @@
 import { randomInt, seededRandom } from "../../src/core/random.js";
-import { Timeline } from "./timeline.js";
+import { EventQueue } from "./event-queue.js";
 
 /**
  * Virtual time, in milliseconds, and the one random generator of a run. Every draw is part of the run: the same seed with
@@ -8,7 +8,7 @@
 export class Simulation {
   now = 0;
   readonly #random;
-  readonly #timeline = new Timeline();
+  readonly #events = new EventQueue();
   #nextRequestId = 1;
 
   constructor(seed: number) {
@@ -27,22 +27,22 @@
 
   /** Runs something after so many milliseconds. */
   after(delayMs: number, run: () => void): void {
-    this.#timeline.add(this.now + delayMs, run);
+    this.#events.add(this.now + delayMs, run);
   }
 
   /** Runs something again and again, first after one period. */
   every(periodMs: number, run: () => void): void {
-    const again = () => {
+    const runAndReschedule = () => {
       run();
-      this.after(periodMs, again);
+      this.after(periodMs, runAndReschedule);
     };
-    this.after(periodMs, again);
+    this.after(periodMs, runAndReschedule);
   }
 
   /** Plays all events up to this time; `now` is then the time of the last of them. */
   run(untilMs: number): void {
-    while (this.#timeline.nextAt <= untilMs) {
-      const event = this.#timeline.next();
+    while (this.#events.nextAt <= untilMs) {
+      const event = this.#events.next();
       if (!event) return;
       this.now = event.at;
       event.run();
--- a/test/model/store-network.ts
+++ b/test/model/store-network.ts
@@ -18,7 +18,7 @@
   /** Requests that reached the store. */
   readonly requests = new RequestMeter();
   /** The longest that a leader went without asking for the renewal of its lease. */
-  longestUnrenewedMs = 0;
+  longestRenewalGapMs = 0;
   /** Until then some transactions get no answer, and are carried out seconds later. */
   lateTransactionsUntil = 0;
   /** Until then calls take up to a second. */
@@ -47,7 +47,7 @@
     };
     const isPartitioned = this.#isPartitioned(node);
     if (!isPartitioned) this.requests.count(this.#simulation.now);
-    if (request.kind === "renewLease") this.#noteRenewal(node);
+    if (request.kind === "renewLease") this.#recordRenewal(node);
     if (request.kind === "watch") this.#watch(node, epoch, request, timeoutMs, respond);
     else if (isPartitioned) {
       respond(timeoutMs, { kind: "timeout" });
@@ -76,7 +76,7 @@
     respond: Respond,
   ): void {
     const endsAt = this.#simulation.now + request.waitMs;
-    const look = () => {
+    const checkForChanges = () => {
       if (node.epoch !== epoch) return;
       if (this.#isPartitioned(node) || this.#simulation.now < node.watchesHangUntil) {
         respond(timeoutMs, { kind: "timeout" });
@@ -87,9 +87,9 @@
       if (changes) respond(3, changes);
       else if (isAvailable && this.#simulation.now >= endsAt)
         respond(3, { kind: "events", events: [], revision: this.#store.revision });
-      else this.#simulation.after(WATCH_STEP_MS, look);
+      else this.#simulation.after(WATCH_STEP_MS, checkForChanges);
     };
-    this.#simulation.after(3, look);
+    this.#simulation.after(3, checkForChanges);
   }
 
   /** The packets come through when the partition is over, long after the caller has given up. */
@@ -125,11 +125,11 @@
     });
   }
 
-  #noteRenewal(node: ControllerNode): void {
+  #recordRenewal(node: ControllerNode): void {
     const { now } = this.#simulation;
     const term = `${node.name} ${node.epoch} ${node.core?.leaderTerm?.lease.firstFencingToken}`;
     const before = this.#renewalRequestedAt.get(term);
-    if (before !== undefined) this.longestUnrenewedMs = Math.max(this.longestUnrenewedMs, now - before);
+    if (before !== undefined) this.longestRenewalGapMs = Math.max(this.longestRenewalGapMs, now - before);
     this.#renewalRequestedAt.set(term, now);
   }
 }
--- a/test/model/users.ts
+++ b/test/model/users.ts
@@ -2,13 +2,19 @@
 import type { SubmittedSpec, UserResponse } from "../../src/core/messages/users.js";
 import type { JobSpec } from "../../src/core/model/job-spec.js";
 import type { ControllerNode, Controllers } from "./controllers.js";
-import { type ConfirmedEnd, confirmedEndOf, newJob, type SubmittedJob, type SubmittedJobs } from "./jobs.js";
+import {
+  type ConfirmedOutcome,
+  confirmedOutcomeOf,
+  newJob,
+  type SubmittedJob,
+  type SubmittedJobs,
+} from "./jobs.js";
 import type { RuleChecks } from "./rule-checks.js";
 import type { Simulation } from "./simulation.js";
 
 /** The part of all ends and cancellations that users look at closely. */
-const CLOSE_LOOK_RATE = 0.3;
-const CLOSE_LOOK_MS = 250;
+const POLL_BURST_RATE = 0.3;
+const POLL_BURST_MS = 250;
 const REQUEST_TIMEOUT_MS = 5000;
 const RETRY_MS = 1500;
 const MAX_RETRIES = 40;
@@ -69,15 +75,15 @@
    * Submits the stages of a pipeline, each as soon as its dependencies are accepted; a late one comes only when they are
    * over.
    */
-  submitPipeline(stages: readonly JobSpec[], isLate: boolean): void {
+  submitPipeline(stages: readonly JobSpec[], afterDependenciesEnd: boolean): void {
     const [spec, ...rest] = stages;
     if (!spec) return;
-    if (!(spec.awaits ?? []).every((uid) => this.#mayBeNamed(uid, isLate))) {
-      this.#simulation.after(200, () => this.submitPipeline(stages, isLate));
+    if (!(spec.awaits ?? []).every((uid) => this.#isUsableAsDependency(uid, afterDependenciesEnd))) {
+      this.#simulation.after(200, () => this.submitPipeline(stages, afterDependenciesEnd));
       return;
     }
     this.submit(spec);
-    this.submitPipeline(rest, isLate && rest.length === 1);
+    this.submitPipeline(rest, afterDependenciesEnd && rest.length === 1);
   }
 
   /** Cancels a job that was accepted, again and again until that is answered. */
@@ -89,10 +95,10 @@
   }
 
   /** Submits a job once more, as it was or with something missing: as it is known, it is never rejected. */
-  repeat(uid: string): void {
+  resubmit(uid: string): void {
     const job = this.#jobs.get(uid);
     if (!job || job.acceptedAt === null) return;
-    const before = confirmedEndOf(job);
+    const confirmedBefore = confirmedOutcomeOf(job);
     const submitted: SubmittedSpec = this.#simulation.chance(0.3)
       ? { ok: false, error: "shape: missing" }
       : { ok: true, spec: job.spec };
@@ -100,7 +106,7 @@
       (requestId) => ({ kind: "submit", requestId, uid, submitted }),
       (response) => {
         if (response?.kind === "accepted" && response.known)
-          this.#noteStatus(job, response.status.phase, before);
+          this.#recordStatus(job, response.status.phase, confirmedBefore);
         else if (response !== null && response.kind !== "unavailable")
           this.#rules.report("forgotten", `${uid}: ${response.kind} to a repeat`);
       },
@@ -174,8 +180,8 @@
 
   /** A user who is asked to come back after a while does so then. */
   #retrySubmit(job: SubmittedJob, retries: number, response: UserResponse | null): void {
-    const isTold = response?.kind === "throttled" && response.retryAfterS < MAX_RETRY_AFTER_S;
-    const retryAfterS = isTold ? response.retryAfterS : null;
+    const isRetryAfterFollowed = response?.kind === "throttled" && response.retryAfterS < MAX_RETRY_AFTER_S;
+    const retryAfterS = isRetryAfterFollowed ? response.retryAfterS : null;
     this.rejected.push({ team: job.spec.team, at: this.#simulation.now, retryAfterS });
     const delayMs = Math.max(RETRY_MS, (retryAfterS ?? 0) * 1000);
     this.#simulation.after(delayMs, () => this.#trySubmit(job, retries));
@@ -183,11 +189,11 @@
 
   #tryCancel(job: SubmittedJob, retries: number): void {
     const { uid } = job.spec;
-    const before = confirmedEndOf(job);
+    const confirmedBefore = confirmedOutcomeOf(job);
     this.#request(
       (requestId) => ({ kind: "cancel", requestId, uid }),
       (response) => {
-        if (response?.kind === "status") this.#noteStatus(job, response.status.phase, before);
+        if (response?.kind === "status") this.#recordStatus(job, response.status.phase, confirmedBefore);
         else if (response?.kind === "notFound")
           this.#rules.report("forgotten", `${uid} got 404 on its cancellation`);
         else if (retries > 0) this.#simulation.after(RETRY_MS, () => this.#tryCancel(job, retries - 1));
@@ -204,7 +210,7 @@
 
   #poll(job: SubmittedJob, node?: ControllerNode): void {
     const { uid } = job.spec;
-    const before = confirmedEndOf(job);
+    const confirmedBefore = confirmedOutcomeOf(job);
     const isOrphaned = this.#jobs.someDependency(job, (dependency) => dependency.cancelledAt !== null);
     this.#request(
       (requestId) => ({ kind: "poll", requestId, uid }),
@@ -215,45 +221,47 @@
         // The rule leaves `cancel_s` for this; what is derived from the records needs none of it.
         if (isOrphaned && phase !== "cancelled") this.#rules.report("orphaned", `${uid} is ${phase}`);
         job.answeredAt = this.#simulation.now;
-        this.#noteStatus(job, phase, before);
+        this.#recordStatus(job, phase, confirmedBefore);
       },
       node,
     );
   }
 
   /** A user was answered with a phase, having known `before` when asking. */
-  #noteStatus(job: SubmittedJob, phase: string, before: ConfirmedEnd): void {
-    this.#rules.checkAnsweredPhase(job, phase, before);
+  #recordStatus(job: SubmittedJob, phase: string, confirmedBefore: ConfirmedOutcome): void {
+    this.#rules.checkAnsweredPhase(job, phase, confirmedBefore);
     if (phase === "done" && !job.confirmedDone) {
       job.confirmedDone = true;
       this.finished++;
-      this.#lookClosely(job);
+      this.#pollInBurst(job);
     } else if (phase === "cancelled" && job.cancelledAt === null) {
       job.cancelledAt = this.#simulation.now;
-      this.#lookClosely(job);
+      this.#pollInBurst(job);
     }
   }
 
   /** Its user polls it and its dependents at every node, several times within milliseconds, and submits it once more. */
-  #lookClosely(job: SubmittedJob): void {
+  #pollInBurst(job: SubmittedJob): void {
     const simulation = this.#simulation;
-    if (!simulation.chance(CLOSE_LOOK_RATE)) return;
+    if (!simulation.chance(POLL_BURST_RATE)) return;
     const { uid } = job.spec;
     const dependents = [...this.#jobs.values()].filter((other) => other.spec.awaits?.includes(uid));
     for (const node of this.#controllers.nodes) {
       for (let i = 0; i < 3; i++) {
-        simulation.after(simulation.between(0, CLOSE_LOOK_MS), () => {
+        simulation.after(simulation.between(0, POLL_BURST_MS), () => {
           for (const polled of [job, ...dependents]) if (polled.acceptedAt !== null) this.#poll(polled, node);
         });
       }
-      simulation.after(simulation.between(0, CLOSE_LOOK_MS), () => this.repeat(uid));
+      simulation.after(simulation.between(0, POLL_BURST_MS), () => this.resubmit(uid));
     }
   }
 
   /** May a submission name this job as a dependency? A late one waits until it is over. */
-  #mayBeNamed(uid: string, isLate: boolean): boolean {
+  #isUsableAsDependency(uid: string, afterDependenciesEnd: boolean): boolean {
     const job = this.#jobs.get(uid);
     if (!job) return false;
-    return isLate ? job.confirmedDone || this.#jobs.isCancelRequested(job) : job.acceptedAt !== null;
+    return afterDependenciesEnd
+      ? job.confirmedDone || this.#jobs.isCancelRequested(job)
+      : job.acceptedAt !== null;
   }
 }
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { IDLE_JOB, WAIT_OBJECTIVE } from "./support/objectives.js";
-import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+import { executeCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
 
 const GUARANTEE_OBJECTIVE = { kind: "guarantee", jobClass: null, withinS: 10, share: 0.9 } as const;
 
@@ -13,7 +13,7 @@
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { tasks: 4, priority: 0, checkpointS: 5, saveS: 2 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
 
   assert.equal(liveTasks(tasksByMachine, "A", "j-1").length, 4);
 
@@ -35,7 +35,7 @@
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { tasks: 4, priority: 2 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   harness.submit(jobSpec("j-2", { priority: 0 }));
   sendHeartbeatsFor(harness, tasksByMachine, {}, 75);
   harness.submit(jobSpec("j-3", { tasks: 4, priority: 2 }));
@@ -62,7 +62,7 @@
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { ...IDLE_JOB, tasks: 4, saveS: 2 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
 
   assert.equal(liveTasks(tasksByMachine, "A", "j-1").length, 4);
 
@@ -87,11 +87,11 @@
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-0", { tasks: 4, estimateS: 20 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   tasksByMachine.set("B", []);
   harness.sendHeartbeat("B");
   harness.submit(jobSpec("j-1", { ...IDLE_JOB, jobClass: "counted", tasks: 4, saveS: 2 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   sendHeartbeatsFor(harness, tasksByMachine, {}, 15);
   tasksByMachine.set(
     "A",
@@ -122,12 +122,12 @@
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { ...IDLE_JOB, tasks: 4, checkpointS: 0, saveS: 0, estimateS: 60 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   sendHeartbeatsFor(harness, tasksByMachine, {}, 4);
   tasksByMachine.set("B", []);
   harness.sendHeartbeat("B");
   harness.submit(jobSpec("j-2", { ...IDLE_JOB, tasks: 4, saveS: 2, estimateS: 60 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
 
   assert.deepEqual(
     [liveTasks(tasksByMachine, "A", "j-1").length, liveTasks(tasksByMachine, "B", "j-2").length],
@@ -149,7 +149,7 @@
     const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
     harness.sendHeartbeat("A");
     harness.submit(jobSpec("j-1", { ...IDLE_JOB, tasks: 4, saveS }));
-    carryOutCommands(harness, tasksByMachine);
+    executeCommands(harness, tasksByMachine);
     harness.submit(jobSpec("j-2", { shape: "service", priority: 3, estimateS: 0 }));
     harness.advance(200);
     const stop = harness.sentCommands
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { play, TROUBLES, troubleNamed } from "./model/days.js";
 import type { ModelCluster } from "./model/model-cluster.js";
+import { runScenario, SCENARIOS, scenarioNamed } from "./model/scenarios.js";
 
 /** A start sent before the cancellation may begin when its image is there; with a hanging agent, later still. */
 const MAX_LATE_START_MS = 12_000;
@@ -41,12 +41,19 @@
   );
 }
 
-for (const [name, trouble] of Object.entries(TROUBLES)) {
+for (const [name, trouble] of Object.entries(SCENARIOS)) {
   test(`no rule is broken: ${name}`, () => {
     const seeds = Number(process.env.WORLD_SEEDS ?? 3);
     const first = Number(process.env.WORLD_FIRST ?? 1);
     for (let seed = first; seed < first + seeds; seed++)
-      check(play({ seed, trouble, scale: LARGE.has(name) && seed % 3 === 0 ? LARGE_SCALE : 1 }), seed);
+      check(
+        runScenario({
+          seed,
+          faultRates: trouble,
+          scale: LARGE.has(name) && seed % 3 === 0 ? LARGE_SCALE : 1,
+        }),
+        seed,
+      );
   });
 }
 
@@ -66,7 +73,7 @@
     const first = Number(process.env.WORLD_FIRST ?? 1);
     const takeovers: string[] = [];
     for (let seed = first; seed < first + seeds; seed++) {
-      const cluster = play({ seed, trouble: troubleNamed(name), standby: true });
+      const cluster = runScenario({ seed, faultRates: scenarioNamed(name), standby: true });
       takeovers.push(...cluster.log.takeoverSources);
       check(cluster, seed);
     }
@@ -88,6 +95,6 @@
     const seeds = Number(process.env.WORLD_SEEDS ?? 2);
     const first = Number(process.env.WORLD_FIRST ?? 1);
     for (let seed = first; seed < first + seeds; seed++)
-      check(play({ seed, trouble: troubleNamed(name), admission: true }), seed);
+      check(runScenario({ seed, faultRates: scenarioNamed(name), admission: true }), seed);
   });
 }
--- a/test/queue-order.test.ts
+++ b/test/queue-order.test.ts
@@ -5,7 +5,7 @@
 import { isStarving } from "../src/core/scheduling/queue-order.js";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { WAIT_OBJECTIVE } from "./support/objectives.js";
-import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+import { executeCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
@@ -18,7 +18,7 @@
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { tasks: 6, estimateS: 1, team: "blue" }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
 
   assert.equal(liveTasks(tasksByMachine, "A", "j-1").length, 4);
 
@@ -45,7 +45,7 @@
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   leader.sendHeartbeat("A");
   leader.submit(jobSpec("j-1", { tasks: 8 }));
-  carryOutCommands(leader, tasksByMachine);
+  executeCommands(leader, tasksByMachine);
   leader.submit(jobSpec("j-2", { types: ["gpu"] }));
   tasksByMachine.set(
     "A",
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -3,7 +3,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
-import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+import { executeCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
@@ -15,7 +15,7 @@
     harness.sendHeartbeat(name);
   }
   harness.submit(jobSpec("j-1", { tasks: 40, team: "blue" }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   const running = [...tasksByMachine.keys()].reduce(
     (sum, name) => sum + liveTasks(tasksByMachine, name).length,
     0,
@@ -38,7 +38,7 @@
     estimateS: 600,
   } as const;
   harness.submit(jobSpec("j-1", { ...gang, team: "red" }));
-  carryOutCommands(harness, tasksByMachine, { G: GPU_MACHINE });
+  executeCommands(harness, tasksByMachine, { G: GPU_MACHINE });
 
   assert.equal(liveTasks(tasksByMachine, "G", "j-1").length, 1);
 
@@ -46,7 +46,7 @@
   for (const name of ["A", "B", "C", "D"]) tasksByMachine.set(name, []);
   for (const name of ["A", "B", "C", "D"]) harness.sendHeartbeat(name);
   harness.submit(jobSpec("j-2", { tasks: 16, team: "red", estimateS: 600 }));
-  carryOutCommands(harness, tasksByMachine, { G: GPU_MACHINE });
+  executeCommands(harness, tasksByMachine, { G: GPU_MACHINE });
   harness.submit(jobSpec("j-3", { ...gang, team: "blue" }));
   sendHeartbeatsFor(harness, tasksByMachine, { G: GPU_MACHINE }, 20);
 
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -3,7 +3,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
-import { leaderWithRunningTask, successorOfSilentLeader } from "./support/leaders.js";
+import { leaderWithRunningTask, newLeaderAwaitingAgent } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
 test("a leader that has not read the records yet renews no agent lease, as it knows of no cancellation", () => {
@@ -24,7 +24,7 @@
 });
 
 test("a new leader restarts a recorded task only after its machine reports without it under the new fencing token", () => {
-  const { harness, attempt } = successorOfSilentLeader();
+  const { harness, attempt } = newLeaderAwaitingAgent();
   assert.deepEqual(harness.startCommands("j-1"), [], "nothing is known of A yet");
 
   harness.sendHeartbeat("A", [], { fencingToken: 1 });
@@ -44,7 +44,7 @@
 });
 
 test("a new leader adopts the tasks that it finds running", () => {
-  const { harness, attempt } = successorOfSilentLeader();
+  const { harness, attempt } = newLeaderAwaitingAgent();
   harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
   harness.advance(2000);
 
--- a/test/replica-migration.test.ts
+++ b/test/replica-migration.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { electNextLeader } from "./support/leaders.js";
-import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+import { executeCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
 
 /**
  * A leader that has decided and recorded a migration: A is underused with one replica of j-11, B with two of j-10 is not.
@@ -18,13 +18,13 @@
   const service = { shape: "service", priority: 3, estimateS: 0 } as const;
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-11", service));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 1);
   harness.sendHeartbeat("B");
   tasksByMachine.set("B", []);
   harness.admin({ kind: "setMachineMode", name: "A", mode: "cordon" });
   harness.submit(jobSpec("j-10", { ...service, tasks: 2 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   assert.equal(liveTasks(tasksByMachine, "B", "j-10").length, 2);
   harness.admin({ kind: "setMachineMode", name: "A", mode: "open" });
   sendHeartbeatsFor(harness, tasksByMachine, {}, 20);
@@ -52,7 +52,7 @@
   ]);
   for (const name of tasksByMachine.keys()) harness.sendHeartbeat(name);
   harness.submit(jobSpec("j-11", { shape: "service", priority: 3, estimateS: 0 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   sendHeartbeatsFor(harness, tasksByMachine, {}, 60);
 
   assert.equal(harness.controller.leaderTerm?.migrator.startedMigrations, 0, "B is as underused as A");
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -5,7 +5,7 @@
 import { isStarving } from "../src/core/scheduling/queue-order.js";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { IDLE_JOB } from "./support/objectives.js";
-import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
+import { executeCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
@@ -27,7 +27,7 @@
     );
     for (const name of machines) harness.sendHeartbeat(name, [], GPU_MACHINE);
     harness.submit(jobSpec("j-1", { ...gangSpec, tasks: 1, team: teams[0] }));
-    carryOutCommands(harness, tasksByMachine, machineFields);
+    executeCommands(harness, tasksByMachine, machineFields);
     harness.submit(jobSpec("j-2", { ...gangSpec, tasks: 2, team: "blue", oneZone: true }));
     sendHeartbeatsFor(harness, tasksByMachine, machineFields, 75);
     if (reserved === "limit") {
@@ -64,7 +64,7 @@
   harness.sendHeartbeat("G", [], GPU_MACHINE);
   harness.submit(jobSpec("j-1", gang));
   harness.submit(jobSpec("j-2", { tasks: 4, types: ["small"], priority: 1 }));
-  carryOutCommands(harness, tasksByMachine, machineFields);
+  executeCommands(harness, tasksByMachine, machineFields);
   harness.submit(jobSpec("j-3", { ...IDLE_JOB, tasks: 8 }));
   sendHeartbeatsFor(harness, tasksByMachine, machineFields, 80);
   const starvingJob = harness.controller.leaderTerm?.cluster.jobByUid("j-3");
@@ -104,7 +104,7 @@
   // One machine of two stays occupied; the other is reserved for the first gang until that gang is too late.
   harness.sendHeartbeat("G0", [], GPU_MACHINE);
   harness.submit(jobSpec("j-0", { ...gangSpec, tasks: 1, team: "red" }));
-  carryOutCommands(harness, tasksByMachine, machineFields);
+  executeCommands(harness, tasksByMachine, machineFields);
   harness.submit(jobSpec("j-1", { ...gangSpec, tasks: 2, team: "blue" }));
   const runForAtLeast = (seconds: number) => {
     const endsAt = harness.now + seconds * 1000;
--- a/test/runtime-estimates.test.ts
+++ b/test/runtime-estimates.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { RuntimeEstimates } from "../src/core/model/runtime-estimates.js";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
-import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
+import { executeCommands, liveTasks } from "./support/scripted-agents.js";
 
 test("runtime estimates are corrected for each job class from observed runtimes", () => {
   const estimates = new RuntimeEstimates();
@@ -25,7 +25,7 @@
   for (let i = 0; i < 20; i++)
     harness.controller.ctx.estimates.observe(jobSpec("j-0", { estimateS: 10, jobClass: "slow" }), 40);
   harness.submit(jobSpec("j-1", { tasks: 4, estimateS: 600 }));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
   harness.submit(jobSpec("j-2", { estimateS: 10, jobClass: "slow" }));
   harness.submit(jobSpec("j-3", { estimateS: 20, jobClass: "quick" }));
   harness.advance(3000);
@@ -33,7 +33,7 @@
   Object.assign(firstTask, { state: "ended", exitReason: "done" });
   harness.sendHeartbeat("A", tasksByMachine.get("A") ?? []);
   harness.advance(300);
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
 
   assert.equal(liveTasks(tasksByMachine, "A", "j-3").length, 1);
   assert.equal(liveTasks(tasksByMachine, "A", "j-2").length, 0);
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -3,7 +3,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
-import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
+import { executeCommands, liveTasks } from "./support/scripted-agents.js";
 
 test("a queued job shows its pending reason, which is logged once", () => {
   const harness = new ControllerHarness().becomeLeader();
@@ -33,7 +33,7 @@
   // The time budget of each round is spent after one job.
   harness.isBudgetSpent = () => true;
   for (let i = 1; i <= 5; i++) harness.submit(jobSpec(`j-${i}`));
-  carryOutCommands(harness, tasksByMachine);
+  executeCommands(harness, tasksByMachine);
 
   assert.ok((harness.controller.leaderTerm?.scheduler.interruptedRounds ?? 0) > 0);
 
--- a/test/spot-interruption.test.ts
+++ b/test/spot-interruption.test.ts
@@ -3,7 +3,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
-import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
+import { executeCommands, liveTasks } from "./support/scripted-agents.js";
 
 test("on an interruption notice tasks with checkpoints are stopped in time to save one, and the machine gets no new tasks", () => {
   const harness = new ControllerHarness().becomeLeader();
@@ -12,7 +12,7 @@
   harness.sendHeartbeat("A", [], machineFields.A);
   harness.submit(jobSpec("j-1", { spot: true, checkpointS: 5, saveS: 2 }));
   harness.submit(jobSpec("j-2", { spot: true }));
-  carryOutCommands(harness, tasksByMachine, machineFields);
+  executeCommands(harness, tasksByMachine, machineFields);
   harness.sendHeartbeat("A", liveTasks(tasksByMachine, "A"), { ...machineFields.A, reclaimNoticeS: 12 });
   harness.advance(200);
   const stops = harness.sentCommands
--- a/test/standby-world.test.ts
+++ b/test/standby-world.test.ts
@@ -97,7 +97,7 @@
     const previous = leaderOf(cluster);
     for (let i = 20; i < 30; i++) cluster.users.submit(jobSpec(`j-${i}`, { tasks: 4, estimateS: 5 }));
     // It freezes between deciding and writing: its effects leave it when it goes on.
-    cluster.controllers.freeze(previous, 20_000);
+    cluster.controllers.pause(previous, 20_000);
     // While its lease is valid nobody leads in its place.
     runUntilVacant(cluster, () => {
       assert.ok(cluster.nodes.every(({ index, core }) => index === previous || !core?.leaderTerm));
--- a/test/store-limits.test.ts
+++ b/test/store-limits.test.ts
@@ -67,7 +67,7 @@
   runFor(leader, 15);
 
   assert.equal(countRunning(leader, "j-8"), 60);
-  assert.equal(store.invalid, 0, "lowering the limits causes no invalid request");
+  assert.equal(store.invalidTransactions, 0, "lowering the limits causes no invalid request");
   assert.equal(leader.controller.election.hasValidLease, true);
 
   const large = valueSizes(store).filter(([, bytes]) => bytes > SMALL_LIMITS.valueBytes);
@@ -143,12 +143,12 @@
   harness.advance(1000);
   harness.store.limits = SMALL_LIMITS;
   for (let i = 0; i < 300; i++) harness.submit(jobSpec(`j-${i}`, { need: { cpu: 50, gpu: 0, ram: 50 } }));
-  const throttledBefore = harness.store.throttled;
+  const throttledBefore = harness.store.throttledTransactions;
   runFor(harness, 30);
 
   assert.ok(
-    harness.store.throttled - throttledBefore < 30,
-    `${harness.store.throttled - throttledBefore} throttled in 30 s`,
+    harness.store.throttledTransactions - throttledBefore < 30,
+    `${harness.store.throttledTransactions - throttledBefore} throttled in 30 s`,
   );
 
   const accepted = [...harness.store.entries.keys()].filter((key) => key.startsWith("j/")).length;
@@ -176,7 +176,7 @@
   assert.match(JSON.stringify(newLeader.submit(jobSpec("j-3", { types }))), /invalid.*too large/);
   assert.equal(newLeader.submit(jobSpec("j-1", { types }))?.kind, "accepted", "a repeat");
   assert.equal(newLeader.cancel("j-1")?.kind, "status");
-  assert.equal(store.invalid, 0);
+  assert.equal(store.invalidTransactions, 0);
 
   const starts = previousLeader.startCommands("j-2");
   assert.equal(starts.length, 1);
--- a/test/submissions.test.ts
+++ b/test/submissions.test.ts
@@ -6,7 +6,7 @@
 import { decodeJobSubmission } from "../src/protocol/jobs.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 import { phaseOf } from "./support/dependent-jobs.js";
-import { NEW_HEARTBEAT, OLD_HEARTBEAT } from "./support/peer-versions.js";
+import { CURRENT_VERSION_HEARTBEAT, PREVIOUS_VERSION_HEARTBEAT } from "./support/peer-versions.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
 test("a repeated submission of a known job is accepted, whatever its content", () => {
@@ -125,15 +125,15 @@
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   const receive = (message: PeerMessage) => harness.handle({ kind: "peerMessage", from: "n1", message });
-  receive(OLD_HEARTBEAT);
+  receive(PREVIOUS_VERSION_HEARTBEAT);
 
   assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "unavailable");
   assert.equal(harness.submit(jobSpec("j-3"))?.kind, "accepted", "jobs without dependencies are accepted");
 
-  receive(NEW_HEARTBEAT);
+  receive(CURRENT_VERSION_HEARTBEAT);
   assert.equal(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))?.kind, "accepted");
 
-  receive(OLD_HEARTBEAT);
+  receive(PREVIOUS_VERSION_HEARTBEAT);
   assert.equal(
     phaseOf(harness.submit(jobSpec("j-2", { awaits: ["j-1"] }))),
     "queued",
--- a/test/support/admission-cluster.ts
+++ b/test/support/admission-cluster.ts
@@ -21,7 +21,7 @@
   readonly drift: number;
   readonly inbox: {
     readonly from: string;
-    readonly note: AdmissionMessage | undefined;
+    readonly message: AdmissionMessage | undefined;
     readonly at: number;
   }[];
 }
@@ -78,8 +78,10 @@
         if (other === node || this.partitioned.has(node.name) || this.partitioned.has(other.name)) continue;
         const delay = delayMs(node.name, other.name);
         if (delay === null) continue;
-        const note = this.previousVersion.has(node.name) ? undefined : node.admission.messageFor(other.name);
-        other.inbox.push({ from: node.name, note, at: this.now + delay });
+        const message = this.previousVersion.has(node.name)
+          ? undefined
+          : node.admission.messageFor(other.name);
+        other.inbox.push({ from: node.name, message: message, at: this.now + delay });
       }
     }
     this.advance(HEARTBEAT_MS - (HEARTBEAT_MS / 10) * this.nodes.length);
@@ -98,7 +100,7 @@
       const due = node.inbox.filter(({ at }) => at <= this.now);
       node.inbox.splice(0, node.inbox.length, ...node.inbox.filter(({ at }) => at > this.now));
       if (this.previousVersion.has(node.name)) continue;
-      for (const { from, note } of due) node.admission.onPeerHeartbeat(from, note);
+      for (const { from, message: note } of due) node.admission.onPeerHeartbeat(from, note);
     }
   }
 
--- a/test/support/controller-harness.ts
+++ b/test/support/controller-harness.ts
@@ -114,7 +114,7 @@
   /** Hands the controller a batch of commands and carries out its effects. */
   handle(...commands: Command[]): void {
     const effects = this.controller.handle(commands, this.now, { isSpent: this.isBudgetSpent });
-    for (const effect of effects) this.#carryOut(effect);
+    for (const effect of effects) this.#execute(effect);
   }
 
   /** Lets time pass, tick by tick. */
@@ -237,7 +237,7 @@
     );
   }
 
-  #carryOut(effect: Effect): void {
+  #execute(effect: Effect): void {
     switch (effect.kind) {
       case "respondToUser":
         this.#userResponses.set(effect.requestId, effect.response);
@@ -249,7 +249,7 @@
         this.#agentReplies.set(effect.requestId, effect.reply);
         break;
       case "sendAgentCommands":
-        this.#noteSentCommands(effect);
+        this.#recordSentCommands(effect);
         break;
       case "callStore":
         this.#storeCalls.call(effect.id, effect.request, this.now);
@@ -275,7 +275,7 @@
     }
   }
 
-  #noteSentCommands(effect: SendAgentCommands): void {
+  #recordSentCommands(effect: SendAgentCommands): void {
     const { machines, jobs } = this.controller.names;
     const { id, fencingToken, incarnation } = effect;
     const machine = machines.nameOf(effect.machine);
--- a/test/support/fake-store.ts
+++ b/test/support/fake-store.ts
@@ -7,7 +7,7 @@
 } from "../../src/core/messages/store.js";
 
 /** What a store takes: beyond it requests are refused. */
-export interface Limits {
+export interface FakeStoreLimits {
   readonly valueBytes: number;
   readonly txnOps: number;
   /** Changes a second; a second's worth may come at once. */
@@ -44,10 +44,10 @@
   /** The most entries in one page of a list; a test may set another. */
   pageSize = PAGE_SIZE;
   /** None until a test sets some. */
-  limits: Limits | null = null;
+  limits: FakeStoreLimits | null = null;
   /** Transactions refused for what was in them, and for the rate of changes. */
-  invalid = 0;
-  throttled = 0;
+  invalidTransactions = 0;
+  throttledTransactions = 0;
   /** Changes up to this revision are no longer kept. */
   compactedThrough = 0;
   /** Called with every record that is written. */
@@ -55,8 +55,8 @@
   readonly #leases = new Map<number, Lease>();
   /** The lease that each key goes with, if any. */
   readonly #leaseOfKey = new Map<string, number>();
-  #changesLeft = 0;
-  #changesLeftAt = 0;
+  #writeTokens = 0;
+  #writeTokensAt = 0;
   #nextLease = 1;
 
   /** Revokes the leases whose time is over. */
@@ -107,7 +107,7 @@
   /** What has changed under a prefix after a revision; null if nothing has. */
   changesSince(prefix: string, after: number): StoreResponse | null {
     if (after < this.compactedThrough) return { kind: "compacted" };
-    const changes = this.log.slice(this.#firstAfter(after)).filter(({ key }) => key.startsWith(prefix));
+    const changes = this.log.slice(this.#firstIndexAfter(after)).filter(({ key }) => key.startsWith(prefix));
     if (changes.length === 0) return null;
     return {
       kind: "events",
@@ -127,7 +127,7 @@
   }
 
   #runTransaction(request: TransactionRequest, now: number): StoreResponse {
-    const refusal = this.#refusal(request, now);
+    const refusal = this.#checkLimits(request, now);
     if (refusal) return refusal;
     const failed = request.conditions
       .filter(({ key, version }) => (this.entries.get(key)?.version ?? 0) !== version)
@@ -161,29 +161,29 @@
   }
 
   /** The refusal of a transaction that is beyond the limits; null if it is within, and its changes are counted. */
-  #refusal(request: TransactionRequest, now: number): StoreResponse | null {
+  #checkLimits(request: TransactionRequest, now: number): StoreResponse | null {
     if (!this.limits) return null;
     const { valueBytes, txnOps, writeRps } = this.limits;
     const { changes, conditions } = request;
     const isValueTooLarge = changes.some((change) => "put" in change && jsonBytes(change.value) > valueBytes);
     const isTooLong = changes.length > txnOps || conditions.length > CONDITIONS_PER_CHANGE * txnOps;
     if (isValueTooLarge || isTooLong || jsonBytes(request) > MAX_TRANSACTION_BYTES) {
-      this.invalid++;
+      this.invalidTransactions++;
       return { kind: "invalid", reason: isValueTooLarge ? "value too large" : "too many operations" };
     }
-    const refilled = ((now - this.#changesLeftAt) * writeRps) / 1000;
-    this.#changesLeft = Math.min(writeRps, this.#changesLeft + refilled);
-    this.#changesLeftAt = now;
-    if (changes.length > this.#changesLeft) {
-      this.throttled++;
+    const refilled = ((now - this.#writeTokensAt) * writeRps) / 1000;
+    this.#writeTokens = Math.min(writeRps, this.#writeTokens + refilled);
+    this.#writeTokensAt = now;
+    if (changes.length > this.#writeTokens) {
+      this.throttledTransactions++;
       return { kind: "throttled" };
     }
-    this.#changesLeft -= changes.length;
+    this.#writeTokens -= changes.length;
     return null;
   }
 
   /** The place in the log of the first change after a revision. */
-  #firstAfter(revision: number): number {
+  #firstIndexAfter(revision: number): number {
     let [low, high] = [0, this.log.length];
     while (low < high) {
       const middle = (low + high) >> 1;
--- a/test/support/leaders.ts
+++ b/test/support/leaders.ts
@@ -33,7 +33,7 @@
 }
 
 /** A new leader that has restored the records of one that placed task 0 of j-1 on A; A has sent it no heartbeat yet. */
-export function successorOfSilentLeader(): { harness: ControllerHarness; attempt: number } {
+export function newLeaderAwaitingAgent(): { harness: ControllerHarness; attempt: number } {
   const { harness: previousLeader, attempt } = leaderWithRunningTask();
   const newLeader = electNextLeader(previousLeader);
   assert.ok(newLeader.controller.leaderTerm?.agents.areRecordsLoaded);
--- a/test/support/peer-versions.ts
+++ b/test/support/peer-versions.ts
@@ -3,7 +3,7 @@
 import type { ControllerHarness } from "./controller-harness.js";
 
 /** A peer heartbeat of the version before: it names no protocol. */
-export const OLD_HEARTBEAT = {
+export const PREVIOUS_VERSION_HEARTBEAT = {
   kind: "heartbeat",
   fencingToken: 0,
   leader: null,
@@ -12,12 +12,12 @@
 } as const;
 
 /** A peer heartbeat of this version. */
-export const NEW_HEARTBEAT = { ...OLD_HEARTBEAT, protocol: 2 } as const;
+export const CURRENT_VERSION_HEARTBEAT = { ...PREVIOUS_VERSION_HEARTBEAT, protocol: 2 } as const;
 
 /** Lets the controller n0 receive a heartbeat from each of its peers. */
 export function receiveFromBothPeers(
   harness: ControllerHarness,
-  heartbeat: typeof OLD_HEARTBEAT | typeof NEW_HEARTBEAT = NEW_HEARTBEAT,
+  heartbeat: typeof PREVIOUS_VERSION_HEARTBEAT | typeof CURRENT_VERSION_HEARTBEAT = CURRENT_VERSION_HEARTBEAT,
 ): void {
   for (const from of ["n1", "n2"]) harness.handle({ kind: "peerMessage", from, message: heartbeat });
 }
--- a/test/support/production-readers.ts
+++ b/test/support/production-readers.ts
@@ -5,7 +5,7 @@
  * deploy/service.toml names. What this version writes before the feature gate opens has to pass them.
  */
 
-const amount = v.object({ cpu: v.number(), gpu: v.number(), ram: v.number() });
+const resources = v.object({ cpu: v.number(), gpu: v.number(), ram: v.number() });
 const spec = v.object({
   uid: v.string(),
   jobClass: v.string(),
@@ -13,7 +13,7 @@
   shape: v.picklist(["array", "gang", "service"]),
   priority: v.picklist([0, 1, 2, 3]),
   tasks: v.number(),
-  need: amount,
+  need: resources,
   image: v.string(),
   imageGb: v.number(),
   types: v.nullable(v.array(v.string())),
@@ -49,7 +49,7 @@
 });
 const machineType = v.object({
   name: v.string(),
-  size: amount,
+  size: resources,
   cacheGb: v.number(),
   fetchGbPerS: v.number(),
   price: v.number(),
@@ -80,7 +80,7 @@
   }),
 ]);
 
-const BY_KEY: readonly (readonly [RegExp, v.GenericSchema])[] = [
+const SCHEMA_BY_KEY: readonly (readonly [RegExp, v.GenericSchema])[] = [
   [/^c\/leader$/, leaderRecord],
   [/^c\/epoch$/, epochRecord],
   // An empty one is no move.
@@ -93,18 +93,18 @@
   [/^m\/\d+$/, bucketRecord],
 ];
 /** Keys that production leaves alone, whatever they hold. */
-const IGNORED = /^c\/(settings|features)$/;
+const IGNORED_KEYS = /^c\/(settings|features)$/;
 
 /** What production makes of a record; null if it can't read it. */
-export function readRecordInProduction(key: string, value: unknown): unknown {
-  if (IGNORED.test(key)) return value;
-  const schema = BY_KEY.find(([pattern]) => pattern.test(key))?.[1];
+export function parseRecordAsProduction(key: string, value: unknown): unknown {
+  if (IGNORED_KEYS.test(key)) return value;
+  const schema = SCHEMA_BY_KEY.find(([pattern]) => pattern.test(key))?.[1];
   const result = schema && v.safeParse(schema, value);
   return result?.success ? result.output : null;
 }
 
 /** What production makes of a peer's message; null if it drops it. */
-export function readMessageInProduction(message: unknown): unknown {
+export function parseMessageAsProduction(message: unknown): unknown {
   const result = v.safeParse(messageSchema, message);
   return result.success ? result.output : null;
 }
--- a/test/support/scripted-agents.ts
+++ b/test/support/scripted-agents.ts
@@ -12,13 +12,13 @@
 const ROUND_MS = 100;
 
 /** Agents carry out at once what they are sent, and report it. */
-export function carryOutCommands(
+export function executeCommands(
   harness: ControllerHarness,
   tasksByMachine: TasksByMachine,
   overrides: HeartbeatOverrides = {},
 ): void {
   for (let round = 0; round < ROUNDS; round++) {
-    for (const batch of harness.sentCommands.splice(0)) carryOutBatch(tasksByMachine, batch);
+    for (const batch of harness.sentCommands.splice(0)) executeBatch(tasksByMachine, batch);
     for (const machine of tasksByMachine.keys())
       harness.replyToCommands(machine, tasksByMachine.get(machine) ?? [], overrides[machine] ?? {});
     harness.advance(ROUND_MS);
@@ -37,7 +37,7 @@
       harness.sendHeartbeat(machine, tasksByMachine.get(machine) ?? [], overrides[machine] ?? {});
     harness.advance(1000);
     const before = harness.now;
-    carryOutCommands(harness, tasksByMachine, overrides);
+    executeCommands(harness, tasksByMachine, overrides);
     assert.equal(harness.now, before + ROUNDS * ROUND_MS);
   }
 }
@@ -49,7 +49,7 @@
   );
 }
 
-function carryOutBatch(tasksByMachine: TasksByMachine, { machine, commands }: SentCommands): void {
+function executeBatch(tasksByMachine: TasksByMachine, { machine, commands }: SentCommands): void {
   const tasks = tasksByMachine.get(machine) ?? [];
   for (const { kind, uid, task, attempt } of commands) {
     const index = tasks.findIndex(
--- a/test/support/scripted-store.ts
+++ b/test/support/scripted-store.ts
@@ -37,11 +37,11 @@
   /** Takes a call; a watch that waits is answered with the steps of time. */
   call(id: number, request: StoreRequest, now: number): void {
     if (request.kind === "list") this.listedPrefixes.push(request.prefix);
-    const ruled = this.rule?.(request) ?? null;
-    if (request.kind === "watch" && request.waitMs > 0 && !isTimeout(ruled))
+    const ruleResponse = this.rule?.(request) ?? null;
+    if (request.kind === "watch" && request.waitMs > 0 && !isTimeout(ruleResponse))
       this.#openWatches.push({ id, request, openedAt: now });
-    else if (ruled === "hang") this.hangingCalls.push({ id, call: request });
-    else if (ruled !== null) this.#respond(id, ruled);
+    else if (ruleResponse === "hang") this.hangingCalls.push({ id, call: request });
+    else if (ruleResponse !== null) this.#respond(id, ruleResponse);
     else if (request.kind === "watch")
       this.#respond(id, this.#store.changesSince(request.prefix, request.after) ?? this.#noChanges());
     else this.#respond(id, this.#store.run(request, now));
@@ -66,6 +66,6 @@
   }
 }
 
-function isTimeout(ruled: StoreResponse | "hang" | null): boolean {
-  return ruled !== null && ruled !== "hang" && ruled.kind === "timeout";
+function isTimeout(ruleResponse: StoreResponse | "hang" | null): boolean {
+  return ruleResponse !== null && ruleResponse !== "hang" && ruleResponse.kind === "timeout";
 }
--- a/test/trace-digest.test.ts
+++ b/test/trace-digest.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { readFileSync, writeFileSync } from "node:fs";
 import { test } from "node:test";
-import { play, TROUBLES, troubleNamed } from "./model/days.js";
 import type { ModelCluster } from "./model/model-cluster.js";
+import { runScenario, SCENARIOS, scenarioNamed } from "./model/scenarios.js";
 import { TraceDigest } from "./support/trace-digest.js";
 
 /**
@@ -21,7 +21,7 @@
 }
 
 const DAYS: readonly Day[] = [
-  ...Object.keys(TROUBLES).map((trouble) => ({ trouble })),
+  ...Object.keys(SCENARIOS).map((trouble) => ({ trouble })),
   ...["mass failures of machines", "store outages and rolling restarts", "all faults"].map((trouble) => ({
     trouble,
     scale: LARGE_SCALE,
@@ -47,10 +47,10 @@
   cluster: ModelCluster;
 } {
   const trace = new TraceDigest();
-  const cluster = play({
+  const cluster = runScenario({
     ...options,
     seed: SEED,
-    trouble: troubleNamed(trouble),
+    faultRates: scenarioNamed(trouble),
     observer: (core, node, now, effect) => trace.observe(core, node, now, effect),
   });
   for (const { core } of cluster.nodes) if (core) trace.observeStatus(core, cluster.now);
@@ -76,7 +76,7 @@
 test("the digest notices a byte that differs", () => {
   const [first, second] = [new TraceDigest(), new TraceDigest()];
   const day = (seed: number, trace: TraceDigest) =>
-    play({
+    runScenario({
       seed,
       observer: (core, node, now, effect) => {
         // One call to the store, a millisecond more patient.
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -8,8 +8,12 @@
 import { encodePeerMessage } from "../src/protocol/peers.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 import { electNextLeader } from "./support/leaders.js";
-import { NEW_HEARTBEAT, OLD_HEARTBEAT, receiveFromBothPeers } from "./support/peer-versions.js";
-import { readMessageInProduction, readRecordInProduction } from "./support/production-readers.js";
+import {
+  CURRENT_VERSION_HEARTBEAT,
+  PREVIOUS_VERSION_HEARTBEAT,
+  receiveFromBothPeers,
+} from "./support/peer-versions.js";
+import { parseMessageAsProduction, parseRecordAsProduction } from "./support/production-readers.js";
 import { productionStore } from "./support/production-store.js";
 import { reportAllRunning, runFor } from "./support/running-agents.js";
 
@@ -18,7 +22,7 @@
   const harness = new ControllerHarness("n0", store);
   const unreadable: string[] = [];
   store.onWrite = (key, value) => {
-    if (readRecordInProduction(key, value) === null) unreadable.push(key);
+    if (parseRecordAsProduction(key, value) === null) unreadable.push(key);
   };
   harness.becomeLeader();
   const { cluster } = harness.controller.leaderTerm ?? assert.fail("no leader");
@@ -93,7 +97,7 @@
   // A task that is not known to have been started is started nowhere else before its machine is reconciled (I3).
   harness.advance(2000);
   assert.deepEqual(harness.startCommands("j-000001"), []);
-  assert.notEqual(readRecordInProduction("c/move", store.entries.get("c/move")?.value), null);
+  assert.notEqual(parseRecordAsProduction("c/move", store.entries.get("c/move")?.value), null);
 });
 
 test("production accepts this version's peer heartbeats, and this version accepts production's", () => {
@@ -106,9 +110,9 @@
   );
 
   assert.ok(frames.length > 0);
-  for (const frame of frames) assert.notEqual(readMessageInProduction(frame), null, JSON.stringify(frame));
+  for (const frame of frames) assert.notEqual(parseMessageAsProduction(frame), null, JSON.stringify(frame));
   assert.equal(
-    readRecordInProduction("j/j-1", { state: "awaiting", acceptedAt: 1, spec: jobSpec("j-1") }),
+    parseRecordAsProduction("j/j-1", { state: "awaiting", acceptedAt: 1, spec: jobSpec("j-1") }),
     null,
   );
 });
@@ -118,30 +122,30 @@
   harness.submit(jobSpec("j-1"));
   harness.submit(jobSpec("j-2", { awaits: ["j-1"] }));
 
-  assert.equal(readRecordInProduction("j/j-2", harness.store.entries.get("j/j-2")?.value), null);
+  assert.equal(parseRecordAsProduction("j/j-2", harness.store.entries.get("j/j-2")?.value), null);
 
   harness.storeRule = (call) => (call.kind === "watch" ? { kind: "unavailable", reason: "" } : null);
   new ControllerHarness("n1", harness.store).becomeLeader().cancel("j-2");
-  assert.notEqual(readRecordInProduction("j/j-2", harness.store.entries.get("j/j-2")?.value), null);
+  assert.notEqual(parseRecordAsProduction("j/j-2", harness.store.entries.get("j/j-2")?.value), null);
 });
 
 test("the feature gate opens once every node has announced the new version, stays open, and never opens for a leader that heard an old node", () => {
   const leader = new ControllerHarness().becomeLeader();
-  receiveFromBothPeers(leader, OLD_HEARTBEAT);
+  receiveFromBothPeers(leader, PREVIOUS_VERSION_HEARTBEAT);
   leader.advance(2000);
-  leader.handle({ kind: "peerMessage", from: "n1", message: NEW_HEARTBEAT });
+  leader.handle({ kind: "peerMessage", from: "n1", message: CURRENT_VERSION_HEARTBEAT });
   leader.advance(5000);
 
   assert.equal(leader.controller.config.layout, 1, "n2 is of the previous version");
 
-  leader.handle({ kind: "peerMessage", from: "n2", message: NEW_HEARTBEAT });
+  leader.handle({ kind: "peerMessage", from: "n2", message: CURRENT_VERSION_HEARTBEAT });
   leader.advance(500);
   assert.equal(leader.controller.config.layout, 2);
 
   // Another node knows the gate from its record, even a new leader that has heard no peer; an old heartbeat does not
   // close it.
   const nextLeader = electNextLeader(leader);
-  nextLeader.handle({ kind: "peerMessage", from: "n0", message: OLD_HEARTBEAT });
+  nextLeader.handle({ kind: "peerMessage", from: "n0", message: PREVIOUS_VERSION_HEARTBEAT });
   nextLeader.advance(3000);
 
   assert.equal(nextLeader.controller.config.layout, 2);
--- a/tools/measure-admission.ts
+++ b/tools/measure-admission.ts
@@ -194,7 +194,7 @@
   printPhase("burst", QUIET_S, burstEndS);
   printPhase("after", burstEndS, endS);
   console.log(
-    `state service: ${store.throttled} requests and ${store.store.throttled} transactions refused for their rate; ` +
+    `state service: ${store.throttled} requests and ${store.store.throttledTransactions} transactions refused for their rate; ` +
       `duplicated placements ${fleet.history.duplicates().length}, leases lost ${fleet.expiredLeases}`,
   );
 } finally {
