--- a/test/model/agent-leases.ts
+++ b/test/model/agent-leases.ts
@@ -2,17 +2,17 @@
 import type { RunningTasks } from "./running-tasks.js";
 import type { Simulation } from "./simulation.js";
 
-/** For how long an agent goes on without an answered heartbeat. */
+/** How long an agent keeps its tasks running without an acknowledged heartbeat. */
 const LEASE_MS = 12_000;
 
-/** A lease that expired. */
+/** An agent lease that has expired. */
 export interface ExpiredLease {
   readonly machine: string;
   readonly zone: string;
   readonly at: number;
 }
 
-/** The agents' leases: one that expires ends every task on the machine and begins a new incarnation. */
+/** Agent leases. When a lease expires, all tasks on the machine are ended and a new incarnation begins. */
 export class AgentLeases {
   readonly expired: ExpiredLease[] = [];
   readonly #simulation: Simulation;
@@ -23,7 +23,7 @@
     this.#runningTasks = runningTasks;
   }
 
-  /** Ends what an agent has if its lease is over. Agents look before they do anything else. */
+  /** Expires an agent's lease if it is due. Must be called before the agent takes any other action. */
   expireIfDue(machine: SimulatedMachine): void {
     const { now } = this.#simulation;
     if (now - machine.leaseRenewedAt <= LEASE_MS) return;
--- a/test/model/agent-network.ts
+++ b/test/model/agent-network.ts
@@ -11,20 +11,19 @@
 const HEARTBEAT_INTERVAL_MS = 2000;
 const COMMAND_TIMEOUT_MS = 1500;
 
-/** What the agents' network is built from. */
 export interface AgentNetworkOptions {
   readonly simulation: Simulation;
   readonly controllers: Controllers;
   readonly machines: ReadonlyMap<string, SimulatedMachine>;
   readonly leases: AgentLeases;
   readonly tasks: AgentTasks;
-  /** The part of all heartbeats of which a duplicate arrives late. */
+  /** Fraction of heartbeats of which a duplicate arrives late. */
   readonly duplicateRate: number;
 }
 
-/** What passes between agents and controllers: heartbeats with their replies, and direct commands. */
+/** The network between agents and controllers: heartbeats, their replies, and direct commands. */
 export class AgentNetwork {
-  /** Until then half of all heartbeats arrive once more, late. */
+  /** Until this time half of all heartbeats are duplicated, with the duplicate arriving late. */
   manyDuplicatesUntil = 0;
   readonly #simulation: Simulation;
   readonly #controllers: Controllers;
@@ -33,7 +32,7 @@
   readonly #tasks: AgentTasks;
   readonly #duplicateRate: number;
   readonly #onReply = new Map<number, (reply: HeartbeatReply) => void>();
-  /** Commands name jobs by the sender's indices; here they go by uid. */
+  /** Job uid of each command; the command itself holds a job index that is only valid at its sender. */
   readonly #jobOfCommand = new WeakMap<AgentCommand, string>();
 
   constructor(options: AgentNetworkOptions) {
@@ -45,7 +44,7 @@
     this.#duplicateRate = options.duplicateRate;
   }
 
-  /** Sends an agent's heartbeat to the controller of its choice; without a reply it turns to the next one. */
+  /** Sends a heartbeat to the agent's current controller; if there is no reply, the agent switches to the next one. */
   sendHeartbeat(machine: SimulatedMachine): void {
     const simulation = this.#simulation;
     const node = this.#controllers.nodes[machine.controllerIndex];
@@ -79,25 +78,25 @@
     });
   }
 
-  /** A node replies to the agent that waits for it; a repeated reply reaches nobody. */
+  /** Delivers a node's reply to the waiting agent; duplicate replies are dropped. */
   replyFrom(node: ControllerNode, requestId: number, reply: HeartbeatReply): void {
     if (!this.#onReply.has(requestId)) return;
     this.recordJobs(node, reply);
     this.deliverReply(requestId, reply);
   }
 
-  /** Notes which jobs the commands of a reply are about, while the indices of the node that sends them still hold. */
+  /** Records the job uids of the commands in a reply, while the sending node's indices are still valid. */
   recordJobs(node: ControllerNode, reply: HeartbeatReply): void {
     if (reply.kind === "commands") this.#recordCommandJobs(node, reply.commands);
   }
 
-  /** Passes a reply, whose jobs were noted, on to the agent. */
+  /** Delivers a reply whose job uids have been recorded. */
   deliverReply(requestId: number, reply: HeartbeatReply): void {
     this.#onReply.get(requestId)?.(reply);
     this.#onReply.delete(requestId);
   }
 
-  /** Carries a node's direct commands to an agent, and its answer back; either may be lost, late or repeated. */
+  /** Delivers direct commands to an agent and returns its reply. Commands may be late or duplicated, replies lost. */
   sendCommands(node: ControllerNode, epoch: number, effect: SendAgentCommands): void {
     const simulation = this.#simulation;
     this.#recordCommandJobs(node, effect.commands);
@@ -112,13 +111,14 @@
     const execute = () => this.#executeBatch(machine, effect);
     const blockedUntil = Math.max(partitionEnd(node, machine), machine.hungUntil);
     if (simulation.now < blockedUntil) {
-      // Delayed packets, or an agent that hangs: executed when it ends, while fencing token and incarnation match.
+      // After a hang or a partition that delays packets, the agent executes the commands unless token or incarnation
+      // are outdated.
       if (node.delaysPackets || machine.hungUntil > simulation.now)
         simulation.after(blockedUntil - simulation.now + simulation.between(1, 100), execute);
       fail();
       return;
     }
-    // A repeat of a command that was carried out may follow much later.
+    // A duplicate of an executed command may arrive much later.
     if (simulation.chance(0.01)) simulation.after(simulation.between(500, 60_000), execute);
     const isAnswerLost = simulation.chance(0.01);
     simulation.after(simulation.between(1, 6), () => {
@@ -153,7 +153,7 @@
     });
     const duplicateRate = simulation.now < this.manyDuplicatesUntil ? 0.5 : this.#duplicateRate;
     if (!simulation.chance(duplicateRate)) return;
-    // From seconds to several leases later, at any node, also when the machine is gone.
+    // The duplicate arrives up to several lease durations later, at any node, possibly after the machine's termination.
     simulation.after(simulation.between(500, 60_000), () => {
       const receiver = this.#controllers.nodes[simulation.between(0, this.#controllers.nodes.length - 1)];
       if (!receiver?.core) return;
@@ -205,7 +205,7 @@
     machine.nextHeartbeatAt = this.#simulation.now + this.#simulation.between(0, 500);
   }
 
-  /** The agent refuses commands of an older leader than it has seen, and those for an earlier incarnation. */
+  /** The agent rejects commands with an outdated fencing token or for another incarnation. */
   #executeBatch(
     machine: SimulatedMachine,
     { fencingToken, incarnation, commands }: SendAgentCommands,
@@ -247,7 +247,7 @@
   }
 }
 
-/** Until when nothing passes between a machine and a controller, in either direction. */
+/** Returns when a two-way partition between a machine and a controller ends. */
 function partitionEnd(node: ControllerNode, machine: SimulatedMachine): number {
   return Math.max(node.partitionedUntil, node.agentsPartitionedUntil, machine.partitionedUntil);
 }
--- a/test/model/agent-tasks.ts
+++ b/test/model/agent-tasks.ts
@@ -6,30 +6,29 @@
 import type { RunningTasks } from "./running-tasks.js";
 import type { Simulation } from "./simulation.js";
 
-/** For how long a task waits for the rest of its gang. */
+/** How long a task waits for the rest of its gang. */
 const GANG_WAIT_MS = 40_000;
 
 type StartCommand = Extract<AgentCommand, { kind: "start" }>;
 type StopCommand = Extract<AgentCommand, { kind: "stop" }>;
 
-/** What the agents' tasks are built from. */
 export interface AgentTasksOptions {
   readonly simulation: Simulation;
   readonly machines: ReadonlyMap<string, SimulatedMachine>;
   readonly jobs: SubmittedJobs;
   readonly runningTasks: RunningTasks;
   readonly rules: RuleChecks;
-  /** The probability, in each step, that a running task fails. */
+  /** Probability that a running task fails in a step. */
   readonly errorRate: number;
-  /** Called when the last task of a job is done. */
+  /** Called when all tasks of a job are done. */
   readonly onJobFinished: (uid: string) => void;
 }
 
-/** What agents do with tasks: carry out commands, and let tasks begin, run, save and end. */
+/** Task execution on agents: executes commands and advances tasks through their states. */
 export class AgentTasks {
-  /** Tasks that began. */
+  /** Number of tasks started. */
   starts = 0;
-  /** Tasks that a command has ended. */
+  /** Number of tasks stopped by a command. */
   stops = 0;
   readonly #simulation: Simulation;
   readonly #machines: ReadonlyMap<string, SimulatedMachine>;
@@ -49,7 +48,7 @@
     this.#onJobFinished = options.onJobFinished;
   }
 
-  /** Carries out a command about a task of this job. */
+  /** Executes a command for a task of the given job. */
   execute(machine: SimulatedMachine, command: AgentCommand, uid: string): void {
     const held = machine.tasks.find(
       (task) => task.uid === uid && task.task === command.task && task.attempt === command.attempt,
@@ -67,7 +66,7 @@
     }
   }
 
-  /** Lets the tasks of a machine go on by one step. */
+  /** Advances the tasks of a machine by one step. */
   step(machine: SimulatedMachine): void {
     for (const task of machine.tasks) {
       const job = this.#jobs.get(task.uid);
@@ -147,7 +146,7 @@
     task.state = spec.shape === "gang" ? "waiting" : "running";
     if (spec.shape === "service") task.stateEndsAt = Number.POSITIVE_INFINITY;
     else if (spec.shape === "gang") task.stateEndsAt = this.#simulation.now + GANG_WAIT_MS;
-    // The result of a task that was done before is kept.
+    // A task that was done before ends immediately, since its result is kept.
     else task.stateEndsAt = this.#simulation.now + (job.done.has(task.task) ? 0 : this.#runtimeMs(spec));
     this.#runningTasks.add(machine, task, spec);
     this.#rules.checkAfterStart(machine, job);
@@ -177,7 +176,7 @@
     else if (live < spec.tasks && this.#simulation.chance(0.05)) this.#end(machine, task, "peers");
   }
 
-  /** The tasks of the same attempt of a gang that are on machines whose agents act. */
+  /** Returns the tasks of a gang's attempt that are on machines whose agents do not hang. */
   #gangTasks({ uid, attempt }: AgentTask): AgentTask[] {
     const gang: AgentTask[] = [];
     for (const machine of this.#machines.values()) {
--- a/test/model/agents.ts
+++ b/test/model/agents.ts
@@ -11,7 +11,6 @@
 
 const STEP_MS = 100;
 
-/** What the agents are built from. */
 export interface AgentsOptions {
   readonly simulation: Simulation;
   readonly controllers: Controllers;
@@ -20,11 +19,11 @@
   readonly runningTasks: RunningTasks;
   readonly rules: RuleChecks;
   readonly faultRates: FaultRates;
-  /** Called when the last task of a job is done. */
+  /** Called when all tasks of a job are done. */
   readonly onJobFinished: (uid: string) => void;
 }
 
-/** The agents on the machines, from boot to termination: their leases, their tasks, and what they say and hear. */
+/** The agents on all machines, from boot to termination, with their leases, tasks and network. */
 export class Agents {
   readonly leases: AgentLeases;
   readonly tasks: AgentTasks;
@@ -48,7 +47,7 @@
     });
   }
 
-  /** Starts the agent of a machine that has booted. */
+  /** Starts the agent of a booted machine. */
   start(machine: SimulatedMachine): void {
     const step = () => {
       if (!machine.alive) return;
@@ -58,7 +57,7 @@
     step();
   }
 
-  /** Ends a machine, and with it the agent and all tasks. */
+  /** Terminates a machine with its agent and all tasks. */
   terminate(machine: SimulatedMachine): void {
     machine.alive = false;
     this.#runningTasks.removeAll(machine);
--- a/test/model/cloud.ts
+++ b/test/model/cloud.ts
@@ -7,19 +7,18 @@
 import { RequestMeter } from "./request-meter.js";
 import type { Simulation } from "./simulation.js";
 
-/** The most machines in one page of the cloud's list. */
+/** Maximum number of machines per page of the cloud's list. */
 const LIST_PAGE_SIZE = 500;
-/** The most machines of each type, zone and kind at scale 1. */
+/** Maximum number of machines per type and zone, for spot and on-demand separately, at scale 1. */
 const CAPACITY = 4;
 const INITIAL_MACHINES = 2;
 const TIMEOUT_MS = 5000;
 const ONE_WAY_LATENCY_MS = 60;
-/** A machine that never comes up within the day. */
+/** Longer than any scenario: the machine never finishes booting. */
 const STUCK_BOOT_MS = 3_600_000;
 
 type CreateRequest = Extract<CloudRequest, { kind: "create" }>;
 
-/** Which machine to make. */
 interface MachineParameters {
   readonly type: MachineType;
   readonly zone: string;
@@ -27,20 +26,19 @@
   readonly bootMs: number;
 }
 
-/** What the cloud is built from. */
 export interface CloudOptions {
   readonly simulation: Simulation;
   readonly controllers: Controllers;
-  /** All machines that there ever were, by name, in the order of their creation. */
+  /** All machines ever created, including terminated ones, by name in creation order. */
   readonly machines: Map<string, SimulatedMachine>;
   readonly scale: number;
   readonly onBooted: (machine: SimulatedMachine) => void;
   readonly onTerminated: (machine: SimulatedMachine) => void;
 }
 
-/** The cloud's side of the model: a few machines of each type and zone, a list that lags, boots that take their time. */
+/** The simulated cloud: limited capacity per type and zone, a list that lags behind, and boots that take time. */
 export class Cloud {
-  /** Requests that reached the cloud. */
+  /** Requests received by the cloud. */
   readonly requests = new RequestMeter();
   readonly #simulation: Simulation;
   readonly #controllers: Controllers;
@@ -48,7 +46,7 @@
   readonly #scale: number;
   readonly #onBooted: (machine: SimulatedMachine) => void;
   readonly #onTerminated: (machine: SimulatedMachine) => void;
-  /** The machines made for each request: one that is repeated makes no more. */
+  /** Names of the machines created by each request, to make retries idempotent. */
   readonly #createdByRequest = new Map<string, string[]>();
   #nextMachine = 1;
 
@@ -61,7 +59,7 @@
     this.#onTerminated = onTerminated;
   }
 
-  /** Makes the machines that are there from the beginning, already booted. */
+  /** Creates the initial machines, already booted. */
   createInitialMachines(): void {
     for (const zone of ["a", "b"]) {
       for (const type of TYPES)
@@ -70,7 +68,7 @@
     }
   }
 
-  /** Carries out a node's call. */
+  /** Executes a cloud call of a node; it times out while the node is partitioned. */
   call(node: ControllerNode, epoch: number, { id, request }: Extract<Effect, { kind: "callCloud" }>): void {
     const respond = (delayMs: number, response: CloudResponse) => {
       this.#controllers.deliverAfter(node, epoch, delayMs, () => ({ kind: "cloudResponded", id, response }));
@@ -125,7 +123,7 @@
     ).length;
   }
 
-  /** A page of the list as it was some seconds ago; machines that are gone may still be in it. */
+  /** Returns a page of the list as of some seconds ago; terminated machines may still be included. */
   #list(after: string | null): CloudResponse {
     const snapshotAt = this.#simulation.now - this.#simulation.between(3000, 6000);
     const listed = [...this.#machines.values()]
--- a/test/model/compound-faults.ts
+++ b/test/model/compound-faults.ts
@@ -6,7 +6,7 @@
 import type { StoreNetwork } from "./store-network.js";
 import type { Users } from "./users.js";
 
-/** What faults act upon. */
+/** The parts of the simulation that faults act on. */
 export interface FaultTargets {
   readonly simulation: Simulation;
   readonly controllers: Controllers;
@@ -17,12 +17,13 @@
   readonly users: Users;
 }
 
-/** Something that goes wrong, to be begun at the right moment. */
+/** Starts a fault. */
 type Fault = () => void;
 
 /**
- * Faults that meet, worst aligned: something befalls the leader or a good part of the machines, users cancel in that very
- * moment, and in the middle of it the leader ends, or the store is down for longer than a cancellation may take.
+ * Combines faults with worst-case timing: one or two faults affect the leader, many machines or the network; users
+ * cancel jobs shortly afterwards; meanwhile controllers crash, or the store has an outage, possibly longer than
+ * `cancel_s`.
  */
 export class CompoundFaults {
   readonly #targets: FaultTargets;
@@ -35,7 +36,7 @@
     this.#controllers = targets.controllers;
   }
 
-  /** Begins one; `machines` are those that are up. */
+  /** Starts one compound fault; `machines` are those that are up. */
   begin(machines: readonly SimulatedMachine[]): void {
     const simulation = this.#simulation;
     const leader = this.#controllers.leader ?? this.#controllers.nodes[0];
@@ -92,7 +93,7 @@
         leader.delaysPackets = true;
       },
       () => {
-        // It renews its lease, and hears of no change.
+        // The leader keeps renewing its lease but receives no changes.
         leader.watchesHangUntil = simulation.now + 50_000;
         leader.peersPartitionedUntil = leader.watchesHangUntil;
       },
@@ -157,7 +158,7 @@
     if (leader) this.#controllers.crash(leader.index, this.#simulation.between(50, 3000));
   }
 
-  /** Users cancel jobs that run, those with long to go first; machines of theirs may hang from that moment. */
+  /** Cancels running jobs, services first; their machines may hang from that moment. */
   #cancelRunning(count: number, hangMs: number): void {
     const { machines, jobs, users } = this.#targets;
     const machinesByJob = new Map<string, SimulatedMachine[]>();
--- a/test/model/controller-log.ts
+++ b/test/model/controller-log.ts
@@ -2,11 +2,11 @@
 import type { ControllerNode } from "./controllers.js";
 import type { Simulation } from "./simulation.js";
 
-/** What the controllers log. */
+/** Log output of the controllers. */
 export class ControllerLog {
-  /** All lines but those for debugging, with time and node. */
+  /** All lines above debug level, with time and node. */
   readonly lines: string[] = [];
-  /** Where each new leader had its records from: `warm` if from its standby. */
+  /** Where each new leader loaded its records from: `warm` if from its standby cache. */
   readonly takeoverSources: string[] = [];
   readonly #simulation: Simulation;
 
@@ -14,7 +14,7 @@
     this.#simulation = simulation;
   }
 
-  /** Takes a line of a node. */
+  /** Records a log line of a node. */
   record(node: ControllerNode, { level, text, data }: Extract<Effect, { kind: "log" }>): void {
     if (text === "leader ready") this.takeoverSources.push(node.core?.failover.takeover.source ?? "cold");
     if (level !== "debug")
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -9,56 +9,56 @@
 const STANDBY_BYTES = 8 * 1024 * 1024;
 const TICK_MS = 100;
 
-/** A node of the cluster: the controller on it, its clock, and what it can reach. */
+/** A node with its controller process, clock and connectivity. */
 export interface ControllerNode {
   readonly index: number;
   readonly name: string;
-  /** It is yet to be upgraded: it neither says nor hears which protocol others speak. */
+  /** True until the node is upgraded; the previous version neither sends nor receives the protocol version. */
   isPreviousVersion: boolean;
   /** Null while the process is down. */
   core: Controller | null;
-  /** Rises with each start and end of the process: what was under way for an earlier one is dropped. */
+  /** Incremented with each process start and exit; messages for an earlier epoch are dropped. */
   epoch: number;
-  /** Its clock runs that much faster than virtual time, and ahead of it. */
+  /** Rate and offset of its clock relative to virtual time. */
   readonly clockRate: number;
   readonly clockOffsetMs: number;
-  /** Nothing reaches it or leaves it. */
+  /** The node is partitioned from everything. */
   partitionedUntil: number;
-  /** Neither call nor answer passes between it and the store. */
+  /** The node is partitioned from the store. */
   storePartitionedUntil: number;
   peersPartitionedUntil: number;
   agentsPartitionedUntil: number;
-  /** The store answers that it is unavailable. */
+  /** The store responds to this node that it is unavailable. */
   storeRefusesUntil: number;
-  /** Watches get no answer, while all other calls to the store do. */
+  /** Watches get no response, while all other store calls do. */
   watchesHangUntil: number;
-  /** Packets of a partition are delivered when it ends, not lost. */
+  /** Packets sent during a partition are delivered after it ends instead of being lost. */
   delaysPackets: boolean;
-  /** The process stands still until then, while its clock runs on. */
+  /** The process is paused until this time, while its clock keeps running. */
   pausedUntil: number;
-  /** The freeze falls between deciding and writing: effects of the next command leave it when it goes on. */
+  /** The next command is still handled, but its effects are only sent when the process resumes. */
   pausesBeforeSending: boolean;
-  /** Commands that came while it stood still, and effects that it had decided on. */
+  /** Commands received and effects held back during a pause. */
   readonly pendingCommands: Command[];
   readonly unsentEffects: Effect[];
 }
 
-/** Carries out an effect of a node; the epoch is that of the process that asked for it. */
+/** Executes an effect of a node; `epoch` identifies the process that produced it. */
 export type EffectHandler = (node: ControllerNode, epoch: number, effect: Effect) => void;
 
-/** What the controllers of a run have in common. */
+/** Options that apply to all controllers of a run. */
 export interface ControllersOptions {
-  /** The teams' quotas are that many times those of the small deployment. */
+  /** Multiplier for the teams' quotas of the small deployment. */
   readonly scale: number;
-  /** Followers keep a warm standby of the records. */
+  /** Enables the standby cache of records on followers. */
   readonly standby: boolean;
-  /** Submissions are admitted by the teams' shares. */
+  /** Enables fair admission of submissions by team shares. */
   readonly admission: boolean;
   readonly startWithPreviousVersion: boolean;
   readonly onEffect: EffectHandler;
 }
 
-/** The controllers' side of the model: processes that start, end and stand still, each with a clock of its own. */
+/** The controller processes: start, crash and pause, each with its own clock. */
 export class Controllers {
   readonly nodes: readonly ControllerNode[];
   readonly #simulation: Simulation;
@@ -89,32 +89,30 @@
     }));
   }
 
-  /** The teams, with their quotas at the scale of this run. */
+  /** The teams, with quotas scaled for this run. */
   get teams(): Deployment["teams"] {
     return scaledDeployment(NODES[0], this.#options.scale).teams;
   }
 
-  /** True once every node runs the new version: from then on users ask for what is new. */
+  /** True once every node runs the current version; users only use its new features from then on. */
   get areUpgraded(): boolean {
     return this.nodes.every((node) => !node.isPreviousVersion);
   }
 
-  /** The first node that holds itself to be the leader. */
+  /** The first node that considers itself leader. */
   get leader(): ControllerNode | undefined {
     return this.nodes.find((node) => node.core?.leaderTerm);
   }
 
-  /** The node of this name. */
   find(name: string): ControllerNode | undefined {
     return this.nodes.find((node) => node.name === name);
   }
 
-  /** Starts all processes. */
   startAll(): void {
     for (const node of this.nodes) this.#start(node);
   }
 
-  /** Ends a process; it is started again after a while. */
+  /** Crashes a process and restarts it after `downMs`. */
   crash(index: number, downMs: number): void {
     const node = this.nodes[index];
     if (!node?.core) return;
@@ -123,7 +121,7 @@
     this.#simulation.after(downMs, () => this.#start(node));
   }
 
-  /** A process does nothing for a while; what reaches it waits, and so may what it has just decided. */
+  /** Pauses a process; commands are queued meanwhile, and effects of one more command may be held back. */
   pause(index: number, forMs: number): void {
     const node = this.nodes[index];
     if (!node?.core || this.#simulation.now < node.pausedUntil) return;
@@ -139,7 +137,7 @@
     });
   }
 
-  /** Hands a command to the process; one that stands still gets it later. */
+  /** Delivers a command to the process, after it resumes if it is paused. */
   deliver(node: ControllerNode, command: Command): void {
     if (this.#simulation.now >= node.pausedUntil) this.#handle(node, [command]);
     else if (node.pausesBeforeSending && node.core) {
@@ -148,7 +146,7 @@
     } else node.pendingCommands.push(command);
   }
 
-  /** Delivers a command after a while, unless the process of that epoch has ended meanwhile. */
+  /** Delivers a command after a delay, unless the process of that epoch has exited by then. */
   deliverAfter(node: ControllerNode, epoch: number, delayMs: number, makeCommand: () => Command): void {
     this.#simulation.after(delayMs, () => {
       if (node.epoch === epoch && node.core) this.deliver(node, makeCommand());
@@ -193,7 +191,7 @@
   }
 }
 
-/** The small deployment, with quotas that many times as large. */
+/** Returns the small deployment with all quotas multiplied by `scale`. */
 function scaledDeployment(nodeName: string, scale: number): Deployment {
   const { teams, ...rest } = deployment(nodeName);
   const scaled = ({ cpu, gpu, ram }: Resources) => ({ cpu: cpu * scale, gpu: gpu * scale, ram: ram * scale });
--- a/test/model/event-queue.ts
+++ b/test/model/event-queue.ts
@@ -1,17 +1,16 @@
-/** Something that happens at a moment of virtual time, in milliseconds. */
+/** A callback scheduled at a point in virtual time, in milliseconds. */
 export interface Event {
   readonly at: number;
-  /** Rises with every event made: breaks ties, so that a run repeats exactly. */
+  /** Insertion order; breaks ties so that runs are reproducible. */
   readonly order: number;
   readonly run: () => void;
 }
 
-/** A binary heap of events: the earliest first, and among those of one moment the first made. */
+/** A binary heap of events, ordered by time and then by insertion. */
 export class EventQueue {
   readonly #heap: Event[] = [];
   #nextOrder = 0;
 
-  /** Adds an event. */
   add(at: number, run: () => void): void {
     const heap = this.#heap;
     heap.push({ at, order: this.#nextOrder++, run });
@@ -24,12 +23,12 @@
     }
   }
 
-  /** When the next event happens; infinity if there is none. */
+  /** Time of the next event; infinity if the queue is empty. */
   get nextAt(): number {
     return this.#heap[0]?.at ?? Number.POSITIVE_INFINITY;
   }
 
-  /** Takes the next event out. */
+  /** Removes and returns the next event. */
   next(): Event | undefined {
     const heap = this.#heap;
     const first = heap[0];
--- a/test/model/fault-rates.ts
+++ b/test/model/fault-rates.ts
@@ -1,43 +1,46 @@
 /**
- * The faults of a day. Unless said otherwise each is the probability, in every second of the troubled part of the day, that
- * the fault begins.
+ * Fault rates of a scenario. Unless noted otherwise, each is the probability that the fault begins in any given second
+ * while faults are injected.
  */
 export interface FaultRates {
-  /** A controller ends and is back after 0.2 or 4 s; a quarter as often all of them end together. */
+  /** A controller crashes and restarts after 0.2 or 4 s; all controllers crash together a quarter as often. */
   readonly crash: number;
-  /** A controller loses everybody, the store or the agents, or is refused by the store; packets are lost or delayed. */
+  /**
+   * A controller is cut off from everything, from the store or from the agents, or the store refuses its calls. Packets
+   * are lost or delayed.
+   */
   readonly partition: number;
-  /** The key-value store is unavailable to all. */
+  /** The key-value store is unavailable to all controllers. */
   readonly outage: number;
-  /** An agent hangs; as often, a machine is cut off from all controllers. */
+  /** An agent hangs; with the same probability a machine is partitioned from all controllers. */
   readonly hang: number;
-  /** The cloud takes a machine back, half of the time with a notice of 10 s. */
+  /** The cloud reclaims a machine, half of the time with an interruption notice of 10 s. */
   readonly reclaim: number;
-  /** The probability, in each step of 100 ms, that a running task fails. */
+  /** Probability that a running task fails in a 100 ms step. */
   readonly taskError: number;
-  /** An agent's heartbeats arrive while nothing reaches it. */
+  /** An agent's heartbeats are delivered, but replies and commands to it are lost. */
   readonly oneWayPartition: number;
-  /** The part of all heartbeats of which a duplicate arrives late, at any controller. */
+  /** Fraction of heartbeats that are duplicated; the duplicate arrives late, at any controller. */
   readonly lateDuplicates: number;
-  /** A controller loses the store and its peers, but not the agents. */
+  /** A controller is partitioned from the store and its peers, but not from the agents. */
   readonly isolation: number;
-  /** Controllers are back within a fraction of a second, also twice in a row and all together. */
+  /** Controllers restart within a fraction of a second, possibly twice in a row or all together. */
   readonly quickRestart: number;
-  /** A controller stands still for longer than a lease, and goes on where it was. */
+  /** A controller process is paused, possibly for longer than a lease, and resumes where it stopped. */
   readonly pause: number;
-  /** Many machines at once end, hang, are reclaimed or are cut off with their zone, mostly with a controller's crash. */
+  /** Many machines crash, hang, are reclaimed or partitioned with their zone, mostly along with a controller crash. */
   readonly massFailure: number;
-  /** The store is down, then all controllers restart, one after the other, and all again. */
+  /** A store outage; then all controllers restart together, one after the other, and together again. */
   readonly rollingRestart: number;
-  /** Two or three faults within seconds, most of them of the leader, while users cancel. */
+  /** Two or three faults within seconds, mostly affecting the leader, while users cancel jobs. */
   readonly compoundFault: number;
-  /** The part of all jobs that are cancelled at the very moment of their end. */
+  /** Fraction of jobs that are cancelled at the moment they finish. */
   readonly cancelAtCompletion: number;
-  /** Controllers begin with the old version, are upgraded one after the other, and then the store's limits fall. */
+  /** Controllers start with the previous version and are upgraded one by one; then the store's limits are lowered. */
   readonly upgrade: boolean;
 }
 
-/** A day without any trouble: others are made from it. */
+/** No faults; the defaults that other scenarios override. */
 export const NO_FAULTS: FaultRates = {
   crash: 0,
   partition: 0,
--- a/test/model/faults.ts
+++ b/test/model/faults.ts
@@ -7,12 +7,11 @@
 
 const RECLAIM_NOTICE_MS = 10_000;
 
-/** What the faults are built from. */
 export interface FaultsOptions extends FaultTargets {
   readonly faultRates: FaultRates;
 }
 
-/** The faults of a run, drawn at random at the rates of its trouble. */
+/** Injects random faults at the configured rates. */
 export class Faults {
   readonly #faultRates: FaultRates;
   readonly #targets: FaultTargets;
@@ -30,7 +29,7 @@
     this.#compound = new CompoundFaults(targets);
   }
 
-  /** Begins the faults of one second. */
+  /** Starts the faults drawn for one second. */
   injectForOneSecond(): void {
     const simulation = this.#simulation;
     const faultRates = this.#faultRates;
@@ -50,14 +49,14 @@
     if (machine) this.#injectIntoMachine(machine);
   }
 
-  /** Cuts the machines of a zone off from all controllers. */
+  /** Partitions the machines of a zone from all controllers. */
   partitionZone(zone: string, forMs: number): void {
     const until = this.#simulation.now + forMs;
     for (const machine of this.#targets.machines.values())
       if (machine.zone === zone) machine.partitionedUntil = until;
   }
 
-  /** At the end of a job: its user may cancel it in this moment, and submit it once more. */
+  /** Called when a job finishes: its user may cancel and resubmit it at that moment. */
   onJobFinished(uid: string): void {
     const simulation = this.#simulation;
     const { users } = this.#targets;
@@ -66,10 +65,10 @@
     simulation.after(simulation.between(0, 400), () => users.resubmit(uid));
   }
 
-  /** Plans the upgrade of all nodes, one after the other; `onStoreLimitsFall` is called after it. */
+  /** Schedules a rolling upgrade of all nodes, and `onStoreLimitsFall` after it. */
   scheduleUpgrade(onStoreLimitsFall: () => void): void {
     const simulation = this.#simulation;
-    // What was decided before the gate opened may be carried out after what was decided later.
+    // Transactions issued before the feature gate opens may be applied after later ones.
     if (simulation.chance(0.5)) {
       simulation.after(15_000, () => {
         this.#targets.store.lateTransactionsUntil = simulation.now + 60_000;
@@ -149,7 +148,7 @@
     }
   }
 
-  /** A good part of the machines at once, mostly with a controller's crash in the middle of it. */
+  /** Fails many machines at once, mostly together with a controller crash. */
   #failManyMachines(machines: readonly SimulatedMachine[]): void {
     const simulation = this.#simulation;
     const forMs = simulation.between(5000, 40_000);
--- a/test/model/jobs.ts
+++ b/test/model/jobs.ts
@@ -1,25 +1,25 @@
 import type { JobSpec } from "../../src/core/model/job-spec.js";
 
-/** A job as its user and its tasks know it: the truth that the controllers' answers are checked against. */
+/** The actual state of a submitted job, against which the controllers' responses are checked. */
 export interface SubmittedJob {
   readonly spec: JobSpec;
   acceptedAt: number | null;
-  /** Its user has asked for its cancellation, whether or not that was confirmed. */
+  /** True once its user has requested cancellation, whether or not it was confirmed. */
   cancelRequested: boolean;
-  /** When its user was first answered that it is cancelled. */
+  /** When the cancellation was first confirmed to its user. */
   cancelledAt: number | null;
-  /** Its user was answered that it is done. */
+  /** True once its completion was confirmed to its user. */
   confirmedDone: boolean;
-  /** When a question about it was last answered. */
+  /** When a poll of it was last answered. */
   answeredAt: number;
-  /** The tasks that are done. */
+  /** Indices of the tasks that are done. */
   readonly done: Set<number>;
   finishedAt: number | null;
-  /** Since when tasks of it wait although a machine has room for them; null while none has. */
+  /** Since when some of its tasks have been waiting although they could be placed; null if there are none. */
   starvingSince: number | null;
 }
 
-/** What a user knew of a job when asking: a later answer may not take it back. */
+/** The outcome of a job confirmed to its user before a request was sent; the response must not contradict it. */
 export interface ConfirmedOutcome {
   readonly cancelled: boolean;
   readonly done: boolean;
@@ -27,7 +27,7 @@
 
 /** All jobs that users have submitted, by uid, in the order of submission. */
 export class SubmittedJobs extends Map<string, SubmittedJob> {
-  /** Does this hold for any job that this one depends on, directly or through others? */
+  /** Returns whether the predicate holds for any direct or transitive dependency of a job. */
   someDependency(job: SubmittedJob, predicate: (dependency: SubmittedJob) => boolean): boolean {
     return (job.spec.awaits ?? []).some((uid) => {
       const dependency = this.get(uid);
@@ -37,13 +37,13 @@
     });
   }
 
-  /** True for a job that its user, or that of a job it depends on, has asked to cancel. */
+  /** Returns whether cancellation was requested for a job or any of its direct or transitive dependencies. */
   isCancelRequested(job: SubmittedJob): boolean {
     return job.cancelRequested || this.someDependency(job, (dependency) => dependency.cancelRequested);
   }
 }
 
-/** A job at the moment its user submits it. */
+/** Creates the initial state of a submitted job. */
 export function newJob(spec: JobSpec, now: number): SubmittedJob {
   return {
     spec,
@@ -58,7 +58,7 @@
   };
 }
 
-/** What its user knows of a job's end at this moment. */
+/** Returns the outcome of a job confirmed to its user so far. */
 export function confirmedOutcomeOf(job: SubmittedJob): ConfirmedOutcome {
   return { cancelled: job.cancelledAt !== null, done: job.confirmedDone };
 }
--- a/test/model/machines.ts
+++ b/test/model/machines.ts
@@ -1,83 +1,82 @@
 import type { MachineType } from "../../src/core/model/deployment.js";
 import type { ExitReason, JobSpec, TaskState } from "../../src/core/model/job-spec.js";
 
-/** One attempt of a task on a machine, as its agent sees it. */
+/** An attempt of a task on a machine, as tracked by its agent. */
 export interface AgentTask {
   readonly uid: string;
   readonly task: number;
   readonly attempt: number;
   state: TaskState;
   exitReason: ExitReason | null;
-  /** True once a checkpoint was written before the stop. */
+  /** True if a checkpoint was written before the task stopped. */
   saved: boolean;
-  /** When the present state ends: image fetched, gang given up, work done, or checkpoint written. */
+  /** When the current state ends: image fetched, gang wait timed out, work done, or checkpoint written. */
   stateEndsAt: number;
 }
 
-/** A machine of the cloud with the agent that runs on it: the truth that the controllers are checked against. */
+/** The actual state of a cloud machine and its agent, against which the controllers are checked. */
 export interface SimulatedMachine {
   readonly name: string;
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
   readonly createdAt: number;
-  /** When it has booted and its agent starts. */
+  /** When booting completes and the agent starts. */
   readonly bootedAt: number;
   /** False once it is terminated or reclaimed. */
   alive: boolean;
-  /** The agent does nothing until then, while its lease runs on. */
+  /** The agent hangs until this time; its lease may expire meanwhile. */
   hungUntil: number;
-  /** Nothing passes between the machine and any controller until then. */
+  /** Until this time the machine is partitioned from all controllers in both directions. */
   partitionedUntil: number;
-  /** Heartbeats arrive, while neither replies nor direct commands reach the agent until then. */
+  /** Until this time heartbeats are delivered, but replies and direct commands to the agent are lost. */
   inboundPartitionedUntil: number;
-  /** Heartbeats reach no controller until then, while direct commands reach the agent. */
+  /** Until this time heartbeats are lost, but direct commands reach the agent. */
   outboundPartitionedUntil: number;
-  /** Rises each time the agent's lease expires. */
+  /** Incremented each time the agent's lease expires. */
   incarnation: number;
-  /** Rises with every heartbeat and every reply to a direct command. */
+  /** Incremented with every heartbeat and every reply to a direct command. */
   sequence: number;
   /** The highest fencing token that the agent has seen. */
   fencingToken: number;
   tasks: AgentTask[];
-  /** When the last heartbeat that was answered was sent, or the incarnation began. */
+  /** When the last acknowledged heartbeat was sent, or when the incarnation began. */
   leaseRenewedAt: number;
-  /** The index of the controller that the agent sends its heartbeats to. */
+  /** Index of the controller that the agent sends its heartbeats to. */
   controllerIndex: number;
   nextHeartbeatAt: number;
-  /** The id of the heartbeat that waits for its reply; 0 if none does. */
+  /** Id of the heartbeat awaiting a reply; 0 if there is none. */
   pendingHeartbeat: number;
-  /** When the cloud reclaims it; null while it has given no notice. */
+  /** When the cloud reclaims the machine; null without an interruption notice. */
   reclaimAt: number | null;
-  /** Images in its cache. */
+  /** Images cached on the machine. */
   readonly images: Set<string>;
 }
 
-/** What is left of a machine's size beside the tasks on it. */
+/** Resources of a machine that are not used by tasks. */
 export interface FreeCapacity {
   cpu: number;
   gpu: number;
   ram: number;
 }
 
-/** True while the machine's agent does nothing. */
 export function isHung(machine: SimulatedMachine, now: number): boolean {
   return now < machine.hungUntil;
 }
 
-/** True for an attempt that runs, or waits for the others of its gang, or writes its checkpoint. */
+/** Returns whether an attempt is running, waiting for its gang or writing its checkpoint. */
 export function isActive(task: AgentTask): boolean {
   return task.state === "waiting" || task.state === "running" || task.state === "saving";
 }
 
-/** Takes the resources of one task of this job away from what is free. */
+/** Subtracts the resources of one task of a job from the free capacity. */
 export function subtractTask(free: FreeCapacity, { need }: JobSpec): void {
   free.cpu -= need.cpu;
   free.gpu -= need.gpu;
   free.ram -= need.ram;
 }
 
-/** A machine as the cloud has just created it, with its agent's first incarnation. */
+/** Creates the state of a newly provisioned machine, with the first incarnation of its agent. */
 export function newMachine(
   created: Pick<
     SimulatedMachine,
--- a/test/model/model-cluster.ts
+++ b/test/model/model-cluster.ts
@@ -16,32 +16,32 @@
 import { StoreNetwork } from "./store-network.js";
 import { Users } from "./users.js";
 
-/** How often the store looks for leases that are over. */
+/** How often the store revokes expired leases. */
 const LEASE_EXPIRY_STEP_MS = 50;
 const STORE_LIMITS = { valueBytes: 8192, txnOps: 32, writeRps: 100 };
 const STORE_LIMITS_AFTER_UPGRADE = { valueBytes: 2048, txnOps: 10, writeRps: 70 };
 
-/** Called with everything that leaves a node, in order, with the node and the model's clock. */
+/** Observes every effect of a node, in order, with the virtual time at which it is carried out. */
 export type EffectObserver = (core: Controller, node: string, now: number, effect: Effect) => void;
 
-/** What a run of the model cluster is made from; the same options play the same day. */
+/** Options of a model cluster; runs with the same options are identical. */
 export interface ModelClusterOptions {
   readonly seed: number;
-  /** None unless given. */
+  /** No faults by default. */
   readonly faultRates?: FaultRates | undefined;
-  /** At scale 1 there are eight machines to begin with; teams' quotas and the cloud grow with it. */
+  /** Scales the initial machines (eight at scale 1), the teams' quotas and the cloud capacity. */
   readonly scale?: number | undefined;
-  /** Followers keep a warm standby of the records. */
+  /** Enables the standby cache of records on followers. */
   readonly standby?: boolean | undefined;
-  /** Submissions are admitted by the teams' shares. */
+  /** Enables fair admission of submissions by team shares. */
   readonly admission?: boolean | undefined;
   readonly observer?: EffectObserver | undefined;
 }
 
 /**
- * Three real controllers in a model of everything outside the core: key-value store, cloud, agents, users and network. It
- * plays in virtual time from a seed, injects faults at random, and checks the rules as it goes. This class wires the
- * parts, and routes the controllers' effects to them.
+ * Runs three real controllers against a simulation of everything outside the core: key-value store, cloud, agents,
+ * users and network. The simulation runs in virtual time from a seed, injects random faults and checks invariants
+ * continuously. This class connects the parts and routes the controllers' effects to them.
  */
 export class ModelCluster {
   readonly simulation: Simulation;
@@ -97,27 +97,27 @@
     this.#start(faultRates);
   }
 
-  /** Virtual time, in milliseconds: that of the last event played. */
+  /** Virtual time in milliseconds, as of the last event run. */
   get now(): number {
     return this.simulation.now;
   }
 
-  /** The controllers' nodes, in the order of their names. */
+  /** The controller nodes, ordered by name. */
   get nodes(): readonly ControllerNode[] {
     return this.controllers.nodes;
   }
 
-  /** The rules that were broken so far. */
+  /** Rule violations so far. */
   get violations(): readonly Violation[] {
     return this.rules.violations;
   }
 
-  /** Plays on up to this time. */
+  /** Runs the simulation up to `untilMs`. */
   run(untilMs: number): void {
     this.simulation.run(untilMs);
   }
 
-  /** Begins the day. The order matters: it is that of the draws and of events at the same moment. */
+  /** Starts the simulation. The order matters: it determines random draws and the order of simultaneous events. */
   #start({ upgrade }: FaultRates): void {
     this.controllers.startAll();
     this.cloud.createInitialMachines();
--- a/test/model/peer-network.ts
+++ b/test/model/peer-network.ts
@@ -5,7 +5,7 @@
 import { SentHeartbeat } from "./sent-heartbeat.js";
 import type { Simulation } from "./simulation.js";
 
-/** What passes between controllers: messages of their own, and heartbeats of agents that a follower forwards. */
+/** The network between controllers: peer messages, and agent heartbeats forwarded by followers. */
 export class PeerNetwork {
   readonly #simulation: Simulation;
   readonly #controllers: Controllers;
@@ -17,7 +17,7 @@
     this.#agents = agents;
   }
 
-  /** Sends a message; nodes of the old version neither say nor hear what came with the new one. */
+  /** Sends a peer message, without the new fields if either node runs the previous version. */
   send(sender: ControllerNode, { to, message }: Extract<Effect, { kind: "sendToPeer" }>): void {
     const receiver = this.#reachable(sender, to);
     if (!receiver) return;
@@ -32,12 +32,11 @@
     }));
   }
 
-  /** Forwards an agent's heartbeat to another node. */
   forwardHeartbeat(
     sender: ControllerNode,
     { to, requestId, body }: Extract<Effect, { kind: "forwardHeartbeat" }>,
   ): void {
-    if (!(body instanceof SentHeartbeat)) throw new Error("the body is not the one that was delivered");
+    if (!(body instanceof SentHeartbeat)) throw new Error("forwarded heartbeat body is not a SentHeartbeat");
     const receiver = this.#reachable(sender, to);
     if (!receiver) return;
     this.#simulation.after(this.#latencyMs(), () => {
@@ -52,7 +51,7 @@
     });
   }
 
-  /** Carries the reply to a forwarded heartbeat back; now and then it is late. */
+  /** Returns the reply to a forwarded heartbeat, occasionally with a long delay. */
   replyToForwarded(
     sender: ControllerNode,
     { to, id, reply }: Extract<Effect, { kind: "replyToForwardedHeartbeat" }>,
--- a/test/model/request-meter.ts
+++ b/test/model/request-meter.ts
@@ -1,12 +1,11 @@
-/** Counts requests in each second of virtual time. */
+/** Counts requests, in total and per second of virtual time. */
 export class RequestMeter {
   #second = -1;
   #inSecond = 0;
-  /** The most in any second. */
+  /** Maximum number of requests in any second. */
   peakPerSecond = 0;
   total = 0;
 
-  /** Counts one request at this time. */
   count(now: number): void {
     const second = Math.floor(now / 1000);
     if (second !== this.#second) {
--- a/test/model/rule-checks.ts
+++ b/test/model/rule-checks.ts
@@ -6,16 +6,16 @@
 import type { Simulation } from "./simulation.js";
 import { StarvationCheck } from "./starvation-check.js";
 
-/** How long after a confirmed cancellation the last task of a job may still run: `cancel_s` of the deployment. */
+/** How long the tasks of a job may keep running after a confirmed cancellation: `cancel_s` of the deployment. */
 const CANCEL_MS = 40_000;
 
-/** A rule that was broken, and how. */
+/** A rule violation with its details. */
 export interface Violation {
   readonly rule: string;
   readonly text: string;
 }
 
-/** What the rules are checked against. */
+/** The actual state that the rules are checked against. */
 export interface RuleCheckOptions {
   readonly simulation: Simulation;
   readonly jobs: SubmittedJobs;
@@ -24,10 +24,10 @@
   readonly teams: Deployment["teams"];
 }
 
-/** The rules that hold whatever fails. Violations are gathered, so that one run shows all of them. */
+/** Checks the invariants that must hold under all faults. Violations are collected, so that one run shows them all. */
 export class RuleChecks {
   readonly violations: Violation[] = [];
-  /** How long after the confirmed cancellation of its job a task began, for each that did. */
+  /** Delay between the confirmed cancellation of a job and the start of a task, for each such start. */
   readonly lateStartsMs: number[] = [];
   readonly #simulation: Simulation;
   readonly #jobs: SubmittedJobs;
@@ -48,12 +48,12 @@
     });
   }
 
-  /** Notes a violation. */
+  /** Records a violation. */
   report(rule: string, text: string): void {
     this.violations.push({ rule, text: `${this.#simulation.now} ms: ${text}` });
   }
 
-  /** A task is about to begin on a machine: it runs nowhere else, is not cancelled, and may run here and now. */
+  /** Checks a task about to start: not running elsewhere or cancelled, dependencies done, and the machine eligible. */
   checkBeforeStart(machine: SimulatedMachine, task: AgentTask, job: SubmittedJob): void {
     const [other] = this.#runningTasks.otherMachines(task.uid, task.task, machine);
     if (other) this.report("ran_twice", `${task.uid}/${task.task} on ${machine.name} and ${other.name}`);
@@ -62,7 +62,7 @@
     this.#checkMachine(machine, job);
   }
 
-  /** A task has begun on a machine: its team stays within its limit, and the job's zones are as asked. */
+  /** Checks a started task: its team is within its limit, and the zone requirements of the job are met. */
   checkAfterStart(machine: SimulatedMachine, { spec }: SubmittedJob): void {
     const use = this.#runningTasks.teamUse(spec.team);
     const team = this.#teams.find(({ name }) => name === spec.team);
@@ -75,33 +75,33 @@
       this.report("wrong_place", `${spec.uid} not spread`);
   }
 
-  /** A task that an agent has: it is stopped in time after the cancellation of its job. */
+  /** Checks that a task on an agent is stopped in time after the cancellation of its job. */
   checkStoppedInTime(machine: SimulatedMachine, task: AgentTask, { cancelledAt }: SubmittedJob): void {
     if (cancelledAt !== null && isActive(task) && this.#simulation.now - cancelledAt > CANCEL_MS)
       this.report("ran_cancelled", `${task.uid}/${task.task} still on ${machine.name}`);
   }
 
-  /** What a user is answered about a job agrees with what has happened, and takes nothing back that was confirmed. */
+  /** Checks that the phase returned to a user matches the actual state and does not contradict confirmed outcomes. */
   checkAnsweredPhase(job: SubmittedJob, phase: string, confirmedBefore: ConfirmedOutcome): void {
     const { uid, tasks } = job.spec;
     if (phase === "done") {
       if (job.done.size < tasks) this.report("not_done", uid);
       if (confirmedBefore.cancelled) this.report("went_back", `${uid}: cancelled, then done`);
     } else if (phase === "cancelled") {
-      if (!this.#jobs.isCancelRequested(job)) this.report("went_back", `${uid}: cancelled by nobody`);
+      if (!this.#jobs.isCancelRequested(job)) this.report("went_back", `${uid}: cancelled without a request`);
       if (confirmedBefore.done) this.report("went_back", `${uid}: done, then cancelled`);
     } else if (confirmedBefore.done || confirmedBefore.cancelled) {
-      this.report("went_back", `${uid}: over, then ${phase}`);
+      this.report("went_back", `${uid}: ended, then ${phase}`);
     }
   }
 
-  /** Until every controller is upgraded the version in production has to be able to read each record. */
+  /** Checks that the production version can read a record, as required until every controller is upgraded. */
   checkReadableByProduction(key: string, value: unknown): void {
     if (parseRecordAsProduction(key, value) === null)
       this.report("unreadable", `production can't read ${key}: ${JSON.stringify(value)}`);
   }
 
-  /** With all faults over: no job waits beside free capacity for it. */
+  /** Checks, once all faults are over, that no job is starving despite free capacity for it. */
   checkStarvation(): void {
     this.#starvation.run(this.#simulation.now);
   }
@@ -120,15 +120,15 @@
       if (dependency.finishedAt === null)
         this.report("too_early", `${spec.uid} starts before ${uid} is done`);
       if (dependency.cancelledAt !== null)
-        this.report("too_early", `${spec.uid} starts though ${uid} is cancelled`);
+        this.report("too_early", `${spec.uid} starts although ${uid} is cancelled`);
     }
   }
 
   #checkMachine(machine: SimulatedMachine, { spec }: SubmittedJob): void {
     if (spec.types && !spec.types.includes(machine.type.name))
-      this.report("wrong_place", `${spec.uid} on a wrong type`);
+      this.report("wrong_place", `${spec.uid} on an ineligible machine type`);
     if (spec.zone !== null && spec.zone !== machine.zone)
-      this.report("wrong_place", `${spec.uid} in a wrong zone`);
+      this.report("wrong_place", `${spec.uid} in the wrong zone`);
     if (machine.spot && !spec.spot) this.report("wrong_place", `${spec.uid} on a spot machine`);
   }
 }
--- a/test/model/running-tasks.ts
+++ b/test/model/running-tasks.ts
@@ -1,18 +1,18 @@
 import type { JobSpec } from "../../src/core/model/job-spec.js";
 import type { AgentTask, SimulatedMachine } from "./machines.js";
 
-/** The tasks that are on machines at this moment, by job and team: the truth that every start is checked against. */
+/** The tasks actually running on machines, by job and team, against which every start is checked. */
 export class RunningTasks {
   readonly #machinesByJob = new Map<string, Map<number, Set<SimulatedMachine>>>();
   readonly #teamUse = new Map<string, { cpu: number; gpu: number }>();
   readonly #placements = new Map<AgentTask, { machine: SimulatedMachine; spec: JobSpec }>();
 
-  /** How many there are. */
+  /** Number of running tasks. */
   get size(): number {
     return this.#placements.size;
   }
 
-  /** A task begins on a machine. */
+  /** Adds a task that starts on a machine. */
   add(machine: SimulatedMachine, task: AgentTask, spec: JobSpec): void {
     if (this.#placements.has(task)) return;
     this.#placements.set(task, { machine, spec });
@@ -27,7 +27,7 @@
     this.#countUse(spec, 1);
   }
 
-  /** A task ends; one that never began counts for nothing. */
+  /** Removes a task that ends; no effect if it never started. */
   remove(task: AgentTask): void {
     const placement = this.#placements.get(task);
     if (!placement) return;
@@ -39,17 +39,16 @@
     this.#countUse(placement.spec, -1);
   }
 
-  /** Every task on this machine ends. */
   removeAll(machine: SimulatedMachine): void {
     for (const task of machine.tasks) this.remove(task);
   }
 
-  /** The other machines that a task is on. */
+  /** Returns the machines that run a task, except the given one. */
   otherMachines(uid: string, task: number, machine: SimulatedMachine): SimulatedMachine[] {
     return [...(this.#machinesByJob.get(uid)?.get(task) ?? [])].filter((other) => other !== machine);
   }
 
-  /** The tasks of a job that are in each zone. */
+  /** Returns the running tasks of a job by zone. */
   tasksByZone(uid: string): Map<string, Set<number>> {
     const tasksByZone = new Map<string, Set<number>>();
     for (const [task, machines] of this.#machinesByJob.get(uid) ?? [])
@@ -58,7 +57,7 @@
     return tasksByZone;
   }
 
-  /** The processors and accelerators that a team's tasks use. */
+  /** Returns the CPU and GPU usage of a team. */
   teamUse(team: string): { readonly cpu: number; readonly gpu: number } {
     return this.#teamUse.get(team) ?? { cpu: 0, gpu: 0 };
   }
--- a/test/model/scenarios.ts
+++ b/test/model/scenarios.ts
@@ -5,10 +5,10 @@
 import { ModelCluster, type ModelClusterOptions } from "./model-cluster.js";
 import type { Simulation } from "./simulation.js";
 
-/** Faults are injected, and most jobs submitted, in the first part of the day; then work can finish. */
+/** Faults are injected and most jobs are submitted before this second, so that work can finish afterwards. */
 const FAULTS_END_S = 150;
 const SCENARIO_S = 300;
-/** The last fault may begin with the last troubled second, and last for a minute. */
+/** The last fault may begin just before `FAULTS_END_S` and last for a minute. */
 const STARVATION_CHECKS_START_S = FAULTS_END_S + 65;
 const SERVICES_CANCELLED_S = FAULTS_END_S + 10;
 
@@ -16,7 +16,7 @@
 const GANG_NEED: Resources = { cpu: 4000, gpu: 1000, ram: 8000 };
 const TASK_NEED: Resources = { cpu: 1000, gpu: 0, ram: 2000 };
 
-/** A random job; `scale` makes it larger. The order of the draws is part of the recorded traces. */
+/** Generates a random job; `scale` makes it larger. The recorded trace digests depend on the order of random draws. */
 function randomJob(simulation: Simulation, jobNumber: number, scale: number): JobSpec {
   const shape = SHAPES[simulation.between(0, 3)] ?? "array";
   const isGang = shape === "gang";
@@ -72,7 +72,7 @@
   return simulation.chance(0.2) ? ["small"] : null;
 }
 
-/** What a day's random work is drawn from, and the jobs submitted so far. */
+/** Generates the random user requests of a scenario. */
 class RandomUsers {
   readonly #cluster: ModelCluster;
   readonly #simulation: Simulation;
@@ -86,7 +86,7 @@
     this.#scale = scale;
   }
 
-  /** What users do in one second of the day. */
+  /** Issues the user requests of one second. */
   act(second: number): void {
     const simulation = this.#simulation;
     const { users, controllers } = this.#cluster;
@@ -120,14 +120,14 @@
     this.#cluster.users.submitPipeline(stages, this.#simulation.chance(0.2));
   }
 
-  /** A job that fits no machine, and may name no team. */
+  /** Submits a job that fits no machine; its team may not exist. */
   #submitInvalid(): void {
     const team = this.#simulation.chance(0.3) ? "nobody" : "red";
     const need = { cpu: 1_000_000, gpu: 0, ram: 0 };
     this.#cluster.users.submitInvalid(jobSpec(`j-8${this.#simulation.between(0, 99_999)}`, { need, team }));
   }
 
-  /** Three or four stages; the first may depend on a job of any team that was accepted before. */
+  /** Generates three or four stages; the first may depend on a previously accepted job of any team. */
   #randomPipeline(): JobSpec[] {
     const simulation = this.#simulation;
     const stages: JobSpec[] = [];
@@ -150,7 +150,7 @@
   }
 }
 
-/** Plays a day of random jobs, cancellations and faults; the last part has none, so that work can finish. */
+/** Runs a scenario of random jobs, cancellations and faults, which stop early enough for work to finish. */
 export function runScenario(options: ModelClusterOptions): ModelCluster {
   const cluster = new ModelCluster(options);
   const randomUsers = new RandomUsers(cluster, options.scale ?? 1);
@@ -164,12 +164,12 @@
   return cluster;
 }
 
-/** Services use their team's quota for good: they go, so that the rest can be seen to finish. */
+/** Cancels all services: they hold their team's quota indefinitely and could keep other jobs from finishing. */
 function cancelServices({ jobs, users }: ModelCluster): void {
   for (const { spec } of jobs.values()) if (spec.shape === "service") users.cancel(spec.uid);
 }
 
-/** The days that the tests play, by what goes wrong on them. */
+/** Fault rates of each scenario, by scenario name. */
 export const SCENARIOS: Record<string, FaultRates> = {
   "no faults": NO_FAULTS,
   "crashing controllers": { ...NO_FAULTS, crash: 0.08 },
@@ -228,9 +228,12 @@
   },
 };
 
-/** The faults of the day with this name; a name that no day has is a mistake of the test. */
+/**
+ * Returns the fault rates of a scenario.
+ * @throws {RangeError} If no scenario has this name.
+ */
 export function scenarioNamed(name: string): FaultRates {
   const faultRates = SCENARIOS[name];
-  if (!faultRates) throw new RangeError(`there is no day named ${name}`);
+  if (!faultRates) throw new RangeError(`unknown scenario: ${name}`);
   return faultRates;
 }
--- a/test/model/sent-heartbeat.ts
+++ b/test/model/sent-heartbeat.ts
@@ -3,8 +3,8 @@
 import type { AgentTask, SimulatedMachine } from "./machines.js";
 
 /**
- * A heartbeat as it left the agent. Controllers pass it on as an opaque body; a copy may be read by any of them, later,
- * in the indices of its own.
+ * A heartbeat as sent by an agent. Controllers forward it as an opaque body; any controller may decode it later, using
+ * its own job and machine indices.
  */
 export class SentHeartbeat {
   readonly #fields: Omit<Heartbeat, "machine" | "tasks">;
@@ -27,9 +27,9 @@
     };
   }
 
-  /** The heartbeat in the indices of a node whose process is up. */
+  /** Decodes the heartbeat with the indices of a node whose process is running. */
   decodeFor({ core }: ControllerNode): Heartbeat {
-    if (!core) throw new Error("no controller to read the heartbeat");
+    if (!core) throw new Error("cannot decode a heartbeat for a node without a running controller");
     const tasks = this.#tasks.map(({ uid, task, attempt, state, exitReason, saved }) => ({
       job: core.names.jobs.intern(uid),
       task,
--- a/test/model/simulation.ts
+++ b/test/model/simulation.ts
@@ -2,8 +2,8 @@
 import { EventQueue } from "./event-queue.js";
 
 /**
- * Virtual time, in milliseconds, and the one random generator of a run. Every draw is part of the run: the same seed with
- * the same draws in the same order plays the same day, which the recorded trace digests rely on.
+ * Discrete-event simulation with virtual time in milliseconds and a single random number generator. Runs are identical
+ * if the seed, the draws and their order are the same; the recorded trace digests depend on this.
  */
 export class Simulation {
   now = 0;
@@ -15,22 +15,22 @@
     this.#random = seededRandom(seed);
   }
 
-  /** True with this probability; always one draw. */
+  /** Returns true with the given probability. Always consumes one draw. */
   chance(probability: number): boolean {
     return randomInt(this.#random, 0, 999_999) < probability * 1_000_000;
   }
 
-  /** An integer from `least` to `most`, both included; always one draw. */
+  /** Returns a random integer from `least` to `most`, both inclusive. Always consumes one draw. */
   between(least: number, most: number): number {
     return randomInt(this.#random, least, most);
   }
 
-  /** Runs something after so many milliseconds. */
+  /** Schedules a callback `delayMs` from now. */
   after(delayMs: number, run: () => void): void {
     this.#events.add(this.now + delayMs, run);
   }
 
-  /** Runs something again and again, first after one period. */
+  /** Schedules a callback once per period, first after one period. */
   every(periodMs: number, run: () => void): void {
     const runAndReschedule = () => {
       run();
@@ -39,7 +39,7 @@
     this.after(periodMs, runAndReschedule);
   }
 
-  /** Plays all events up to this time; `now` is then the time of the last of them. */
+  /** Runs all events up to and including `untilMs`; `now` is then the time of the last event run. */
   run(untilMs: number): void {
     while (this.#events.nextAt <= untilMs) {
       const event = this.#events.next();
@@ -49,7 +49,7 @@
     }
   }
 
-  /** An id that no other request of this run has, whoever makes it. */
+  /** Returns a request id that is unique within the run, across all senders. */
   nextRequestId(): number {
     return this.#nextRequestId++;
   }
--- a/test/model/starvation-check.ts
+++ b/test/model/starvation-check.ts
@@ -4,8 +4,8 @@
 import { type FreeCapacity, type SimulatedMachine, subtractTask } from "./machines.js";
 
 /**
- * For how long a task may wait beside free capacity once all faults are over: less than the 90 s of the users' check, since a
- * day of the model cluster ends 84 s after its last fault.
+ * How long a task may wait despite free capacity once all faults are over. Less than the 90 s allowed in the users' own
+ * check, because a scenario ends 84 s after its last fault.
  */
 export const MAX_STARVATION_MS = 60_000;
 
@@ -16,7 +16,6 @@
 
 const NO_USE: TeamUse = { cpu: 0, gpu: 0 };
 
-/** What the check looks at, and whom it reports to. */
 export interface StarvationCheckOptions {
   readonly machines: ReadonlyMap<string, SimulatedMachine>;
   readonly jobs: SubmittedJobs;
@@ -24,7 +23,7 @@
   readonly onViolation: (uid: string) => void;
 }
 
-/** Checks, with all faults over, that no job waits beside free capacity for it. */
+/** Checks, once all faults are over, that no job is starving despite free capacity for it. */
 export class StarvationCheck {
   readonly #machines: ReadonlyMap<string, SimulatedMachine>;
   readonly #jobs: SubmittedJobs;
@@ -39,8 +38,8 @@
   }
 
   /**
-   * Is there a job some of whose tasks wait although a machine that may take one has room, and its team is under its
-   * limit? That may not last. To be called every second.
+   * Reports jobs with tasks that have been waiting too long although eligible machines have free capacity and the team
+   * is within its limit. Must be called every second.
    */
   run(now: number): void {
     const { freeByMachine, useByTeam } = this.#capacity(now);
@@ -56,7 +55,7 @@
     }
   }
 
-  /** True for a job that is neither over nor called off, and whose dependencies are satisfied. */
+  /** Returns whether a job is accepted, unfinished and not cancelled, and all its dependencies are done. */
   #mayRun(job: SubmittedJob): boolean {
     return (
       job.acceptedAt !== null &&
@@ -93,7 +92,7 @@
     use: TeamUse,
   ): boolean {
     const { spec } = job;
-    // Where the tasks must be spread, the zone with free capacity may be the one that has its half.
+    // With spreading, the zone with free capacity may already run its half of the tasks.
     if (spec.spread) return false;
     const running = this.#runningTasks(spec.uid);
     let waiting = 0;
@@ -131,7 +130,7 @@
   return (zone === null || zone === machine.zone) && (spot || !machine.spot);
 }
 
-/** Do so many tasks of this job fit on the machines, in one zone where they have to be in one? */
+/** Returns whether the given number of tasks fit on eligible machines, within a single zone if the job requires it. */
 function hasFreeCapacity(
   spec: JobSpec,
   freeByMachine: ReadonlyMap<SimulatedMachine, FreeCapacity>,
--- a/test/model/store-network.ts
+++ b/test/model/store-network.ts
@@ -5,23 +5,23 @@
 import { RequestMeter } from "./request-meter.js";
 import type { Simulation } from "./simulation.js";
 
-/** How often an open watch looks for changes. */
+/** How often an open watch checks for changes. */
 const WATCH_STEP_MS = 20;
 
 type StoreCall = Extract<Effect, { kind: "callStore" }>;
 type CallRequest = Exclude<StoreRequest, WatchRequest>;
-/** Answers a call after a while. */
+/** Responds to a call after a delay. */
 type Respond = (delayMs: number, response: StoreResponse) => void;
 
-/** The key-value store's side of the model: calls that are delayed, lost, refused, or carried out unknown to the caller. */
+/** The network to the key-value store: calls may be delayed, lost, refused, or executed without a response. */
 export class StoreNetwork {
-  /** Requests that reached the store. */
+  /** Requests received by the store. */
   readonly requests = new RequestMeter();
-  /** The longest that a leader went without asking for the renewal of its lease. */
+  /** Longest interval between two lease renewal requests of a leader. */
   longestRenewalGapMs = 0;
-  /** Until then some transactions get no answer, and are carried out seconds later. */
+  /** Until this time some transactions get no response and are executed seconds later. */
   lateTransactionsUntil = 0;
-  /** Until then calls take up to a second. */
+  /** Until this time calls take up to a second. */
   slowUntil = 0;
   readonly #simulation: Simulation;
   readonly #controllers: Controllers;
@@ -34,13 +34,13 @@
     this.#store = store;
   }
 
-  /** The store is unavailable for a while; then all leases begin anew. */
+  /** Makes the store unavailable for a while; afterwards the time to live of all leases restarts. */
   startOutage(forMs: number): void {
     this.#store.outageUntil = this.#simulation.now + forMs;
     this.#simulation.after(forMs, () => this.#store.endOutage(this.#simulation.now));
   }
 
-  /** Carries out a node's call. */
+  /** Executes a store call of a node, subject to the node's partitions and store faults. */
   call(node: ControllerNode, epoch: number, { id, request, timeoutMs }: StoreCall): void {
     const respond: Respond = (delayMs, response) => {
       this.#controllers.deliverAfter(node, epoch, delayMs, () => ({ kind: "storeResponded", id, response }));
@@ -92,7 +92,7 @@
     this.#simulation.after(3, checkForChanges);
   }
 
-  /** The packets come through when the partition is over, long after the caller has given up. */
+  /** Executes a delayed request after the partition, long after the caller has timed out. */
   #runWhenPartitionEnds(node: ControllerNode, request: CallRequest): void {
     const endsAt = Math.max(node.partitionedUntil, node.storePartitionedUntil);
     this.#runUnanswered(endsAt - this.#simulation.now + this.#simulation.between(1, 50), request);
--- a/test/model/users.ts
+++ b/test/model/users.ts
@@ -12,27 +12,26 @@
 import type { RuleChecks } from "./rule-checks.js";
 import type { Simulation } from "./simulation.js";
 
-/** The part of all ends and cancellations that users look at closely. */
+/** Fraction of job completions and cancellations that are followed by a burst of polls. */
 const POLL_BURST_RATE = 0.3;
 const POLL_BURST_MS = 250;
 const REQUEST_TIMEOUT_MS = 5000;
 const RETRY_MS = 1500;
 const MAX_RETRIES = 40;
-/** A user who is asked to come back later than this does so earlier. */
+/** Users ignore a longer `Retry-After` and retry sooner. */
 const MAX_RETRY_AFTER_S = 30;
 const UNKNOWN_JOB = "j-999999999";
 
-/** Handles the response to a request; null if there was none in time. */
+/** Handles the response to a request; null if the request failed or timed out. */
 type OnResponse = (response: UserResponse | null) => void;
 
-/** A submission that was not accepted, and the delay that its user was asked to keep, if any. */
+/** A rejected submission, with the requested retry delay, if any. */
 export interface RejectedSubmission {
   readonly team: string;
   readonly at: number;
   readonly retryAfterS: number | null;
 }
 
-/** What the users are built from. */
 export interface UsersOptions {
   readonly simulation: Simulation;
   readonly controllers: Controllers;
@@ -40,10 +39,10 @@
   readonly rules: RuleChecks;
 }
 
-/** The users: they submit, poll and cancel at any controller, repeat themselves, and check what they are answered. */
+/** Simulated users: submit, poll, cancel and resubmit jobs at any controller, and check the responses. */
 export class Users {
   readonly rejected: RejectedSubmission[] = [];
-  /** Jobs that their users know to be done. */
+  /** Number of jobs confirmed as done to their users. */
   finished = 0;
   readonly #simulation: Simulation;
   readonly #controllers: Controllers;
@@ -58,13 +57,13 @@
     this.#rules = rules;
   }
 
-  /** Hands a controller's response to the user who waits for it. */
+  /** Delivers a controller's response to the waiting user. */
   respond(requestId: number, response: UserResponse): void {
     this.#onResponse.get(requestId)?.(response);
     this.#onResponse.delete(requestId);
   }
 
-  /** Submits a job, again and again until it is accepted, and polls it from then on. */
+  /** Submits a job with retries until it is accepted, and polls it from then on. */
   submit(spec: JobSpec): void {
     const job = newJob(spec, this.#simulation.now);
     this.#jobs.set(spec.uid, job);
@@ -72,8 +71,8 @@
   }
 
   /**
-   * Submits the stages of a pipeline, each as soon as its dependencies are accepted; a late one comes only when they are
-   * over.
+   * Submits the stages of a pipeline, each as soon as its dependencies are accepted. If `afterDependenciesEnd` is set,
+   * the first stage waits until its dependencies are confirmed done or their cancellation is requested.
    */
   submitPipeline(stages: readonly JobSpec[], afterDependenciesEnd: boolean): void {
     const [spec, ...rest] = stages;
@@ -86,7 +85,7 @@
     this.submitPipeline(rest, afterDependenciesEnd && rest.length === 1);
   }
 
-  /** Cancels a job that was accepted, again and again until that is answered. */
+  /** Cancels an accepted job, with retries until the cancellation is answered. */
   cancel(uid: string): void {
     const job = this.#jobs.get(uid);
     if (!job || job.acceptedAt === null) return;
@@ -94,7 +93,7 @@
     this.#tryCancel(job, MAX_RETRIES);
   }
 
-  /** Submits a job once more, as it was or with something missing: as it is known, it is never rejected. */
+  /** Resubmits an accepted job, unchanged or invalid; a known job must never be rejected. */
   resubmit(uid: string): void {
     const job = this.#jobs.get(uid);
     if (!job || job.acceptedAt === null) return;
@@ -108,12 +107,12 @@
         if (response?.kind === "accepted" && response.known)
           this.#recordStatus(job, response.status.phase, confirmedBefore);
         else if (response !== null && response.kind !== "unavailable")
-          this.#rules.report("forgotten", `${uid}: ${response.kind} to a repeat`);
+          this.#rules.report("forgotten", `${uid}: resubmission got ${response.kind}`);
       },
     );
   }
 
-  /** Submits a job that fits no machine, or one that lacks a field: neither is ever accepted. */
+  /** Submits a job that fits no machine or lacks a field; neither may be accepted. */
   submitInvalid(invalid: JobSpec): void {
     const { uid } = invalid;
     const submitted: SubmittedSpec = this.#simulation.chance(0.5)
@@ -127,7 +126,7 @@
     );
   }
 
-  /** Asks about a job that nobody has submitted. */
+  /** Polls a job that was never submitted. */
   pollUnknown(): void {
     this.#request(
       (requestId) => ({ kind: "poll", requestId, uid: UNKNOWN_JOB }),
@@ -137,7 +136,7 @@
     );
   }
 
-  /** Sends a request to a node, any one unless it is named. */
+  /** Sends a request to the given node, by default a random one. */
   #request(
     makeCommand: (requestId: number) => Command,
     onResponse: OnResponse,
@@ -172,13 +171,13 @@
           job.acceptedAt ??= this.#simulation.now;
           this.#keepPolling(job);
         } else if (response?.kind === "unsatisfiable" || response?.kind === "invalid") {
-          this.#rules.report("forgotten", `${spec.uid} was turned away: ${response.error}`);
+          this.#rules.report("forgotten", `${spec.uid} was rejected: ${response.error}`);
         } else if (retries > 0) this.#retrySubmit(job, retries - 1, response);
       },
     );
   }
 
-  /** A user who is asked to come back after a while does so then. */
+  /** Retries a rejected submission, after the requested delay if there is one. */
   #retrySubmit(job: SubmittedJob, retries: number, response: UserResponse | null): void {
     const isRetryAfterFollowed = response?.kind === "throttled" && response.retryAfterS < MAX_RETRY_AFTER_S;
     const retryAfterS = isRetryAfterFollowed ? response.retryAfterS : null;
@@ -218,7 +217,7 @@
         if (response?.kind === "notFound") this.#rules.report("forgotten", `${uid} got 404`);
         if (response?.kind !== "status") return;
         const { phase } = response.status;
-        // The rule leaves `cancel_s` for this; what is derived from the records needs none of it.
+        // The rule allows `cancel_s` for dependents to be cancelled; their status follows from the records at once.
         if (isOrphaned && phase !== "cancelled") this.#rules.report("orphaned", `${uid} is ${phase}`);
         job.answeredAt = this.#simulation.now;
         this.#recordStatus(job, phase, confirmedBefore);
@@ -227,7 +226,7 @@
     );
   }
 
-  /** A user was answered with a phase, having known `before` when asking. */
+  /** Checks and records the phase in a response; `confirmedBefore` is the outcome confirmed before the request. */
   #recordStatus(job: SubmittedJob, phase: string, confirmedBefore: ConfirmedOutcome): void {
     this.#rules.checkAnsweredPhase(job, phase, confirmedBefore);
     if (phase === "done" && !job.confirmedDone) {
@@ -240,7 +239,7 @@
     }
   }
 
-  /** Its user polls it and its dependents at every node, several times within milliseconds, and submits it once more. */
+  /** Polls a job and its dependents at every node several times within milliseconds, and resubmits the job. */
   #pollInBurst(job: SubmittedJob): void {
     const simulation = this.#simulation;
     if (!simulation.chance(POLL_BURST_RATE)) return;
@@ -256,7 +255,7 @@
     }
   }
 
-  /** May a submission name this job as a dependency? A late one waits until it is over. */
+  /** Returns whether a job is accepted or, if `afterDependenciesEnd` is set, confirmed done or to be cancelled. */
   #isUsableAsDependency(uid: string, afterDependenciesEnd: boolean): boolean {
     const job = this.#jobs.get(uid);
     if (!job) return false;
