--- a/test/support/admission-cluster.ts
+++ b/test/support/admission-cluster.ts
@@ -1,4 +1,4 @@
-/** Fair admission on three nodes, without the rest of the controller. */
+/** Simulates fair admission on three nodes, without the rest of the controller. */
 
 import assert from "node:assert/strict";
 import { Admission } from "../../src/admission/admission.js";
@@ -9,15 +9,15 @@
 import { seededRandom } from "../../src/core/random.js";
 import { deployment, NODES } from "./deployment.js";
 
-/** Between two heartbeats of a node. */
+/** Interval between two heartbeats of a node. */
 export const HEARTBEAT_MS = 1000;
 
-/** One node with its clock and the heartbeats on their way to it. */
+/** A node with its clock and the heartbeats in transit to it. */
 export interface AdmissionNode {
   readonly name: string;
   readonly ctx: Context;
   admission: Admission;
-  /** The rate of its monotonic clock: above 1 it runs fast. */
+  /** Rate of its monotonic clock; above 1 it runs fast. */
   readonly drift: number;
   readonly inbox: {
     readonly from: string;
@@ -28,7 +28,7 @@
 
 export type NodeName = (typeof NODES)[number];
 
-/** Three nodes with clocks of their own, one of which issues permit leases. Heartbeats can be lost or delayed. */
+/** Three nodes with separate clocks; the leader issues permit leases. Heartbeats can be lost or delayed. */
 export class AdmissionCluster {
   now = 0;
   leader: NodeName | null = "n0";
@@ -37,7 +37,7 @@
   readonly nodes: AdmissionNode[];
   /** Nodes that are partitioned from all others. */
   readonly partitioned = new Set<string>();
-  /** Nodes of a version without fair admission. */
+  /** Nodes that run the previous version, which lacks fair admission. */
   readonly previousVersion = new Set<string>();
   readonly #settings: OperatorSettings;
   #processes = 0;
@@ -60,14 +60,14 @@
     return node;
   }
 
-  /** A new process of this node: it knows nothing, and its queue of heartbeats is empty. */
+  /** Restarts a node: its state and the heartbeats in transit to it are lost. */
   restart(name: string): void {
     const node = this.node(name);
     node.admission = new Admission(node.ctx, `p${this.#processes++}`);
     node.inbox.length = 0;
   }
 
-  /** Each node sends one heartbeat, 100 ms apart; they arrive after `delayMs`, or never where it is null. */
+  /** Sends one heartbeat from each node, 100 ms apart. They arrive after `delayMs`, or are lost if it is null. */
   heartbeatRound(delayMs: (from: string, to: string) => number | null = () => 5): void {
     for (const node of this.nodes) {
       this.advance(HEARTBEAT_MS / 10);
@@ -87,12 +87,12 @@
     this.advance(HEARTBEAT_MS - (HEARTBEAT_MS / 10) * this.nodes.length);
   }
 
-  /** As many rounds of heartbeats, none of them lost. */
+  /** Runs rounds of heartbeats without loss. */
   heartbeatRounds(count: number): void {
     for (let i = 0; i < count; i++) this.heartbeatRound();
   }
 
-  /** Lets time pass on all clocks, and delivers the heartbeats that are due. */
+  /** Advances all clocks and delivers the heartbeats that are due. */
   advance(ms: number): void {
     this.now += ms;
     for (const node of this.nodes) {
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Submits `count` jobs of a team to one node, retries that are due first. Returns how many are accepted. */
+  /** Submits `count` jobs of a team to a node, due retries first, and returns how many are accepted. */
   submit(name: string, team: string, count: number): number {
     let accepted = 0;
     for (let i = 0; i < count; i++) {
@@ -123,10 +123,10 @@
   }
 }
 
-/** A single team, so that no permits are kept for first submissions of others. */
+/** A single team, so that no permits are held back for first submissions of other teams. */
 export const RED_ONLY = deployment("n0").teams.slice(0, 1);
 
-/** How many permits of a team a node may still spend. */
+/** Returns how many permits of a team a node has left. */
 export function availablePermits(node: AdmissionNode, team: string): number {
   return node.admission.report().teams.find(({ name }) => name === team)?.available ?? 0;
 }
--- a/test/support/controller-harness.ts
+++ b/test/support/controller-harness.ts
@@ -17,10 +17,10 @@
 export { jobSpec } from "./job-spec.js";
 
 const TICK_MS = 100;
-/** Long enough for a campaign in a store without a leader. */
+/** Long enough for an election in a store without a leader record. */
 const ELECTION_MS = 1500;
 
-/** A batch of commands that was sent to an agent directly, with its jobs by uid. */
+/** A batch of direct commands to an agent, with jobs identified by uid. */
 export interface SentCommands {
   readonly machine: string;
   readonly fencingToken: number;
@@ -28,32 +28,32 @@
   readonly commands: readonly (AgentCommand & { uid: string })[];
 }
 
-/** A batch of commands that the test has not answered. */
+/** A batch of direct commands that the test has not answered yet. */
 export interface UnansweredCommands {
   readonly id: number;
   readonly machine: string;
 }
 
-/** One controller under a fake clock, with scripted surroundings: agents and peers say nothing unless the test lets them. */
+/** Runs one controller with a fake clock, store and cloud. Agents and peers only send what the test sends for them. */
 export class ControllerHarness {
   now = 1000;
   readonly controller: Controller;
   readonly store: FakeStore;
-  /** All batches sent to agents directly; those not yet answered are in `unansweredCommands`, too. */
+  /** All batches of direct commands; unanswered ones are in `unansweredCommands` as well. */
   readonly sentCommands: SentCommands[] = [];
   readonly unansweredCommands: UnansweredCommands[] = [];
   readonly cloudCalls: CloudRequest[] = [];
   readonly errorLines: string[] = [];
   readonly logLines: string[] = [];
-  /** The last heartbeat that was sent to each peer. */
+  /** The last heartbeat sent to each peer. */
   readonly heartbeats = new Map<string, PeerMessage>();
-  /** The nodes that heartbeats of agents were forwarded to. */
+  /** The nodes that agent heartbeats were forwarded to, in order. */
   readonly forwardedTo: string[] = [];
-  /** Answers each call to the cloud, at once. */
+  /** Responds to each cloud call, immediately. */
   cloudRule: (request: CloudRequest) => CloudResponse = (request) => this.#emptyCloud(request);
-  /** The machine types that the cloud has. */
+  /** The machine types that the cloud offers. */
   types: readonly MachineType[] = TYPES;
-  /** Is the processor budget of the batch spent? */
+  /** Returns whether the CPU time budget of the current batch is spent. */
   isBudgetSpent = () => false;
   #nextRequestId = 1;
   readonly #admission: boolean;
@@ -81,7 +81,7 @@
     );
   }
 
-  /** A leader whose operators have set these service-level objectives. */
+  /** Creates a leader with the given service-level objectives. */
   static withObjectives(
     objectives: Deployment["objectives"],
     settings: Partial<Deployment> = {},
@@ -92,7 +92,7 @@
     }).becomeLeader();
   }
 
-  /** What the store does with each call; null lets it answer for real. */
+  /** Overrides the store's responses; null passes all calls to the fake store. */
   get storeRule(): StoreRule | null {
     return this.#storeCalls.rule;
   }
@@ -101,23 +101,23 @@
     this.#storeCalls.rule = rule;
   }
 
-  /** Calls that the rule of the store lets hang. */
+  /** Calls left without a response by the store rule. */
   get hangingCalls(): HangingCall[] {
     return this.#storeCalls.hangingCalls;
   }
 
-  /** The prefixes of which the store was asked for pages. */
+  /** The prefixes of all list calls to the store, in order. */
   get listedPrefixes(): string[] {
     return this.#storeCalls.listedPrefixes;
   }
 
-  /** Hands the controller a batch of commands and carries out its effects. */
+  /** Lets the controller handle a batch of commands and executes the effects. */
   handle(...commands: Command[]): void {
     const effects = this.controller.handle(commands, this.now, { isSpent: this.isBudgetSpent });
     for (const effect of effects) this.#execute(effect);
   }
 
-  /** Lets time pass, tick by tick. */
+  /** Advances the fake clock tick by tick. */
   advance(forMs: number): void {
     const endsAt = this.now + forMs;
     while (this.now < endsAt) {
@@ -127,55 +127,55 @@
     }
   }
 
-  /** Lets enough time pass for an election that nobody else stands in. */
+  /** Advances the clock long enough to win an election without other candidates. */
   becomeLeader(): this {
     this.advance(ELECTION_MS);
     return this;
   }
 
-  /** Submits a job; undefined while there is no response. */
+  /** Submits a job; returns undefined if there is no response yet. */
   submit(spec: JobSpec): UserResponse | undefined {
     const requestId = this.#nextRequestId++;
     this.handle({ kind: "submit", requestId, uid: spec.uid, submitted: { ok: true, spec } });
-    // Rejections are gathered until the next tick.
+    // Rejections are batched until the next tick.
     if (!this.#userResponses.has(requestId) && this.#admission) this.handle({ kind: "tick" });
     return this.#userResponses.get(requestId);
   }
 
-  /** Asks for the status of a job; undefined while there is no response. */
+  /** Polls the status of a job; returns undefined if there is no response yet. */
   poll(uid: string): UserResponse | undefined {
     const requestId = this.#nextRequestId++;
     this.handle({ kind: "poll", requestId, uid });
-    // Polls of known jobs are gathered until the next tick.
+    // Polls of known jobs are batched until the next tick.
     this.handle({ kind: "tick" });
     return this.#userResponses.get(requestId);
   }
 
-  /** Cancels a job; undefined while there is no response. */
+  /** Cancels a job; returns undefined if there is no response yet. */
   cancel(uid: string): UserResponse | undefined {
     const requestId = this.#nextRequestId++;
     this.handle({ kind: "cancel", requestId, uid });
     return this.#userResponses.get(requestId);
   }
 
-  /** Sends a request of an operator; undefined while there is no response. */
+  /** Sends an operator request; returns undefined if there is no response yet. */
   admin(request: AdminRequest): AdminResponse | undefined {
     const requestId = this.#nextRequestId++;
     this.handle({ kind: "administer", requestId, request });
     return this.#adminResponses.get(requestId);
   }
 
-  /** The response to a user's request that the test has made itself. */
+  /** Returns the response to a user request that the test passed to `handle`. */
   userResponse(requestId: number): UserResponse | undefined {
     return this.#userResponses.get(requestId);
   }
 
-  /** The reply to a heartbeat that the test has sent itself. */
+  /** Returns the reply to a heartbeat that the test passed to `handle`. */
   agentReply(requestId: number): HeartbeatReply | undefined {
     return this.#agentReplies.get(requestId);
   }
 
-  /** The next heartbeat of an agent, which has seen the present leader's fencing token. */
+  /** Creates an agent's next heartbeat, with the current leader's fencing token. */
   makeHeartbeat(
     machine: string,
     tasks: readonly TaskStatus[] = [],
@@ -185,7 +185,7 @@
     return this.#heartbeatFactory.make(machine, fencingToken, tasks, overrides);
   }
 
-  /** Sends an agent's next heartbeat; undefined while there is no reply. */
+  /** Sends an agent's next heartbeat; returns undefined if there is no reply yet. */
   sendHeartbeat(
     machine: string,
     tasks: readonly TaskStatus[] = [],
@@ -197,7 +197,7 @@
     return this.#agentReplies.get(requestId);
   }
 
-  /** The agent answers every batch of commands under way to its machine: it was carried out. */
+  /** Acknowledges all pending command batches for a machine as executed. */
   replyToCommands(
     machine: string,
     tasks: readonly TaskStatus[] = [],
@@ -213,13 +213,13 @@
     }
   }
 
-  /** All batches of commands under way get no answer. */
+  /** Times out all pending command batches. */
   timeOutCommands(): void {
     for (const { id } of this.unansweredCommands.splice(0))
       this.handle({ kind: "agentReplied", id, heartbeat: null, executed: false });
   }
 
-  /** The starts of a job's tasks that were sent, repeats included. */
+  /** Returns all start commands sent for a job, including retries. */
   startCommands(uid: string): { machine: string; task: number; attempt: number }[] {
     return this.sentCommands.flatMap(({ machine, commands }) =>
       commands
@@ -228,7 +228,7 @@
     );
   }
 
-  /** Machine and task of each command of a kind that was sent about a job. */
+  /** Returns machine and task of each command of the given kind sent for a job. */
   commandedTasks(kind: AgentCommand["kind"], uid: string): string[] {
     return this.sentCommands.flatMap(({ machine, commands }) =>
       commands
@@ -284,7 +284,7 @@
     this.unansweredCommands.push({ id, machine });
   }
 
-  /** A cloud that has machine types, but neither machines nor capacity. */
+  /** Responds like a cloud that has machine types, but neither machines nor capacity. */
   #emptyCloud(request: CloudRequest): CloudResponse {
     switch (request.kind) {
       case "listTypes":
--- a/test/support/dependent-jobs.ts
+++ b/test/support/dependent-jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs that depend on each other. */
+/** Helpers for tests of job dependencies. */
 
 import assert from "node:assert/strict";
 import type { StoreRequest } from "../../src/core/messages/store.js";
@@ -6,14 +6,14 @@
 import type { JobSpec } from "../../src/core/model/job-spec.js";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./controller-harness.js";
 
-/** The phase in a response to a user, or the kind of the response if it has none. */
+/** Returns the job phase in a user response, or the response kind if it has no phase. */
 export function phaseOf(response: UserResponse | undefined): string {
   return response?.kind === "status" || response?.kind === "accepted"
     ? response.status.phase
     : (response?.kind ?? "nothing");
 }
 
-/** A leader with machine A, on which j-1 runs; j-2 depends on j-1. */
+/** Creates a leader with machine A, on which j-1 runs; j-2 depends on j-1. */
 export function leaderWithDependentJob(overrides: Partial<JobSpec> = {}): {
   harness: ControllerHarness;
   runningTask: TaskStatus;
@@ -30,14 +30,14 @@
   return { harness, runningTask };
 }
 
-/** Whether a request to the store writes the final record of a job. */
+/** Returns whether a store request writes the final record of a job. */
 export function writesFinalRecord(call: StoreRequest, uid: string): boolean {
   return (
     call.kind === "transaction" && call.changes.some((change) => "put" in change && change.put === `f/${uid}`)
   );
 }
 
-/** Machine A reports that the task is done. */
+/** Sends a heartbeat from machine A that reports the task as done. */
 export function reportDone(harness: ControllerHarness, runningTask: TaskStatus): void {
   harness.sendHeartbeat("A", [{ ...runningTask, state: "ended", exitReason: "done" }]);
 }
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -27,7 +27,7 @@
 /** The nodes of the small deployment. */
 export const NODES = ["n0", "n1", "n2"] as const;
 
-/** The small deployment that most tests play, as a node sees it: two zones, two teams, three nodes. */
+/** Returns a node's configuration of the small deployment used by most tests: two zones, two teams, three nodes. */
 export function deployment(node: string): Deployment {
   return {
     node,
--- a/test/support/fair-admission.ts
+++ b/test/support/fair-admission.ts
@@ -1,9 +1,9 @@
-/** A leader that admits submissions by shares. */
+/** Helpers for tests of fair admission. */
 
 import { ControllerHarness } from "./controller-harness.js";
 import { FakeStore } from "./fake-store.js";
 
-/** A leader with fair admission enabled. */
+/** Creates a leader with fair admission enabled. */
 export function leaderWithFairAdmission(store = new FakeStore()): ControllerHarness {
   return new ControllerHarness("n0", store, "n0-1", {}, 0, true).becomeLeader();
 }
--- a/test/support/fake-store.ts
+++ b/test/support/fake-store.ts
@@ -6,11 +6,11 @@
   WatchRequest,
 } from "../../src/core/messages/store.js";
 
-/** What a store takes: beyond it requests are refused. */
+/** Limits of the store; requests beyond them are refused. */
 export interface FakeStoreLimits {
   readonly valueBytes: number;
   readonly txnOps: number;
-  /** Changes a second; a second's worth may come at once. */
+  /** Changes per second, with a burst of up to one second's worth. */
   readonly writeRps: number;
 }
 
@@ -21,62 +21,61 @@
   readonly ttlMs: number;
 }
 
-/** A change of a key; the entry is null where the key was removed. */
+/** A change of a key; `entry` is null if the key was removed. */
 interface LogEntry {
   readonly key: string;
   readonly entry: StoreEntry | null;
   readonly revision: number;
 }
 
-/** So many conditions may a transaction have for each change that it may have. */
+/** Maximum number of conditions in a transaction, as a multiple of the limit on its changes. */
 const CONDITIONS_PER_CHANGE = 4;
 const MAX_TRANSACTION_BYTES = 64 * 1024;
 const PAGE_SIZE = 20;
 
-/** A stand-in for the key-value store, in memory and in virtual time. */
+/** In-memory fake of the key-value store, on a fake clock. */
 export class FakeStore {
   readonly entries = new Map<string, StoreEntry>();
   /** All changes, in the order of their revisions. */
   readonly log: LogEntry[] = [];
   revision = 0;
-  /** Leases expire only when the outage is over. The caller refuses calls until then. */
+  /** Until this time no lease expires. Callers of the fake have to refuse requests until then. */
   outageUntil = 0;
-  /** The most entries in one page of a list; a test may set another. */
+  /** Maximum number of entries per list page. */
   pageSize = PAGE_SIZE;
-  /** None until a test sets some. */
+  /** No limits are enforced while this is null. */
   limits: FakeStoreLimits | null = null;
-  /** Transactions refused for what was in them, and for the rate of changes. */
+  /** Number of transactions refused as invalid, and for exceeding the write rate. */
   invalidTransactions = 0;
   throttledTransactions = 0;
-  /** Changes up to this revision are no longer kept. */
+  /** Changes up to and including this revision have been compacted. */
   compactedThrough = 0;
-  /** Called with every record that is written. */
+  /** Called for every record written. */
   onWrite: ((key: string, value: unknown) => void) | null = null;
   readonly #leases = new Map<number, Lease>();
-  /** The lease that each key goes with, if any. */
+  /** Lease that each key is attached to, if any. */
   readonly #leaseOfKey = new Map<string, number>();
   #writeTokens = 0;
   #writeTokensAt = 0;
   #nextLease = 1;
 
-  /** Revokes the leases whose time is over. */
+  /** Revokes all expired leases. */
   expire(now: number): void {
     if (now < this.outageUntil) return;
     for (const [leaseId, { expiresAt }] of this.#leases) if (expiresAt <= now) this.revoke(leaseId);
   }
 
-  /** After an outage every lease begins anew. */
+  /** Ends an outage: the time to live of every lease restarts. */
   endOutage(now: number): void {
     for (const lease of this.#leases.values()) lease.expiresAt = now + lease.ttlMs;
   }
 
-  /** Ends a lease; the keys that go with it are removed. */
+  /** Revokes a lease and removes the keys attached to it. */
   revoke(leaseId: number): void {
     this.#leases.delete(leaseId);
     for (const [key, owner] of this.#leaseOfKey) if (owner === leaseId) this.#remove(key, ++this.revision);
   }
 
-  /** Carries out a call. */
   run(request: Exclude<StoreRequest, WatchRequest>, now: number): StoreResponse {
     switch (request.kind) {
       case "get": {
@@ -104,7 +103,7 @@
     }
   }
 
-  /** What has changed under a prefix after a revision; null if nothing has. */
+  /** Returns the changes under a prefix after a revision; null if there are none. */
   changesSince(prefix: string, after: number): StoreResponse | null {
     if (after < this.compactedThrough) return { kind: "compacted" };
     const changes = this.log.slice(this.#firstIndexAfter(after)).filter(({ key }) => key.startsWith(prefix));
@@ -160,7 +159,7 @@
     this.log.push({ key, entry: null, revision });
   }
 
-  /** The refusal of a transaction that is beyond the limits; null if it is within, and its changes are counted. */
+  /** Returns an error if a transaction exceeds the limits; otherwise counts its changes and returns null. */
   #checkLimits(request: TransactionRequest, now: number): StoreResponse | null {
     if (!this.limits) return null;
     const { valueBytes, txnOps, writeRps } = this.limits;
@@ -182,7 +181,7 @@
     return null;
   }
 
-  /** The place in the log of the first change after a revision. */
+  /** Returns the log index of the first change after a revision. */
   #firstIndexAfter(revision: number): number {
     let [low, high] = [0, this.log.length];
     while (low < high) {
--- a/test/support/heartbeat-factory.ts
+++ b/test/support/heartbeat-factory.ts
@@ -1,7 +1,7 @@
 import type { Heartbeat, ReportedTask } from "../../src/core/messages/agents.js";
 import type { NameRegistry } from "../../src/core/model/interner.js";
 
-/** A task as a test has an agent report it. */
+/** A task status for an agent's heartbeat. */
 export interface TaskStatus {
   readonly uid: string;
   readonly task: number;
@@ -10,7 +10,7 @@
   readonly exitReason?: ReportedTask["exitReason"];
 }
 
-/** Makes the heartbeats of agents, each with the next sequence number of its machine. */
+/** Creates agent heartbeats with consecutive sequence numbers per machine. */
 export class HeartbeatFactory {
   readonly #names: NameRegistry;
   readonly #sequenceByMachine = new Map<string, number>();
@@ -19,7 +19,7 @@
     this.#names = names;
   }
 
-  /** A heartbeat of a small on-demand machine in zone a, apart from the fields given. */
+  /** Creates a heartbeat of a small on-demand machine in zone a, with the given overrides. */
   make(
     machine: string,
     fencingToken: number,
--- a/test/support/job-spec.ts
+++ b/test/support/job-spec.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from "../../src/core/model/job-spec.js";
 
-/** A job of one small task that may run anywhere, apart from the fields given. */
+/** Returns the spec of a job with one small task that may run anywhere, with the given overrides. */
 export function jobSpec(uid: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     uid,
--- a/test/support/leaders.ts
+++ b/test/support/leaders.ts
@@ -1,16 +1,16 @@
-/** Leaders in the states that many tests begin with. */
+/** Leaders in the initial states shared by many tests. */
 
 import assert from "node:assert/strict";
 import { ControllerHarness, jobSpec } from "./controller-harness.js";
 import { FakeStore } from "./fake-store.js";
 
-/** The one element of a list that must have no other. */
+/** Asserts that a list has exactly one element and returns it. */
 export function onlyElement<T>(list: readonly T[]): T {
-  assert.equal(list.length, 1, `one expected, not ${JSON.stringify(list)}`);
+  assert.equal(list.length, 1, `expected exactly one element: ${JSON.stringify(list)}`);
   return list[0] as T;
 }
 
-/** A leader with machine A, on which task 0 of j-1 runs; `attempt` is its attempt number. */
+/** Creates a leader with machine A, on which task 0 of j-1 runs; `attempt` is its attempt number. */
 export function leaderWithRunningTask(store = new FakeStore()): {
   harness: ControllerHarness;
   attempt: number;
@@ -24,7 +24,7 @@
   return { harness, attempt };
 }
 
-/** The leader's lease expires without a renewal, and node n1 is elected 60 s later, over the same store. */
+/** Lets the leader's lease expire and elects node n1, on the same store, 60 s later. */
 export function electNextLeader(leader: ControllerHarness): ControllerHarness {
   leader.store.expire(leader.now + 60_000);
   const nextLeader = new ControllerHarness("n1", leader.store);
@@ -32,7 +32,7 @@
   return nextLeader.becomeLeader();
 }
 
-/** A new leader that has restored the records of one that placed task 0 of j-1 on A; A has sent it no heartbeat yet. */
+/** Creates a new leader that restored a placement of task 0 of j-1 on A; A has not sent it a heartbeat yet. */
 export function newLeaderAwaitingAgent(): { harness: ControllerHarness; attempt: number } {
   const { harness: previousLeader, attempt } = leaderWithRunningTask();
   const newLeader = electNextLeader(previousLeader);
--- a/test/support/peer-versions.ts
+++ b/test/support/peer-versions.ts
@@ -1,8 +1,8 @@
-/** Heartbeats of peers of the version before and of this one. */
+/** Heartbeats of peers that run the previous and the current version. */
 
 import type { ControllerHarness } from "./controller-harness.js";
 
-/** A peer heartbeat of the version before: it names no protocol. */
+/** A peer heartbeat of the previous version, which has no protocol version. */
 export const PREVIOUS_VERSION_HEARTBEAT = {
   kind: "heartbeat",
   fencingToken: 0,
@@ -11,10 +11,10 @@
   agentsHeard: 0,
 } as const;
 
-/** A peer heartbeat of this version. */
+/** A peer heartbeat of the current version. */
 export const CURRENT_VERSION_HEARTBEAT = { ...PREVIOUS_VERSION_HEARTBEAT, protocol: 2 } as const;
 
-/** Lets the controller n0 receive a heartbeat from each of its peers. */
+/** Delivers a heartbeat from each peer to the controller on n0. */
 export function receiveFromBothPeers(
   harness: ControllerHarness,
   heartbeat: typeof PREVIOUS_VERSION_HEARTBEAT | typeof CURRENT_VERSION_HEARTBEAT = CURRENT_VERSION_HEARTBEAT,
--- a/test/support/production-readers.ts
+++ b/test/support/production-readers.ts
@@ -1,8 +1,8 @@
 import * as v from "valibot";
 
 /**
- * The rules by which the version in production reads records and peer messages, as they stood at the commit that
- * deploy/service.toml names. What this version writes before the feature gate opens has to pass them.
+ * Schemas with which the production version reads records and peer messages, as of the commit named in
+ * deploy/service.toml. Everything the current version writes before the feature gate opens must match them.
  */
 
 const resources = v.object({ cpu: v.number(), gpu: v.number(), ram: v.number() });
@@ -30,11 +30,11 @@
 const jobRecord = v.object({ state: v.picklist(["active", "cancelled"]), acceptedAt: v.number(), spec });
 const finalRecord = v.object({ state: v.picklist(["done", "cancelled"]), tasks: v.number() });
 const chunkRecord = v.object({
-  /** task, machine, session, attempt */
+  /** Active placements: task, machine, incarnation, attempt. */
   held: v.array(v.tuple([v.number(), v.string(), v.number(), v.number()])),
   done: v.array(v.tuple([v.number(), v.number()])),
 });
-/** name, address, type, zone, spot */
+/** Each machine: name, address, type, zone, spot. */
 const bucketRecord = v.object({
   machines: v.array(v.tuple([v.string(), v.string(), v.string(), v.string(), v.boolean()])),
 });
@@ -83,7 +83,7 @@
 const SCHEMA_BY_KEY: readonly (readonly [RegExp, v.GenericSchema])[] = [
   [/^c\/leader$/, leaderRecord],
   [/^c\/epoch$/, epochRecord],
-  // An empty one is no move.
+  // An empty record means that there is no migration in progress.
   [/^c\/move$/, v.union([moveRecord, v.strictObject({})])],
   [/^c\/types$/, v.array(machineType)],
   [/^c\/modes$/, modesRecord],
@@ -92,10 +92,10 @@
   [/^p\/[^/]+\/\d+$/, chunkRecord],
   [/^m\/\d+$/, bucketRecord],
 ];
-/** Keys that production leaves alone, whatever they hold. */
+/** Keys that the production version does not read. */
 const IGNORED_KEYS = /^c\/(settings|features)$/;
 
-/** What production makes of a record; null if it can't read it. */
+/** Parses a record as the production version does; returns null if it cannot be read. */
 export function parseRecordAsProduction(key: string, value: unknown): unknown {
   if (IGNORED_KEYS.test(key)) return value;
   const schema = SCHEMA_BY_KEY.find(([pattern]) => pattern.test(key))?.[1];
@@ -103,7 +103,7 @@
   return result?.success ? result.output : null;
 }
 
-/** What production makes of a peer's message; null if it drops it. */
+/** Parses a peer message as the production version does; returns null if it would be dropped. */
 export function parseMessageAsProduction(message: unknown): unknown {
   const result = v.safeParse(messageSchema, message);
   return result.success ? result.output : null;
--- a/test/support/production-store.ts
+++ b/test/support/production-store.ts
@@ -1,4 +1,4 @@
-/** Records of the version that is in production. */
+/** Records written by the production version. */
 
 import { readFileSync } from "node:fs";
 import type { StoreEntry } from "../../src/core/messages/store.js";
@@ -6,7 +6,7 @@
 
 export const FIXTURE = new URL("../../../../test/fixtures/production-state.json", import.meta.url);
 
-/** A store with records that production's own code wrote, exported at the commit that deploy/service.toml names. */
+/** Creates a store with records written by the production version, at the commit named in deploy/service.toml. */
 export function productionStore(): FakeStore {
   const { items, revision } = JSON.parse(readFileSync(FIXTURE, "utf8")) as {
     items: StoreEntry[];
--- a/test/support/running-agents.ts
+++ b/test/support/running-agents.ts
@@ -1,9 +1,9 @@
-/** Agents that run whatever they are commanded to start. */
+/** Agents on which every task runs indefinitely once its start is commanded. */
 
 import { fencingTokenOf } from "../../src/core/model/attempt-number.js";
 import type { ControllerHarness } from "./controller-harness.js";
 
-/** Every agent reports as running what this leader or an earlier one has commanded it to start. */
+/** Lets every agent report all tasks that this or an earlier leader commanded it to start as running. */
 export function reportAllRunning(harness: ControllerHarness): void {
   const { leaderTerm } = harness.controller;
   if (!leaderTerm) return;
@@ -19,12 +19,12 @@
   }
 }
 
-/** How many tasks of a job the leader knows to be running. */
+/** Returns how many tasks of a job are running according to the leader. */
 export function countRunning(harness: ControllerHarness, uid: string): number {
   return harness.controller.leaderTerm?.cluster.jobByUid(uid)?.countRunning() ?? 0;
 }
 
-/** Lets seconds pass in which every agent sends heartbeats and answers direct commands. */
+/** Advances the clock second by second; every agent sends heartbeats and answers direct commands meanwhile. */
 export function runFor(harness: ControllerHarness, seconds: number): void {
   for (let i = 0; i < seconds; i++) {
     reportAllRunning(harness);
--- a/test/support/scripted-agents.ts
+++ b/test/support/scripted-agents.ts
@@ -2,16 +2,16 @@
 import type { Heartbeat } from "../../src/core/messages/agents.js";
 import type { ControllerHarness, SentCommands, TaskStatus } from "./controller-harness.js";
 
-/** The tasks that each machine's agent reports. */
+/** Tasks reported by each machine's agent. */
 export type TasksByMachine = Map<string, TaskStatus[]>;
-/** Fields of heartbeats, by machine, that differ from those of a small on-demand machine. */
+/** Heartbeat fields, by machine, that differ from those of a small on-demand machine. */
 export type HeartbeatOverrides = Record<string, Partial<Heartbeat>>;
 
-/** So many rounds of commands, answers and a tick are enough for what a controller decides to settle. */
+/** Enough rounds of commands, replies and a tick for the controller's decisions to take full effect. */
 const ROUNDS = 12;
 const ROUND_MS = 100;
 
-/** Agents carry out at once what they are sent, and report it. */
+/** Lets agents execute the commands sent to them immediately, and report the results. */
 export function executeCommands(
   harness: ControllerHarness,
   tasksByMachine: TasksByMachine,
@@ -25,7 +25,7 @@
   }
 }
 
-/** All agents send a heartbeat each second, and carry out what they are sent meanwhile. */
+/** Per iteration, lets all agents send a heartbeat, advances the clock by 1 s and lets the agents execute commands. */
 export function sendHeartbeatsFor(
   harness: ControllerHarness,
   tasksByMachine: TasksByMachine,
@@ -42,7 +42,7 @@
   }
 }
 
-/** The tasks on a machine that have not ended, of one job if it is named. */
+/** Returns the tasks on a machine that have not ended, optionally of a single job. */
 export function liveTasks(tasksByMachine: TasksByMachine, machine: string, uid?: string): TaskStatus[] {
   return (tasksByMachine.get(machine) ?? []).filter(
     (task) => task.state !== "ended" && (uid === undefined || task.uid === uid),
--- a/test/support/scripted-store.ts
+++ b/test/support/scripted-store.ts
@@ -1,13 +1,13 @@
 import type { StoreRequest, StoreResponse, WatchRequest } from "../../src/core/messages/store.js";
 import type { FakeStore } from "./fake-store.js";
 
-/** What becomes of a call: a response of the test's choice, none at all, or, for null, that of the store. */
+/** Decides the outcome of a call: a given response, no response, or for null the response of the fake store. */
 export type StoreRule = (request: StoreRequest) => StoreResponse | "hang" | null;
 
-/** Hands the response to a call back to the controller. */
+/** Delivers the response to a call to the controller. */
 export type RespondToStoreCall = (id: number, response: StoreResponse) => void;
 
-/** A call that is never answered unless the test does so. */
+/** A call that gets no response unless the test sends one. */
 export interface HangingCall {
   readonly id: number;
   readonly call: StoreRequest;
@@ -19,11 +19,11 @@
   readonly openedAt: number;
 }
 
-/** The calls of one controller to a store, answered at once and for real unless the test has a rule. */
+/** Passes the calls of one controller to a fake store. Responses are immediate unless a test rule overrides them. */
 export class ScriptedStore {
   rule: StoreRule | null = null;
   readonly hangingCalls: HangingCall[] = [];
-  /** The prefixes of which pages were asked for. */
+  /** The prefixes of all list calls, in order. */
   readonly listedPrefixes: string[] = [];
   readonly #store: FakeStore;
   readonly #respond: RespondToStoreCall;
@@ -34,7 +34,7 @@
     this.#respond = respond;
   }
 
-  /** Takes a call; a watch that waits is answered with the steps of time. */
+  /** Handles a call; a watch with a wait time stays open until `step` responds to it. */
   call(id: number, request: StoreRequest, now: number): void {
     if (request.kind === "list") this.listedPrefixes.push(request.prefix);
     const ruleResponse = this.rule?.(request) ?? null;
@@ -47,12 +47,12 @@
     else this.#respond(id, this.#store.run(request, now));
   }
 
-  /** Lets leases expire and answers watches that have something to say; called with each step of time. */
+  /** Expires leases and responds to open watches that have changes or have timed out; called on each tick. */
   step(now: number): void {
     this.#store.expire(now);
     for (const watch of this.#openWatches.splice(0)) {
       const { id, request, openedAt } = watch;
-      // Where calls are refused, open watches wait.
+      // Open watches wait while the rule overrides their responses.
       const isOpen = (this.rule?.(request) ?? null) === null;
       const changes = isOpen ? this.#store.changesSince(request.prefix, request.after) : null;
       if (changes) this.#respond(id, changes);
--- a/test/support/settings.ts
+++ b/test/support/settings.ts
@@ -1,4 +1,4 @@
-/** A node's settings file, as the platform hands it over, with a field that nobody knows. */
+/** A node's settings file as provided by the platform, with an unknown field (`surplus`). */
 export const SETTINGS = `
 node = "n0"
 site = "a"
--- a/test/support/small-limits.ts
+++ b/test/support/small-limits.ts
@@ -1,4 +1,4 @@
-/** Limits of the store as they will be. */
+/** Store limits after the planned reduction. */
 
-/** The smaller limits that are to come; every node has to work within them. */
+/** Reduced store limits; every node must be able to work within them. */
 export const SMALL_LIMITS = { valueBytes: 2048, txnOps: 10, writeRps: 28 };
--- a/test/support/store-outage.ts
+++ b/test/support/store-outage.ts
@@ -1,4 +1,4 @@
-/** A store that can't be reached. */
+/** Responses of an unreachable store. */
 
-/** What the store's client reports while the store can't be reached. */
+/** The store client's response while the store is unreachable. */
 export const STORE_OUTAGE = { kind: "unavailable", reason: "outage" } as const;
--- a/test/support/trace-digest.ts
+++ b/test/support/trace-digest.ts
@@ -10,17 +10,17 @@
 import { encodeStoreRequest } from "../../src/protocol/store.js";
 
 /**
- * Hashes every byte that leaves the nodes of a model cluster, in order and with the model's clock: calls to the
- * key-value store and the cloud, commands to agents, answers to agents and users, frames to peers. Two versions of the
- * program with the same digest behave alike, whatever their code looks like. Log lines are left out.
+ * Hashes every byte sent by the nodes of a model cluster, in order and with virtual time: calls to the key-value store
+ * and the cloud, commands to agents, responses to agents and users, and frames to peers. Log lines are excluded. Two
+ * versions of the program with the same digest behave identically.
  */
 export class TraceDigest {
   readonly #hash = createHash("sha256");
   readonly #packr = new Packr({ useRecords: false });
-  /** How many effects were hashed. */
+  /** Number of effects hashed. */
   effects = 0;
 
-  /** Hashes an effect of a node. */
+  /** Hashes the encoding of an effect. */
   observe(core: Controller, node: string, now: number, effect: Effect): void {
     const wire = this.#encode(core, effect);
     if (wire === null) return;
@@ -30,13 +30,13 @@
     this.#hash.update("\n");
   }
 
-  /** Hashes what operators are shown; the texts that explain something are left out. */
+  /** Hashes the operator status, without explanatory texts. */
   observeStatus(core: Controller, now: number): void {
     const withoutTexts = (key: string, value: unknown) => (key === "why" ? undefined : value);
     this.#hash.update(`${now} ${JSON.stringify(core.status(), withoutTexts)}\n`);
   }
 
-  /** The digest of all that was observed; it can be taken once. */
+  /** Returns the digest of everything observed. Can be called only once. */
   digest(): string {
     return this.#hash.digest("hex").slice(0, 32);
   }
@@ -76,7 +76,7 @@
   }
 }
 
-/** Status, body and `Retry-After`, as the HTTP server answers a user. */
+/** Encodes status code, `Retry-After` and body of the HTTP response to a user. */
 function encodeUserResponse(response: UserResponse): string {
   switch (response.kind) {
     case "accepted":
