--- a/test/model/agents.ts
+++ b/test/model/agents.ts
@@ -2,16 +2,15 @@
 import { AgentNetwork } from "./agent-network.js";
 import { AgentTasks } from "./agent-tasks.js";
 import type { Controllers } from "./controllers.js";
+import type { FaultRates } from "./fault-rates.js";
 import type { SubmittedJobs } from "./jobs.js";
 import { isHung, type SimulatedMachine } from "./machines.js";
 import type { RuleChecks } from "./rule-checks.js";
 import type { RunningTasks } from "./running-tasks.js";
 import type { Simulation } from "./simulation.js";
-import type { Trouble } from "./trouble.js";
 
 const STEP_MS = 100;
 
-/** What the agents are built from. */
 export interface AgentsOptions {
   readonly simulation: Simulation;
   readonly controllers: Controllers;
@@ -19,12 +18,12 @@
   readonly jobs: SubmittedJobs;
   readonly runningTasks: RunningTasks;
   readonly rules: RuleChecks;
-  readonly trouble: Trouble;
-  /** Called when the last task of a job is done. */
+  readonly faultRates: FaultRates;
+  /** Called when all tasks of a job are done. */
   readonly onJobFinished: (uid: string) => void;
 }
 
-/** The agents on the machines, from boot to termination: their leases, their tasks, and what they say and hear. */
+/** The agents on all machines, from boot to termination, with their leases, tasks and network. */
 export class Agents {
   readonly leases: AgentLeases;
   readonly tasks: AgentTasks;
@@ -33,22 +32,22 @@
   readonly #runningTasks: RunningTasks;
 
   constructor(options: AgentsOptions) {
-    const { simulation, controllers, machines, runningTasks, trouble } = options;
+    const { simulation, controllers, machines, runningTasks, faultRates } = options;
     this.#simulation = simulation;
     this.#runningTasks = runningTasks;
     this.leases = new AgentLeases(simulation, runningTasks);
-    this.tasks = new AgentTasks({ ...options, errorRate: trouble.taskError });
+    this.tasks = new AgentTasks({ ...options, errorRate: faultRates.taskError });
     this.network = new AgentNetwork({
       simulation,
       controllers,
       machines,
       leases: this.leases,
       tasks: this.tasks,
-      duplicateRate: trouble.lateDuplicates,
+      duplicateRate: faultRates.lateDuplicates,
     });
   }
 
-  /** Starts the agent of a machine that has booted. */
+  /** Starts the agent of a booted machine. */
   start(machine: SimulatedMachine): void {
     const step = () => {
       if (!machine.alive) return;
@@ -58,7 +57,7 @@
     step();
   }
 
-  /** Ends a machine, and with it the agent and all tasks. */
+  /** Terminates a machine with its agent and all tasks. */
   terminate(machine: SimulatedMachine): void {
     machine.alive = false;
     this.#runningTasks.removeAll(machine);
--- a/test/model/cloud.ts
+++ b/test/model/cloud.ts
@@ -7,40 +7,38 @@
 import { RequestMeter } from "./request-meter.js";
 import type { Simulation } from "./simulation.js";
 
-/** The most machines in one page of the cloud's list. */
+/** Maximum number of machines per page of the cloud's list. */
 const LIST_PAGE_SIZE = 500;
-/** The most machines of each type, zone and kind at scale 1. */
+/** Maximum number of machines per type and zone, for spot and on-demand separately, at scale 1. */
 const CAPACITY = 4;
 const INITIAL_MACHINES = 2;
 const TIMEOUT_MS = 5000;
-const ONE_WAY_MS = 60;
-/** A machine that never comes up within the day. */
+const ONE_WAY_LATENCY_MS = 60;
+/** Longer than any scenario: the machine never finishes booting. */
 const STUCK_BOOT_MS = 3_600_000;
 
 type CreateRequest = Extract<CloudRequest, { kind: "create" }>;
 
-/** Which machine to make. */
-interface MachineOrder {
+interface MachineParameters {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
   readonly bootMs: number;
 }
 
-/** What the cloud is built from. */
 export interface CloudOptions {
   readonly simulation: Simulation;
   readonly controllers: Controllers;
-  /** All machines that there ever were, by name, in the order of their creation. */
+  /** All machines ever created, including terminated ones, by name in creation order. */
   readonly machines: Map<string, SimulatedMachine>;
   readonly scale: number;
   readonly onBooted: (machine: SimulatedMachine) => void;
   readonly onTerminated: (machine: SimulatedMachine) => void;
 }
 
-/** The cloud's side of the model: a few machines of each type and zone, a list that lags, boots that take their time. */
+/** The simulated cloud: limited capacity per type and zone, a list that lags behind, and boots that take time. */
 export class Cloud {
-  /** Requests that reached the cloud. */
+  /** Requests received by the cloud. */
   readonly requests = new RequestMeter();
   readonly #simulation: Simulation;
   readonly #controllers: Controllers;
@@ -48,7 +46,7 @@
   readonly #scale: number;
   readonly #onBooted: (machine: SimulatedMachine) => void;
   readonly #onTerminated: (machine: SimulatedMachine) => void;
-  /** The machines made for each request: one that is repeated makes no more. */
+  /** Names of the machines created by each request, to make retries idempotent. */
   readonly #createdByRequest = new Map<string, string[]>();
   #nextMachine = 1;
 
@@ -61,7 +59,7 @@
     this.#onTerminated = onTerminated;
   }
 
-  /** Makes the machines that are there from the beginning, already booted. */
+  /** Creates the initial machines, already booted. */
   createInitialMachines(): void {
     for (const zone of ["a", "b"]) {
       for (const type of TYPES)
@@ -70,7 +68,7 @@
     }
   }
 
-  /** Carries out a node's call. */
+  /** Executes a cloud call of a node; it times out while the node is partitioned. */
   call(node: ControllerNode, epoch: number, { id, request }: Extract<Effect, { kind: "callCloud" }>): void {
     const respond = (delayMs: number, response: CloudResponse) => {
       this.#controllers.deliverAfter(node, epoch, delayMs, () => ({ kind: "cloudResponded", id, response }));
@@ -80,7 +78,7 @@
       return;
     }
     this.requests.count(this.#simulation.now);
-    this.#simulation.after(ONE_WAY_MS, () => respond(ONE_WAY_MS, this.#run(request)));
+    this.#simulation.after(ONE_WAY_LATENCY_MS, () => respond(ONE_WAY_LATENCY_MS, this.#run(request)));
   }
 
   #run(request: CloudRequest): CloudResponse {
@@ -101,8 +99,8 @@
   }
 
   #create(request: CreateRequest): CloudResponse {
-    const before = this.#createdByRequest.get(request.requestId);
-    if (before) return { kind: "created", machines: before };
+    const alreadyCreated = this.#createdByRequest.get(request.requestId);
+    if (alreadyCreated) return { kind: "created", machines: alreadyCreated };
     const type = TYPES.find(({ name }) => name === request.type);
     const count = Math.min(request.count, CAPACITY * this.#scale - this.#countAlive(request));
     if (!type || count <= 0) return { kind: "noCapacity" };
@@ -125,17 +123,17 @@
     ).length;
   }
 
-  /** A page of the list as it was some seconds ago; machines that are gone may still be in it. */
+  /** Returns a page of the list as of some seconds ago; terminated machines may still be included. */
   #list(after: string | null): CloudResponse {
-    const seenAt = this.#simulation.now - this.#simulation.between(3000, 6000);
+    const snapshotAt = this.#simulation.now - this.#simulation.between(3000, 6000);
     const listed = [...this.#machines.values()]
-      .filter(({ createdAt, name }) => createdAt <= seenAt && (after === null || name > after))
+      .filter(({ createdAt, name }) => createdAt <= snapshotAt && (after === null || name > after))
       .filter(({ alive }) => alive || this.#simulation.chance(0.3));
-    const machines = listed.slice(0, LIST_PAGE_SIZE).map((machine) => listedMachine(machine, seenAt));
+    const machines = listed.slice(0, LIST_PAGE_SIZE).map((machine) => listedMachine(machine, snapshotAt));
     return { kind: "page", machines, more: listed.length > LIST_PAGE_SIZE };
   }
 
-  #createMachine({ type, zone, spot, bootMs }: MachineOrder): SimulatedMachine {
+  #createMachine({ type, zone, spot, bootMs }: MachineParameters): SimulatedMachine {
     const bootedAt = this.#simulation.now + bootMs;
     const machine = newMachine({
       name: `i-${String(this.#nextMachine++).padStart(6, "0")}`,
@@ -152,14 +150,14 @@
   }
 }
 
-function listedMachine(machine: SimulatedMachine, seenAt: number): CloudMachine {
+function listedMachine(machine: SimulatedMachine, snapshotAt: number): CloudMachine {
   return {
     name: machine.name,
     address: `${machine.name}:1`,
     type: machine.type.name,
     zone: machine.zone,
     spot: machine.spot,
-    phase: machine.bootedAt <= seenAt ? "running" : "booting",
-    ageS: (seenAt - machine.createdAt) / 1000,
+    phase: machine.bootedAt <= snapshotAt ? "running" : "booting",
+    ageS: (snapshotAt - machine.createdAt) / 1000,
   };
 }
--- a/test/model/compound-faults.ts
+++ b/test/model/compound-faults.ts
@@ -6,7 +6,7 @@
 import type { StoreNetwork } from "./store-network.js";
 import type { Users } from "./users.js";
 
-/** What faults act upon. */
+/** The parts of the simulation that faults act on. */
 export interface FaultTargets {
   readonly simulation: Simulation;
   readonly controllers: Controllers;
@@ -17,12 +17,13 @@
   readonly users: Users;
 }
 
-/** Something that goes wrong, to be begun at the right moment. */
+/** Starts a fault. */
 type Fault = () => void;
 
 /**
- * Faults that meet, worst aligned: something befalls the leader or a good part of the machines, users cancel in that very
- * moment, and in the middle of it the leader ends, or the store is down for longer than a cancellation may take.
+ * Combines faults with worst-case timing: one or two faults affect the leader, many machines or the network; users
+ * cancel jobs shortly afterwards; meanwhile controllers crash, or the store has an outage, possibly longer than
+ * `cancel_s`.
  */
 export class CompoundFaults {
   readonly #targets: FaultTargets;
@@ -35,22 +36,22 @@
     this.#controllers = targets.controllers;
   }
 
-  /** Begins one; `machines` are those that are up. */
+  /** Starts one compound fault; `machines` are those that are up. */
   begin(machines: readonly SimulatedMachine[]): void {
     const simulation = this.#simulation;
     const leader = this.#controllers.leader ?? this.#controllers.nodes[0];
     if (!leader) return;
     const forMs = simulation.between(2000, 40_000);
     const affected = machines.filter(() => simulation.chance(0.3));
-    const lasting = [
+    const lastingFaults = [
       ...this.#leaderFaults(leader, forMs),
       ...this.#machineFaults(affected, forMs),
       ...this.#networkFaults(forMs),
     ];
-    const sudden = this.#suddenFaults(leader);
-    const first = this.#pick(lasting);
-    const second = simulation.chance(0.4) ? this.#pick(lasting) : undefined;
-    const amidst = this.#pick(sudden);
+    const outagesAndCrashes = this.#outagesAndCrashes(leader);
+    const first = this.#pick(lastingFaults);
+    const second = simulation.chance(0.4) ? this.#pick(lastingFaults) : undefined;
+    const outageOrCrash = this.#pick(outagesAndCrashes);
     first?.();
     second?.();
     const cancelAfterMs = simulation.between(0, 3500);
@@ -60,11 +61,11 @@
         simulation.chance(0.5) ? simulation.between(2000, 30_000) : 0,
       ),
     );
-    if (simulation.chance(0.3) || !amidst) return;
-    const amidstAfterMs = simulation.chance(0.7)
+    if (simulation.chance(0.3) || !outageOrCrash) return;
+    const outageOrCrashAfterMs = simulation.chance(0.7)
       ? cancelAfterMs + simulation.between(0, 1500)
       : simulation.between(0, forMs);
-    simulation.after(amidstAfterMs, amidst);
+    simulation.after(outageOrCrashAfterMs, outageOrCrash);
   }
 
   #pick(faults: readonly Fault[]): Fault | undefined {
@@ -92,11 +93,11 @@
         leader.delaysPackets = true;
       },
       () => {
-        // It renews its lease, and hears of no change.
+        // The leader keeps renewing its lease but receives no changes.
         leader.watchesHangUntil = simulation.now + 50_000;
         leader.peersPartitionedUntil = leader.watchesHangUntil;
       },
-      () => this.#controllers.freeze(leader.index, forMs),
+      () => this.#controllers.pause(leader.index, forMs),
     ];
   }
 
@@ -135,7 +136,7 @@
     ];
   }
 
-  #suddenFaults(leader: ControllerNode): Fault[] {
+  #outagesAndCrashes(leader: ControllerNode): Fault[] {
     const simulation = this.#simulation;
     const controllers = this.#controllers;
     const { store } = this.#targets;
@@ -157,7 +158,7 @@
     if (leader) this.#controllers.crash(leader.index, this.#simulation.between(50, 3000));
   }
 
-  /** Users cancel jobs that run, those with long to go first; machines of theirs may hang from that moment. */
+  /** Cancels running jobs, services first; their machines may hang from that moment. */
   #cancelRunning(count: number, hangMs: number): void {
     const { machines, jobs, users } = this.#targets;
     const machinesByJob = new Map<string, SimulatedMachine[]>();
@@ -168,10 +169,10 @@
     }
     const rank = (uid: string) => (jobs.get(uid)?.spec.shape === "service" ? 0 : 1);
     const running = [...machinesByJob].sort(([uid], [otherUid]) => rank(uid) - rank(otherUid));
-    for (const [uid, itsMachines] of running.slice(0, count)) {
+    for (const [uid, jobMachines] of running.slice(0, count)) {
       users.cancel(uid);
       if (hangMs === 0) continue;
-      for (const machine of itsMachines.slice(0, 4)) machine.hungUntil = this.#simulation.now + hangMs;
+      for (const machine of jobMachines.slice(0, 4)) machine.hungUntil = this.#simulation.now + hangMs;
     }
   }
 }
--- a/test/model/model-cluster.ts
+++ b/test/model/model-cluster.ts
@@ -5,6 +5,7 @@
 import { Cloud } from "./cloud.js";
 import { ControllerLog } from "./controller-log.js";
 import { type ControllerNode, Controllers } from "./controllers.js";
+import { type FaultRates, NO_FAULTS } from "./fault-rates.js";
 import { Faults } from "./faults.js";
 import { SubmittedJobs } from "./jobs.js";
 import type { SimulatedMachine } from "./machines.js";
@@ -13,35 +14,34 @@
 import { RunningTasks } from "./running-tasks.js";
 import { Simulation } from "./simulation.js";
 import { StoreNetwork } from "./store-network.js";
-import { NO_TROUBLE, type Trouble } from "./trouble.js";
 import { Users } from "./users.js";
 
-/** How often the store looks for leases that are over. */
+/** How often the store revokes expired leases. */
 const LEASE_EXPIRY_STEP_MS = 50;
 const STORE_LIMITS = { valueBytes: 8192, txnOps: 32, writeRps: 100 };
 const STORE_LIMITS_AFTER_UPGRADE = { valueBytes: 2048, txnOps: 10, writeRps: 70 };
 
-/** Called with everything that leaves a node, in order, with the node and the model's clock. */
+/** Observes every effect of a node, in order, with the virtual time at which it is carried out. */
 export type EffectObserver = (core: Controller, node: string, now: number, effect: Effect) => void;
 
-/** What a run of the model cluster is made from; the same options play the same day. */
+/** Options of a model cluster; runs with the same options are identical. */
 export interface ModelClusterOptions {
   readonly seed: number;
-  /** None unless given. */
-  readonly trouble?: Trouble | undefined;
-  /** At scale 1 there are eight machines to begin with; teams' quotas and the cloud grow with it. */
+  /** No faults by default. */
+  readonly faultRates?: FaultRates | undefined;
+  /** Scales the initial machines (eight at scale 1), the teams' quotas and the cloud capacity. */
   readonly scale?: number | undefined;
-  /** Followers keep a warm standby of the records. */
+  /** Enables the standby cache of records on followers. */
   readonly standby?: boolean | undefined;
-  /** Submissions are admitted by the teams' shares. */
+  /** Enables fair admission of submissions by team shares. */
   readonly admission?: boolean | undefined;
   readonly observer?: EffectObserver | undefined;
 }
 
 /**
- * Three real controllers in a model of everything outside the core: key-value store, cloud, agents, users and network. It
- * plays in virtual time from a seed, injects faults at random, and checks the rules as it goes. This class wires the
- * parts, and routes the controllers' effects to them.
+ * Runs three real controllers against a simulation of everything outside the core: key-value store, cloud, agents,
+ * users and network. The simulation runs in virtual time from a seed, injects random faults and checks invariants
+ * continuously. This class connects the parts and routes the controllers' effects to them.
  */
 export class ModelCluster {
   readonly simulation: Simulation;
@@ -61,14 +61,14 @@
   readonly #observer: EffectObserver | undefined;
 
   constructor(options: ModelClusterOptions) {
-    const { seed, trouble = NO_TROUBLE, scale = 1, standby = false, admission = false, observer } = options;
+    const { seed, faultRates = NO_FAULTS, scale = 1, standby = false, admission = false, observer } = options;
     this.#observer = observer;
     this.simulation = new Simulation(seed);
     this.controllers = new Controllers(this.simulation, {
       scale,
       standby,
       admission,
-      startWithOldVersion: trouble.upgrade,
+      startWithPreviousVersion: faultRates.upgrade,
       onEffect: (node, epoch, effect) => this.#route(node, epoch, effect),
     });
     const { simulation, controllers, jobs, machines, runningTasks, store } = this;
@@ -82,7 +82,7 @@
       ...shared,
       runningTasks,
       rules,
-      trouble,
+      faultRates,
       onJobFinished: (uid) => this.faults.onJobFinished(uid),
     });
     this.agents = agents;
@@ -93,38 +93,38 @@
       onBooted: (machine) => agents.start(machine),
       onTerminated: (machine) => agents.terminate(machine),
     });
-    this.faults = new Faults({ ...shared, trouble, agents, users: this.users, store: this.storeNetwork });
-    this.#start(trouble);
+    this.faults = new Faults({ ...shared, faultRates, agents, users: this.users, store: this.storeNetwork });
+    this.#start(faultRates);
   }
 
-  /** Virtual time, in milliseconds: that of the last event played. */
+  /** Virtual time in milliseconds, as of the last event run. */
   get now(): number {
     return this.simulation.now;
   }
 
-  /** The controllers' nodes, in the order of their names. */
+  /** The controller nodes, ordered by name. */
   get nodes(): readonly ControllerNode[] {
     return this.controllers.nodes;
   }
 
-  /** The rules that were broken so far. */
+  /** Rule violations so far. */
   get violations(): readonly Violation[] {
     return this.rules.violations;
   }
 
-  /** Plays on up to this time. */
+  /** Runs the simulation up to `untilMs`. */
   run(untilMs: number): void {
     this.simulation.run(untilMs);
   }
 
-  /** Begins the day. The order matters: it is that of the draws and of events at the same moment. */
-  #start({ upgrade }: Trouble): void {
+  /** Starts the simulation. The order matters: it determines random draws and the order of simultaneous events. */
+  #start({ upgrade }: FaultRates): void {
     this.controllers.startAll();
     this.cloud.createInitialMachines();
     this.simulation.every(LEASE_EXPIRY_STEP_MS, () => this.store.expire(this.now));
     this.store.limits = STORE_LIMITS;
     this.store.onWrite = (key, value) => {
-      if (!this.controllers.areUpgraded) this.rules.checkReadableInProduction(key, value);
+      if (!this.controllers.areUpgraded) this.rules.checkReadableByProduction(key, value);
     };
     if (!upgrade) return;
     this.faults.scheduleUpgrade(() => {
--- a/test/model/peer-network.ts
+++ b/test/model/peer-network.ts
@@ -5,7 +5,7 @@
 import { SentHeartbeat } from "./sent-heartbeat.js";
 import type { Simulation } from "./simulation.js";
 
-/** What passes between controllers: messages of their own, and heartbeats of agents that a follower forwards. */
+/** The network between controllers: peer messages, and agent heartbeats forwarded by followers. */
 export class PeerNetwork {
   readonly #simulation: Simulation;
   readonly #controllers: Controllers;
@@ -17,11 +17,14 @@
     this.#agents = agents;
   }
 
-  /** Sends a message; nodes of the old version neither say nor hear what came with the new one. */
+  /** Sends a peer message, without the new fields if either node runs the previous version. */
   send(sender: ControllerNode, { to, message }: Extract<Effect, { kind: "sendToPeer" }>): void {
     const receiver = this.#reachable(sender, to);
     if (!receiver) return;
-    const received = asUnderstood(structuredClone(message), sender.isOldVersion || receiver.isOldVersion);
+    const received = stripNewFields(
+      structuredClone(message),
+      sender.isPreviousVersion || receiver.isPreviousVersion,
+    );
     this.#controllers.deliverAfter(receiver, receiver.epoch, this.#latencyMs(), () => ({
       kind: "peerMessage",
       from: sender.name,
@@ -29,17 +32,16 @@
     }));
   }
 
-  /** Forwards an agent's heartbeat to another node. */
   forwardHeartbeat(
     sender: ControllerNode,
     { to, requestId, body }: Extract<Effect, { kind: "forwardHeartbeat" }>,
   ): void {
-    if (!(body instanceof SentHeartbeat)) throw new Error("the body is not the one that was delivered");
+    if (!(body instanceof SentHeartbeat)) throw new Error("forwarded heartbeat body is not a SentHeartbeat");
     const receiver = this.#reachable(sender, to);
     if (!receiver) return;
     this.#simulation.after(this.#latencyMs(), () => {
       if (!receiver.core) return;
-      const heartbeat = body.readBy(receiver);
+      const heartbeat = body.decodeFor(receiver);
       this.#controllers.deliver(receiver, {
         kind: "forwardedHeartbeat",
         from: sender.name,
@@ -49,15 +51,15 @@
     });
   }
 
-  /** Carries the reply to a forwarded heartbeat back; now and then it is late. */
+  /** Returns the reply to a forwarded heartbeat, occasionally with a long delay. */
   replyToForwarded(
     sender: ControllerNode,
     { to, id, reply }: Extract<Effect, { kind: "replyToForwardedHeartbeat" }>,
   ): void {
     if (!this.#reachable(sender, to)) return;
-    this.#agents.noteJobs(sender, reply);
+    this.#agents.recordJobs(sender, reply);
     const delayMs = this.#simulation.chance(0.01) ? this.#simulation.between(1000, 3000) : this.#latencyMs();
-    this.#simulation.after(delayMs, () => this.#agents.passReply(id, reply));
+    this.#simulation.after(delayMs, () => this.#agents.deliverReply(id, reply));
   }
 
   #reachable(sender: ControllerNode, name: string): ControllerNode | undefined {
@@ -77,8 +79,8 @@
   }
 }
 
-function asUnderstood(message: PeerMessage, byOldVersion: boolean): PeerMessage {
-  return message.kind === "heartbeat" && byOldVersion
+function stripNewFields(message: PeerMessage, isPreviousVersion: boolean): PeerMessage {
+  return message.kind === "heartbeat" && isPreviousVersion
     ? { ...message, protocol: undefined, standby: undefined, admission: undefined }
     : message;
 }
--- a/test/support/production-readers.ts
+++ b/test/support/production-readers.ts
@@ -1,11 +1,11 @@
 import * as v from "valibot";
 
 /**
- * The rules by which the version in production reads records and peer messages, as they stood at the commit that
- * deploy/service.toml names. What this version writes before the feature gate opens has to pass them.
+ * Schemas with which the production version reads records and peer messages, as of the commit named in
+ * deploy/service.toml. Everything the current version writes before the feature gate opens must match them.
  */
 
-const amount = v.object({ cpu: v.number(), gpu: v.number(), ram: v.number() });
+const resources = v.object({ cpu: v.number(), gpu: v.number(), ram: v.number() });
 const spec = v.object({
   uid: v.string(),
   jobClass: v.string(),
@@ -13,7 +13,7 @@
   shape: v.picklist(["array", "gang", "service"]),
   priority: v.picklist([0, 1, 2, 3]),
   tasks: v.number(),
-  need: amount,
+  need: resources,
   image: v.string(),
   imageGb: v.number(),
   types: v.nullable(v.array(v.string())),
@@ -30,11 +30,11 @@
 const jobRecord = v.object({ state: v.picklist(["active", "cancelled"]), acceptedAt: v.number(), spec });
 const finalRecord = v.object({ state: v.picklist(["done", "cancelled"]), tasks: v.number() });
 const chunkRecord = v.object({
-  /** task, machine, session, attempt */
+  /** Active placements: task, machine, incarnation, attempt. */
   held: v.array(v.tuple([v.number(), v.string(), v.number(), v.number()])),
   done: v.array(v.tuple([v.number(), v.number()])),
 });
-/** name, address, type, zone, spot */
+/** Each machine: name, address, type, zone, spot. */
 const bucketRecord = v.object({
   machines: v.array(v.tuple([v.string(), v.string(), v.string(), v.string(), v.boolean()])),
 });
@@ -49,7 +49,7 @@
 });
 const machineType = v.object({
   name: v.string(),
-  size: amount,
+  size: resources,
   cacheGb: v.number(),
   fetchGbPerS: v.number(),
   price: v.number(),
@@ -80,10 +80,10 @@
   }),
 ]);
 
-const BY_KEY: readonly (readonly [RegExp, v.GenericSchema])[] = [
+const SCHEMA_BY_KEY: readonly (readonly [RegExp, v.GenericSchema])[] = [
   [/^c\/leader$/, leaderRecord],
   [/^c\/epoch$/, epochRecord],
-  // An empty one is no move.
+  // An empty record means that there is no migration in progress.
   [/^c\/move$/, v.union([moveRecord, v.strictObject({})])],
   [/^c\/types$/, v.array(machineType)],
   [/^c\/modes$/, modesRecord],
@@ -92,19 +92,19 @@
   [/^p\/[^/]+\/\d+$/, chunkRecord],
   [/^m\/\d+$/, bucketRecord],
 ];
-/** Keys that production leaves alone, whatever they hold. */
-const IGNORED = /^c\/(settings|features)$/;
+/** Keys that the production version does not read. */
+const IGNORED_KEYS = /^c\/(settings|features)$/;
 
-/** What production makes of a record; null if it can't read it. */
-export function readRecordInProduction(key: string, value: unknown): unknown {
-  if (IGNORED.test(key)) return value;
-  const schema = BY_KEY.find(([pattern]) => pattern.test(key))?.[1];
+/** Parses a record as the production version does; returns null if it cannot be read. */
+export function parseRecordAsProduction(key: string, value: unknown): unknown {
+  if (IGNORED_KEYS.test(key)) return value;
+  const schema = SCHEMA_BY_KEY.find(([pattern]) => pattern.test(key))?.[1];
   const result = schema && v.safeParse(schema, value);
   return result?.success ? result.output : null;
 }
 
-/** What production makes of a peer's message; null if it drops it. */
-export function readMessageInProduction(message: unknown): unknown {
+/** Parses a peer message as the production version does; returns null if it would be dropped. */
+export function parseMessageAsProduction(message: unknown): unknown {
   const result = v.safeParse(messageSchema, message);
   return result.success ? result.output : null;
 }
