--- a/src/shell/admin-routes.ts
+++ b/src/shell/admin-routes.ts
@@ -5,7 +5,7 @@
 import type { RequestHandler } from "./request-handler.js";
 import { writeResponse } from "./write-response.js";
 
-/** The routes of operators, probes and the metrics scraper. Bodies of more than `bodyLimit` bytes are refused. */
+/** Adds the routes for operators, readiness probes and metrics scrapes. Bodies over `bodyLimit` bytes are rejected. */
 export function addAdminRoutes(app: Express, handler: RequestHandler, bodyLimit: number): void {
   const jsonBody = express.json({ limit: bodyLimit, type: () => true, strict: false });
   const administer = (res: Response, request: AdminRequest) => {
--- a/src/shell/agent-connections.ts
+++ b/src/shell/agent-connections.ts
@@ -1,29 +1,29 @@
 import type { Socket } from "node:net";
-import type { SocketShares } from "./sockets.js";
+import type { SocketAllocation } from "./sockets.js";
 
-/** Whether a heartbeat on a connection is taken, and whether the connection stays open after its answer. */
+/** Whether to accept a heartbeat, and whether to keep its connection open after the response. */
 export type ConnectionAdmission = "keep" | "close" | "refuse";
 
 /**
- * Which connections are agents'. After a restart one node may serve the whole fleet, with more agents than
- * connections: every heartbeat is answered all the same, but beyond a bound the connection is closed with the answer, and
- * the agent opens another one for its next heartbeat. Only when so many heartbeats await their answers that probes and
- * users would be turned away is a heartbeat refused, and its agent sent to the next node.
+ * Limits the inbound connections of agents. After a restart one node may serve the whole fleet, with more agents than
+ * connections. Beyond `agentsKeptOpen` connections it still answers each heartbeat, but closes the connection with the
+ * response, and the agent reconnects for its next heartbeat. Beyond `agentsInbound` connections it refuses heartbeats,
+ * to keep connections free for probes and users, and the refused agent tries the next node.
  */
 export class AgentConnections {
-  readonly #shares: SocketShares;
+  readonly #limits: SocketAllocation;
   readonly #open = new Set<Socket>();
 
-  constructor(shares: SocketShares) {
-    this.#shares = shares;
+  constructor(limits: SocketAllocation) {
+    this.#limits = limits;
   }
 
-  /** Decides about a heartbeat that has come on a connection. */
+  /** Decides whether to accept a heartbeat received on a connection. */
   admit(socket: Socket): ConnectionAdmission {
     if (this.#open.has(socket)) return "keep";
-    if (this.#open.size >= this.#shares.agentsInbound) return "refuse";
+    if (this.#open.size >= this.#limits.agentsInbound) return "refuse";
     this.#open.add(socket);
     socket.once("close", () => this.#open.delete(socket));
-    return this.#open.size <= this.#shares.agentsKeptOpen ? "keep" : "close";
+    return this.#open.size <= this.#limits.agentsKeptOpen ? "keep" : "close";
   }
 }
--- a/src/shell/clients.ts
+++ b/src/shell/clients.ts
@@ -13,11 +13,11 @@
 const AGENT_TIMEOUT_MS = 1500;
 
 const STORE_CALL_CONNECTIONS = 24;
-/** The common keys, the jobs or, on the standby, three prefixes of records; and some for those that are being closed. */
+/** Watches of the common keys and of jobs (on a standby, three record prefixes), plus connections that are closing. */
 const STORE_WATCH_CONNECTIONS = 6;
 const CLOUD_CONNECTIONS = 8;
 
-/** The key-value store. Watches have connections of their own, so that they never delay a call. */
+/** Client of the key-value store. Watches use separate connections so that they never delay other requests. */
 export class StoreClient {
   readonly #endpoint: Endpoint;
   readonly #calls = new HttpClient(STORE_CALL_CONNECTIONS);
@@ -27,7 +27,7 @@
     this.#endpoint = endpoint;
   }
 
-  /** Sends a request; without an answer within `timeoutMs` its outcome is unknown. */
+  /** Sends a request. If no response arrives within `timeoutMs`, the outcome is unknown. */
   call(request: StoreRequest, timeoutMs: number, respond: (response: StoreResponse) => void): void {
     const client = request.kind === "watch" && request.waitMs > 0 ? this.#watches : this.#calls;
     client.call(this.#endpoint, encodeStoreRequest(request), timeoutMs, (answer) => {
@@ -38,7 +38,7 @@
   }
 }
 
-/** The cloud that machines are provisioned from. */
+/** Client of the cloud that provisions machines. */
 export class CloudClient {
   readonly #endpoint: Endpoint;
   readonly #client = new HttpClient(CLOUD_CONNECTIONS);
@@ -47,7 +47,7 @@
     this.#endpoint = endpoint;
   }
 
-  /** Sends a request; without an answer in time its outcome is unknown. */
+  /** Sends a request. If no response arrives in time, the outcome is unknown. */
   call(request: CloudRequest, respond: (response: CloudResponse) => void): void {
     this.#client.call(this.#endpoint, encodeCloudRequest(request), CLOUD_TIMEOUT_MS, (answer) => {
       respond(
@@ -57,18 +57,18 @@
   }
 }
 
-/** The machines' agents, for commands that are sent to them directly. One command batch per agent is under way. */
+/** Sends commands directly to agents, at most one batch per agent at a time. */
 export class AgentClient {
   readonly #client: HttpClient;
   readonly #names: NameRegistry;
 
-  /** With `maxConnections` in use a further batch counts as unanswered at once. */
+  /** While `maxConnections` are in use, another batch fails at once, as if unanswered. */
   constructor(names: NameRegistry, maxConnections: number) {
     this.#client = new HttpClient(1, maxConnections);
     this.#names = names;
   }
 
-  /** Sends a command batch; the agent's heartbeat that came in reply, null if none did, and whether it was executed. */
+  /** Sends a command batch. Reports the heartbeat in the agent's reply, or null, and whether the batch was executed. */
   send(batch: SendAgentCommands, respond: (heartbeat: Heartbeat | null, executed: boolean) => void): void {
     const request = encodeCommandRequest(batch, this.#names);
     this.#client.call(parseEndpoint(batch.address), request, AGENT_TIMEOUT_MS, (answer) => {
--- a/src/shell/command-queue.ts
+++ b/src/shell/command-queue.ts
@@ -1,16 +1,13 @@
 import { buffer, Subject } from "rxjs";
 import type { Command } from "../core/messages/commands.js";
 
-/**
- * Everything that happens to the controller, in order. Commands that come within one turn of the event loop are worked off
- * as one batch.
- */
+/** Queues the controller's commands in order. Those pushed in one turn of the event loop are handled as one batch. */
 export class CommandQueue {
   readonly #commands = new Subject<Command>();
   readonly #flush = new Subject<void>();
   #isFlushScheduled = false;
 
-  /** Hands every batch from now on to the handler; commands pushed before are lost. */
+  /** Passes every batch from now on to the handler; commands pushed earlier are lost. */
   start(handleBatch: (batch: readonly Command[]) => void): void {
     this.#commands.pipe(buffer(this.#flush)).subscribe(handleBatch);
   }
--- a/src/shell/compile-ahead.ts
+++ b/src/shell/compile-ahead.ts
@@ -3,9 +3,9 @@
 import { createServer } from "./api.js";
 import { ControllerLoop } from "./controller-loop.js";
 import { openLog } from "./log.js";
-import { shareSockets } from "./sockets.js";
+import { allocateSockets } from "./sockets.js";
 
-/** The smallest settings that are valid; nothing is opened or sent. */
+/** Minimal valid settings. No connection is opened to these addresses. */
 const SAMPLE_SETTINGS = `
 node = "sample"
 site = "zone"
@@ -24,16 +24,16 @@
 const TICKS = 20;
 const TICK_MS = 100;
 
-/** Runs what every start runs, without input or output, so that the code cache contains it compiled. */
+/** Runs the startup code without I/O, so that the code cache includes its compiled functions. */
 export function compileAhead(): void {
   const settings = parseSettings(SAMPLE_SETTINGS);
   const identity = { incarnation: "sample", seed: 1, epochMs: 0 };
   const loop = new ControllerLoop(settings, identity, openLog("error", settings.deployment.node));
-  createServer(loop, shareSockets(settings.maxConnections));
+  createServer(loop, allocateSockets(settings.maxConnections));
   runTicks(new Controller(settings.deployment, identity));
 }
 
-/** Ticks a controller against a store that is empty. */
+/** Runs a controller for some ticks against an empty store. */
 function runTicks(controller: Controller): void {
   const budget = { isSpent: () => false };
   for (let i = 0; i < TICKS; i++) {
--- a/src/shell/controller-loop.ts
+++ b/src/shell/controller-loop.ts
@@ -16,15 +16,15 @@
 import { Peers } from "./peers.js";
 import { PendingRequests, RequestIds } from "./pending-requests.js";
 import type { MetricsPage, RequestHandler } from "./request-handler.js";
-import { shareSockets } from "./sockets.js";
+import { allocateSockets } from "./sockets.js";
 
 const TICK_MS = 100;
 const MAX_PENDING_USERS = 300;
 const OVERLOAD_LAG_MS = 1500;
 
 /**
- * Owns the controller and everything around it: requests, messages and ticks become commands in one queue, each batch of
- * them is handled at once, and its effects are carried out.
+ * Runs the controller: turns requests, messages and ticks into commands in one queue, passes each batch to the
+ * controller and executes the resulting effects.
  */
 export class ControllerLoop implements RequestHandler {
   readonly #controller: Controller;
@@ -57,7 +57,7 @@
       names,
       store: new StoreClient(settings.store),
       cloud: new CloudClient(settings.cloud),
-      agents: new AgentClient(names, shareSockets(settings.maxConnections).agentsOutbound),
+      agents: new AgentClient(names, allocateSockets(settings.maxConnections).agentsOutbound),
       peers: this.#peers,
       forwarder: this.#forwarder,
       pending: this.#pending,
@@ -66,7 +66,7 @@
     });
   }
 
-  /** Starts the ticks and the peer connections; they run until the process ends. */
+  /** Starts ticks and peer connections, which run until the process exits. */
   start(onListenError: (error: Error) => void): void {
     this.#queue.start((batch) => this.#handleBatch(batch));
     interval(TICK_MS).subscribe(() => this.#tick());
@@ -116,12 +116,12 @@
     }
   }
 
-  /** Whether this node takes requests. */
+  /** Whether this node is ready for requests. */
   get ready(): boolean {
     return this.#controller.isReady;
   }
 
-  /** Whether too many users wait for their answers, or the event loop is too far behind, to take more requests. */
+  /** Whether to shed user requests: too many are pending, or the event loop lags too far behind. */
   get overloaded(): boolean {
     return this.#pending.users.size >= MAX_PENDING_USERS || this.#lagMs > OVERLOAD_LAG_MS;
   }
@@ -131,7 +131,7 @@
     this.#queue.push({ kind: "submit", requestId: this.#pending.users.add(respond), uid, submitted });
   }
 
-  /** Looks up a job. */
+  /** Looks up a job's status. */
   poll(uid: string, respond: (response: UserResponse) => void): void {
     this.#queue.push({ kind: "poll", requestId: this.#pending.users.add(respond), uid });
   }
@@ -141,13 +141,13 @@
     this.#queue.push({ kind: "cancel", requestId: this.#pending.users.add(respond), uid });
   }
 
-  /** Carries out an operator's request. */
+  /** Executes an operator's request. */
   administer(request: AdminRequest, respond: (response: AdminResponse) => void): void {
     this.#queue.push({ kind: "administer", requestId: this.#pending.operators.add(respond), request });
   }
 
-  /** Takes an agent's heartbeat; false, and no answer, if the body is none. */
-  takeHeartbeat(body: unknown, respond: (status: number, body: unknown) => void): boolean {
+  /** Accepts an agent's heartbeat. Returns false, without calling `respond`, if the body is not a valid heartbeat. */
+  receiveHeartbeat(body: unknown, respond: (status: number, body: unknown) => void): boolean {
     const heartbeat = decodeHeartbeat(body, this.#controller.names);
     if (!heartbeat) return false;
     const requestId = this.#pending.agents.add(respond);
--- a/src/shell/effect-runner.ts
+++ b/src/shell/effect-runner.ts
@@ -13,14 +13,14 @@
 import type { Peers } from "./peers.js";
 import type { PendingRequests } from "./pending-requests.js";
 
-/** Requests of clients that wait for their answer, by the kind of client. */
+/** Unanswered client requests, by kind of client. */
 export interface PendingClients {
   readonly users: PendingRequests<(response: UserResponse) => void>;
   readonly operators: PendingRequests<(response: AdminResponse) => void>;
   readonly agents: PendingRequests<(status: number, body: unknown) => void>;
 }
 
-/** What effects are carried out by. */
+/** The components that execute effects. */
 export interface EffectTargets {
   readonly names: NameRegistry;
   readonly store: StoreClient;
@@ -30,21 +30,21 @@
   readonly forwarder: HeartbeatForwarder;
   readonly pending: PendingClients;
   readonly log: Log;
-  /** Appends to the command queue: takes what an effect led to. */
+  /** Appends the outcome of an effect to the command queue. */
   readonly push: (command: Command) => void;
 }
 
-/** Carries out the controller's effects. What comes back of one becomes a command. */
+/** Executes the controller's effects. The response to a call becomes a command. */
 export class EffectRunner {
   readonly #targets: EffectTargets;
-  /** Replies to the heartbeats that peers forwarded, until the end of the batch. */
+  /** Replies to heartbeats forwarded by peers, sent at the end of the batch. */
   readonly #forwardedReplies = new NodeBatches<ForwardedReply>();
 
   constructor(targets: EffectTargets) {
     this.#targets = targets;
   }
 
-  /** Carries out the effects of one batch of commands, in order. */
+  /** Executes the effects of one batch of commands, in order. */
   runBatch(effects: readonly Effect[]): void {
     for (const effect of effects) this.#runIsolated(effect);
     this.#forwardedReplies.sendAll((node, replies) =>
@@ -52,7 +52,7 @@
     );
   }
 
-  /** A fault in carrying out one effect costs that effect, not the process: whoever waits for its outcome times out. */
+  /** An effect that throws is lost without ending the process; a caller that awaits its outcome times out. */
   #runIsolated(effect: Effect): void {
     try {
       this.#run(effect);
@@ -83,7 +83,7 @@
       case "sendAgentCommands":
       case "callStore":
       case "callCloud":
-        this.#callOutside(effect);
+        this.#callService(effect);
         break;
       case "sendToPeer":
         peers.send(effect.to, effect.message);
@@ -106,7 +106,7 @@
     this.#forwardedReplies.append(node, { id, status, body });
   }
 
-  #callOutside(
+  #callService(
     effect: Extract<Effect, { readonly kind: "sendAgentCommands" | "callStore" | "callCloud" }>,
   ): void {
     const { store, cloud, agents, push } = this.#targets;
--- a/src/shell/heartbeat-endpoint.ts
+++ b/src/shell/heartbeat-endpoint.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * Takes agents' heartbeats. They are nine requests in ten, and express with its body parser took a sixth of a leader's
- * processor time for them (docs/RESULTS.md): so they bypass it.
+ * Serves agents' heartbeats without Express. They are nine of ten requests, and Express with its body parser took a
+ * sixth of a leader's CPU time for them (docs/RESULTS.md).
  */
 export class HeartbeatEndpoint {
   readonly #handler: RequestHandler;
@@ -26,7 +26,7 @@
     this.#bodyLimit = bodyLimit;
   }
 
-  /** Answers one heartbeat, if its connection is admitted. */
+  /** Answers one heartbeat, or refuses it if too many agents are connected. */
   serve(req: http.IncomingMessage, res: http.ServerResponse): void {
     const admission = this.#connections.admit(req.socket);
     if (admission !== "keep") res.setHeader("connection", "close");
@@ -34,7 +34,7 @@
     else this.#readHeartbeat(req, res);
   }
 
-  /** An oversized body is read to its end, as its sender would not read an answer before that, but not kept. */
+  /** Reads an oversized body to its end without buffering it: the sender reads no response before it has sent all. */
   #readHeartbeat(req: http.IncomingMessage, res: http.ServerResponse): void {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -44,7 +44,9 @@
     });
     req.on("end", () => {
       const body = size <= this.#bodyLimit ? parseJson(Buffer.concat(chunks).toString("utf8")) : undefined;
-      const isHeartbeat = this.#handler.takeHeartbeat(body, (status, reply) => writeJson(res, status, reply));
+      const isHeartbeat = this.#handler.receiveHeartbeat(body, (status, reply) =>
+        writeJson(res, status, reply),
+      );
       if (!isHeartbeat) writeResponse(res, notAHeartbeat);
     });
   }
--- a/src/shell/heartbeat-forwarder.ts
+++ b/src/shell/heartbeat-forwarder.ts
@@ -4,16 +4,17 @@
 
 const REPLY_TIMEOUT_MS = 3000;
 /**
- * Heartbeats that come within this time are forwarded together: each by itself took a packet, a batch of the core and a
- * packet back, at both ends (figures in docs/RESULTS.md). Agents send one every few seconds.
+ * Heartbeats received within this time are forwarded together. Forwarded one by one, each took a packet, a command
+ * batch and a reply packet at both ends (figures in docs/RESULTS.md). The delay is short: agents send one every few
+ * seconds.
  */
 const BATCHING_MS = 25;
 
-/** The connections to the peers, as far as forwarding needs them. */
+/** The methods of `Peers` that forwarding uses. */
 export interface PeerSender {
-  /** Sends a message, or drops it if the peer can't be reached. */
+  /** Sends a message, or drops it if the peer is not connected. */
   send(node: string, message: PeerMessage): void;
-  /** Whether a peer takes messages more slowly than they come. */
+  /** Whether the send backlog to a peer is so large that messages should wait. */
   isCongested(node: string): boolean;
 }
 
@@ -23,15 +24,15 @@
 }
 
 /**
- * A follower's side of forwarding: agents' heartbeats go to the leader in batches, and its replies back to the agents.
- * Every forwarded heartbeat is answered exactly once: by the leader's reply, when that is overdue, or when the connection
- * to the leader is lost.
+ * Forwards agents' heartbeats from a follower to the leader in batches, and passes the leader's replies to the agents.
+ * Every forwarded heartbeat is answered exactly once: with the leader's reply, or with an error if the reply times out
+ * or the connection to the leader is lost.
  */
 export class HeartbeatForwarder {
   readonly #peers: PeerSender;
   readonly #reply: (requestId: number, status: number, body: unknown) => void;
   readonly #batches = new NodeBatches<ForwardedHeartbeat>();
-  /** By request, in the order of forwarding, which is that of their timeouts. */
+  /** By request id, in forwarding order, which is also the order of their timeouts. */
   readonly #awaited = new Map<number, AwaitedReply>();
 
   constructor(peers: PeerSender, reply: (requestId: number, status: number, body: unknown) => void) {
@@ -39,28 +40,28 @@
     this.#reply = reply;
   }
 
-  /** Forwards a heartbeat, in the form in which the agent sent it, to the leader. */
+  /** Queues a heartbeat, with its body as the agent sent it, for the leader. */
   forward(requestId: number, node: string, body: unknown): void {
     const isFirst = this.#batches.append(node, { id: requestId, body });
     if (isFirst) this.#scheduleBatch(node);
     this.#awaited.set(requestId, { node, timeoutAt: performance.now() + REPLY_TIMEOUT_MS });
   }
 
-  /** Passes the leader's reply to the agent; without effect if the heartbeat was answered before. */
+  /** Passes the leader's reply to the agent. Does nothing if the heartbeat was already answered. */
   complete(requestId: number, status: number, body: unknown): void {
     if (this.#awaited.delete(requestId)) this.#reply(requestId, status, body);
   }
 
-  /** Answers the heartbeats whose reply is overdue. */
+  /** Answers the heartbeats whose reply has timed out. */
   expire(now: number): void {
     for (const [requestId, { timeoutAt }] of this.#awaited) {
-      // In the order of their timeouts: the rest has time left.
+      // Ordered by timeout: none of the rest has expired.
       if (now < timeoutAt) return;
       this.complete(requestId, leaderTimedOut.status, leaderTimedOut.body);
     }
   }
 
-  /** Answers the heartbeats forwarded to a node whose connection was lost: no replies to them will come. */
+  /** Answers the heartbeats forwarded to a node after its connection was lost, as no replies will arrive. */
   failAll(node: string): void {
     for (const [requestId, awaited] of this.#awaited) {
       if (awaited.node === node) this.complete(requestId, leaderDisconnected.status, leaderDisconnected.body);
@@ -72,10 +73,11 @@
   }
 
   #sendBatch(node: string): void {
-    // After a stall some have timed out: their agents have turned to another node.
+    // After a stall some may have timed out, and their agents have tried another node.
     const batch = this.#batches.take(node).filter(({ id }) => this.#awaited.has(id));
     if (batch.length === 0) return;
-    // An agent has one heartbeat under way, so what waits here is the newest of each, and none is older than its timeout.
+    // Waiting is safe: an agent has one heartbeat in flight, so the batch has at most one per agent, and none is
+    // older than the timeout.
     if (this.#peers.isCongested(node)) {
       this.#batches.restore(node, batch);
       this.#scheduleBatch(node);
--- a/src/shell/http-client.ts
+++ b/src/shell/http-client.ts
@@ -4,7 +4,7 @@
 import type { HttpRequest } from "../protocol/http.js";
 import { parseJson } from "./parse-json.js";
 
-/** What an outside service answered; the body is undefined if it is not JSON. */
+/** The response of an external service; the body is undefined if it is not JSON. */
 export interface HttpResult {
   readonly status: number;
   readonly body: unknown;
@@ -12,23 +12,23 @@
 
 type Respond = (answer: HttpResult | null) => void;
 
-const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /**
- * Calls outside services; every call is answered exactly once, with null when nothing usable came in time. Connections
- * are kept for the next call, up to a bound for all hosts together: beyond it the one that has been idle longest is closed.
- * An `http.Agent` with `maxTotalSockets` closes none: a fleet larger than its bound would fill it with idle connections,
- * and calls to all other machines would wait in vain.
+ * Calls external services. Every call is answered exactly once, with null if no complete response arrived in time.
+ * Connections are reused, up to a limit over all hosts; at the limit the connection that has been idle longest is
+ * closed. `maxTotalSockets` of `http.Agent` does not do so: with more machines than the limit, idle connections would
+ * exhaust it and calls to all other machines would wait forever.
  */
 export class HttpClient {
   readonly #agent: http.Agent;
   readonly #maxTotal: number;
-  /** Open connections, the longest unused first, and whether a call is on them. */
+  /** Open connections, least recently used first, and whether each is in use by a call. */
   readonly #sockets = new Map<Socket, boolean>();
-  /** Calls that have no connection yet. */
+  /** Number of calls that have no connection yet. */
   #connecting = 0;
 
-  /** Calls beyond `maxPerHost` queue; calls to another host beyond `maxTotal` count as unanswered at once. */
+  /** Calls beyond `maxPerHost` are queued; calls that would need a connection beyond `maxTotal` fail at once. */
   constructor(maxPerHost: number, maxTotal = Number.POSITIVE_INFINITY) {
     this.#maxTotal = maxTotal;
     this.#agent = new http.Agent({
@@ -39,14 +39,14 @@
     });
   }
 
-  /** How many connections are open. */
+  /** Number of open connections. */
   get openConnections(): number {
     return this.#sockets.size;
   }
 
-  /** Sends a request; `respond` is called once, with null if no complete answer came within `timeoutMs`. */
+  /** Sends a request. `respond` is called once, with null if no complete response arrived within `timeoutMs`. */
   call(endpoint: Endpoint, call: HttpRequest, timeoutMs: number, respond: Respond): void {
-    if (!this.#hasIdleConnection(endpoint) && !this.#canConnect()) {
+    if (!this.#hasIdleConnection(endpoint) && !this.#ensureCapacity()) {
       setImmediate(() => respond(null));
       return;
     }
@@ -63,7 +63,7 @@
     };
     const payload = call.body === undefined ? undefined : JSON.stringify(call.body);
     const request = http.request(this.#requestOptions(endpoint, call, payload), (response) =>
-      readAnswer(request, response, finish),
+      readResponse(request, response, finish),
     );
     const timer = setTimeout(() => {
       request.destroy();
@@ -79,8 +79,8 @@
     request.end(payload);
   }
 
-  /** Whether a call may open a connection; closes the longest idle one if that is what it takes. */
-  #canConnect(): boolean {
+  /** Returns whether a call may open a connection, closing the one that has been idle longest if needed. */
+  #ensureCapacity(): boolean {
     if (this.#sockets.size + this.#connecting < this.#maxTotal) return true;
     for (const [socket, isBusy] of this.#sockets) {
       if (isBusy) continue;
@@ -95,7 +95,7 @@
     return (this.#agent.freeSockets[this.#agent.getName({ host, port })]?.length ?? 0) > 0;
   }
 
-  /** Moves a connection to the end of the map: it is the one used last. */
+  /** Marks a connection as busy and moves it to the end of the map, as the most recently used. */
   #markBusy(socket: Socket): void {
     if (!this.#sockets.delete(socket)) socket.once("close", () => this.#sockets.delete(socket));
     this.#sockets.set(socket, true);
@@ -110,13 +110,13 @@
   }
 }
 
-/** Collects the answer; one that is too large is cut off and counts as none. */
-function readAnswer(request: http.ClientRequest, response: http.IncomingMessage, finish: Respond): void {
+/** Reads the response; an oversized one is aborted and counts as unanswered. */
+function readResponse(request: http.ClientRequest, response: http.IncomingMessage, finish: Respond): void {
   const chunks: Buffer[] = [];
   let size = 0;
   response.on("data", (chunk: Buffer) => {
     size += chunk.length;
-    if (size > MAX_ANSWER_BYTES) request.destroy();
+    if (size > MAX_RESPONSE_BYTES) request.destroy();
     else chunks.push(chunk);
   });
   response.on("end", () => {
--- a/src/shell/log.ts
+++ b/src/shell/log.ts
@@ -1,9 +1,9 @@
 import { pino } from "pino";
 
-/** The log of a node: structured lines, a fixed message each with the facts as fields. */
+/** Structured log of a node: each line has a fixed message, with details in fields. */
 export type Log = ReturnType<typeof openLog>;
 
-/** Opens the log on standard error; a level that is unknown or not set counts as "info". */
+/** Opens the log on standard error. An unknown or missing level defaults to "info". */
 export function openLog(level: string | undefined, node: string) {
   const knownLevel = level === "error" || level === "info" || level === "debug" ? level : "info";
   return pino(
--- a/src/shell/metrics.ts
+++ b/src/shell/metrics.ts
@@ -5,17 +5,17 @@
 
 type PromClient = typeof import("prom-client");
 
-/** What the loop tells of itself. */
+/** Metrics of the controller loop. */
 export interface LoopMetrics {
-  /** Batches of commands handled since the start. */
+  /** Command batches handled since startup. */
   readonly batches: number;
-  /** How late the last tick came. */
+  /** Delay of the last tick. */
   readonly lagMs: number;
-  /** Requests of users that wait for their answer. */
+  /** Unanswered user requests. */
   readonly pendingUsers: number;
 }
 
-/** The metrics of one scrape, in the order in which they are set. */
+/** The gauges of one scrape, in the order in which they are set. */
 class GaugeSet {
   readonly #library: PromClient;
   readonly registry: InstanceType<PromClient["Registry"]>;
@@ -46,8 +46,8 @@
 }
 
 /**
- * Renders all metrics in the Prometheus text format. The library is loaded at the first scrape: most of a start's
- * processor time goes into loading modules.
+ * Renders all metrics in the Prometheus text format. The library is loaded at the first scrape, as loading modules
+ * takes most of the CPU time of startup.
  */
 export async function renderMetrics(controller: Controller, loop: LoopMetrics): Promise<MetricsPage> {
   const gauges = new GaugeSet(await import("prom-client"));
@@ -65,32 +65,36 @@
 }
 
 function setNodeGauges(gauges: GaugeSet, controller: Controller, loop: LoopMetrics): void {
-  gauges.set("ready", "1 if this node takes requests", controller.isReady ? 1 : 0);
-  gauges.set("leading", "1 if this node leads", controller.leaderTerm ? 1 : 0);
-  gauges.set("batches_total", "Batches of commands worked off", loop.batches);
-  gauges.set("lag_ms", "How late the last tick came", loop.lagMs);
-  gauges.set("users_waiting", "Requests of users that await their answer", loop.pendingUsers);
+  gauges.set("ready", "1 if this node is ready for requests", controller.isReady ? 1 : 0);
+  gauges.set("leading", "1 if this node is the leader", controller.leaderTerm ? 1 : 0);
+  gauges.set("batches_total", "Command batches handled since startup", loop.batches);
+  gauges.set("lag_ms", "Delay of the last tick in milliseconds", loop.lagMs);
+  gauges.set("users_waiting", "User requests that have not been answered yet", loop.pendingUsers);
 }
 
 function setFailoverGauges(gauges: GaugeSet, controller: Controller): void {
   const { standby, takeover } = controller.failover;
   if (standby) {
-    gauges.set(
-      "standby_warm",
-      "1 if this node could lead from its cache of the records",
-      standby.warm ? 1 : 0,
-    );
-    gauges.set("standby_records", "Records in the cache", standby.records);
-    gauges.set("standby_bytes", "Bytes that the cache takes, about", standby.bytes);
+    gauges.set("standby_warm", "1 if this node could take over with its standby cache", standby.warm ? 1 : 0);
+    gauges.set("standby_records", "Records in the standby cache", standby.records);
+    gauges.set("standby_bytes", "Approximate size of the standby cache in bytes", standby.bytes);
     if (standby.lagRevisions !== null)
-      gauges.set("standby_lag_revisions", "Revisions that the cache is behind", standby.lagRevisions);
+      gauges.set(
+        "standby_lag_revisions",
+        "Store revisions by which the standby cache lags",
+        standby.lagRevisions,
+      );
     if (standby.lagS !== null)
-      gauges.set("standby_lag_seconds", "Seconds since the cache was last proved complete", standby.lagS);
+      gauges.set(
+        "standby_lag_seconds",
+        "Seconds since the standby cache was last known to be complete",
+        standby.lagS,
+      );
   }
   for (const [phase, sinceLeaderGoneMs] of takeover.phases())
     gauges.set(
       `takeover_${toSnakeCase(phase)}_ms`,
-      "Last takeover of this node: from the end of the former leader's key to this step",
+      "Milliseconds from the removal of the previous leader's key to this step of the last failover to this node",
       sinceLeaderGoneMs,
     );
 }
@@ -101,73 +105,85 @@
   leaderTerm: LeaderTerm | null,
 ): void {
   const { teams } = admission;
-  gauges.set("admission_by_slice", "1 while the leader's permits decide", admission.mode === "slice" ? 1 : 0);
+  gauges.set(
+    "admission_by_slice",
+    "1 if admission uses permits granted by the leader",
+    admission.mode === "slice" ? 1 : 0,
+  );
   const setPerTeam = (name: string, help: string, toValue: (team: TeamStatus) => number) => {
     gauges.setPerTeam(`admission_${name}`, help, teams, toValue);
   };
   setPerTeam("admitted_total", "Submissions accepted by this node", ({ admitted }) => admitted);
   setPerTeam("refused_total", "Submissions answered 429", ({ refused }) => refused);
-  setPerTeam("available", "Submissions that could be accepted now", ({ available }) => available);
-  setPerTeam("told_to_wait", "Submissions that were told when to come back", ({ waiting }) => waiting);
+  setPerTeam("available", "Submissions this node could accept now", ({ available }) => available);
+  setPerTeam("told_to_wait", "Outstanding retry reservations", ({ waiting }) => waiting);
   setPerTeam(
     "retry_after_seconds",
-    "What the last one that was refused was told",
+    "Retry-After of the last rejected submission in seconds",
     ({ lastRetryAfterS }) => lastRetryAfterS,
   );
   const longestWaitsMs = leaderTerm?.longestWaits();
   if (longestWaitsMs)
     setPerTeam(
       "longest_wait_seconds",
-      "How long nothing has begun of a line that waits",
+      "Longest time that a queue of the team has waited without a task start",
       ({ name }) => (longestWaitsMs.get(name) ?? 0) / 1000,
     );
 }
 
 function setClusterGauges(gauges: GaugeSet, { lease, cluster }: LeaderTerm): void {
   const machines = [...cluster.machines.values()];
-  gauges.set("token", "The token that everything sent carries", lease.fencingToken);
-  gauges.set("jobs", "Jobs that are not over", cluster.jobs.size);
+  gauges.set("token", "Fencing token of the current term", lease.fencingToken);
+  gauges.set("jobs", "Unfinished jobs", cluster.jobs.size);
   gauges.set(
     "machines_up",
-    "Machines that report",
+    "Machines that are up and send heartbeats",
     machines.filter(({ phase, isLeaseExpired }) => phase === "up" && !isLeaseExpired).length,
   );
   gauges.set(
     "machines_booting",
-    "Machines hired but not up",
+    "Machines provisioned but not up yet",
     machines.filter(({ phase }) => phase === "booting").length,
   );
   gauges.set(
     "placements",
-    "Tasks on machines",
+    "Tasks placed on machines",
     machines.reduce((sum, { placements }) => sum + placements.size, 0),
   );
 }
 
 function setSchedulingGauges(gauges: GaugeSet, { scheduler }: LeaderTerm): void {
-  gauges.set("blocked_jobs", "Jobs that found no place in the last round", scheduler.blocked.length);
+  gauges.set(
+    "blocked_jobs",
+    "Jobs that could not be placed in the last scheduling round",
+    scheduler.blocked.length,
+  );
   gauges.set(
     "rounds_cut_total",
-    "Rounds that went over their time and were gone on with",
+    "Times that a scheduling round exceeded its time budget and was resumed later",
     scheduler.interruptedRounds,
   );
   gauges.set(
     "machines_looked_at_total",
-    "Machines looked at in search of places",
+    "Machines examined for placements",
     scheduler.feasibleMachines.machinesExamined,
   );
 }
 
 function setAgentGauges(gauges: GaugeSet, term: LeaderTerm): void {
   const machines = [...term.cluster.machines.values()];
-  gauges.set("reports_compared_total", "Reports that said something new", term.agents.reconciliations);
+  gauges.set(
+    "reports_compared_total",
+    "Heartbeats compared with the placements because they reported something new",
+    term.agents.reconciliations,
+  );
   gauges.set(
     "machines_unreachable",
-    "Machines that report but do not hear",
+    "Machines whose agents send heartbeats but do not receive commands",
     machines.filter(({ unreachableSince }) => unreachableSince !== null).length,
   );
-  gauges.set("moves_total", "Moves begun in this term", term.migrator.startedMigrations);
-  gauges.set("unwritten", "Records that wait to be written", term.recordWriter.backlog);
+  gauges.set("moves_total", "Replica migrations started in this term", term.migrator.startedMigrations);
+  gauges.set("unwritten", "Records waiting to be written to the store", term.recordWriter.backlog);
 }
 
 function toSnakeCase(name: string): string {
--- a/src/shell/node-batches.ts
+++ b/src/shell/node-batches.ts
@@ -1,8 +1,8 @@
-/** Entries that wait to be sent together, by the node they go to. */
+/** Batches of entries to send, by destination node. */
 export class NodeBatches<Entry> {
   readonly #byNode = new Map<string, Entry[]>();
 
-  /** Appends an entry; true if it is the first of its batch. */
+  /** Appends an entry; returns true if it is the first of its batch. */
   append(node: string, entry: Entry): boolean {
     const batch = this.#byNode.get(node);
     if (batch) {
@@ -20,12 +20,12 @@
     return batch;
   }
 
-  /** Puts back a batch that could not be sent; only for a node whose batch was taken and that got no entry since. */
+  /** Puts back a batch that was taken but not sent. No entry may have been appended for the node since. */
   restore(node: string, batch: Entry[]): void {
     this.#byNode.set(node, batch);
   }
 
-  /** Sends every batch, in the order in which the nodes got their first entry, and empties them. */
+  /** Sends and removes every batch, in the order of their first entries. */
   sendAll(send: (node: string, batch: readonly Entry[]) => void): void {
     for (const [node, batch] of this.#byNode) send(node, batch);
     this.#byNode.clear();
--- a/src/shell/open-files.ts
+++ b/src/shell/open-files.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from "node:fs";
 
-/** Files, pipes and listeners that a node has open beside its connections. */
+/** Files, pipes and listeners that a node has open in addition to its connections. */
 const OTHER_OPEN_FILES = 64;
 
 /**
- * What is wrong, as a text for the log, if the system allows this process fewer open files than its connections need; null
- * if it allows enough or its limits can't be read. The limits are in the form of /proc/self/limits.
+ * Returns a message for the log if the process may open fewer files than its connections need; null if the limit is
+ * sufficient or unknown. `limits` has the format of /proc/self/limits.
  */
 export function openFilesProblem(maxConnections: number, limits = readLimits()): string | null {
   const softLimit = /^Max open files\s+(\d+)/m.exec(limits)?.[1];
@@ -17,7 +17,7 @@
   );
 }
 
-/** The limits of this process; empty where the system does not list them. */
+/** Returns the limits of this process; empty if the system does not list them. */
 function readLimits(): string {
   try {
     return readFileSync("/proc/self/limits", "utf8");
--- a/src/shell/parse-json.ts
+++ b/src/shell/parse-json.ts
@@ -1,4 +1,4 @@
-/** The value of a JSON text; undefined if it is malformed. */
+/** Parses JSON; returns undefined if it is malformed. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/shell/peers.ts
+++ b/src/shell/peers.ts
@@ -7,20 +7,20 @@
 const RECONNECT_MS = 1000;
 const CONNECT_TIMEOUT_MS = 1500;
 /**
- * The most that may wait to be sent to a peer, for each connection this node may have: after a restart the heartbeats of
- * all agents come at once.
+ * Limit of the send backlog to a peer, per connection that this node may have: after a restart the heartbeats of all
+ * agents arrive at once.
  */
 const BACKLOG_BYTES_PER_CONNECTION = 2048;
-/** With so many bytes waiting for a peer, what can wait is not sent yet. */
+/** With a larger send backlog to a peer, messages that can wait are held back. */
 const CONGESTED_BYTES = 256 * 1024;
-/** Inbound connections for each node: a peer that restarts opens new ones before its old ones are closed. */
+/** Inbound connections per node: a restarted peer opens new connections before its old ones are closed. */
 const INBOUND_PER_NODE = 8;
 
-/** What comes of the peer connections. */
+/** Receives events of the peer connections. */
 export interface PeerEvents {
-  /** The connection that this node opened to a peer is up, or was lost. */
+  /** The outbound connection to a peer was established or lost. */
   linkChanged(node: string, up: boolean): void;
-  /** A peer sent a message. */
+  /** A message arrived from a peer. */
   messageReceived(from: string, message: PeerMessage): void;
 }
 
@@ -29,14 +29,14 @@
   up: boolean;
 }
 
-/** Connections between the nodes: each node sends on those it opened and receives on those it accepted. */
+/** Connections to the other nodes. A node sends on the connections that it opened and receives on those it accepted. */
 export class Peers {
   readonly #settings: Settings;
   readonly #events: PeerEvents;
   readonly #links = new Map<string, Link>();
   readonly #server: net.Server;
   readonly #packr = new Packr({ useRecords: false });
-  /** The connection on which each peer last sent its hello. */
+  /** The connection on which each peer last sent a hello frame. */
   readonly #accepted = new Map<string, net.Socket>();
 
   constructor(settings: Settings, events: PeerEvents) {
@@ -46,7 +46,7 @@
     this.#server.maxConnections = INBOUND_PER_NODE * (settings.peers.length + 1);
   }
 
-  /** Listens for the peers and connects to them; a lost connection is opened again until the process ends. */
+  /** Listens for peers and connects to them; lost connections are re-established until the process exits. */
   listen(onError: (error: Error) => void): void {
     const { peerListen, peers } = this.#settings;
     this.#server.on("error", onError);
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Sends a message to a peer; without a connection it is dropped, as nothing depends on any one message. It is packed at
-   * once: a packing stream would queue messages for a peer that doesn't read as objects, which no bound in bytes counts.
+   * Sends a message to a peer, or drops it if the peer is not connected; nothing depends on any single message.
+   * Messages are encoded at once: a `PackrStream` would queue them as objects, which the limit in bytes does not count.
    */
   send(to: string, message: PeerMessage): void {
     const link = this.#links.get(to);
@@ -66,7 +66,7 @@
     else link.socket.write(this.#packr.pack(encodePeerMessage(message)));
   }
 
-  /** Whether a peer takes messages more slowly than they come: then those that may be dropped or batched should wait. */
+  /** Whether the send backlog to a peer is so large that messages that may be dropped or batched should wait. */
   isCongested(to: string): boolean {
     const link = this.#links.get(to);
     return link?.up === true && link.socket.writableLength > CONGESTED_BYTES;
@@ -83,7 +83,7 @@
       socket.write(this.#packr.pack(encodeHello(this.#settings.deployment.node)));
       this.#events.linkChanged(node, true);
     });
-    // "close" follows every error.
+    // Handled by "close", which follows every error.
     socket.on("error", () => {});
     socket.on("close", () => {
       clearTimeout(timer);
@@ -91,7 +91,7 @@
       link.up = false;
       setTimeout(() => this.#connect(node, endpoint), RECONNECT_MS);
     });
-    // Nothing comes on it, but only a socket that is read tells of its end.
+    // The peer sends nothing here, but "close" is only emitted while the socket is being read.
     socket.resume();
   }
 
@@ -108,14 +108,14 @@
     socket.pipe(frames);
   }
 
-  /** The peer that a first frame names; null, and the connection closed, if it names none. */
+  /** Returns the peer named in a first frame; closes the connection and returns null if it names no known peer. */
   #identify(socket: net.Socket, frame: unknown): string | null {
     const node = decodeHello(frame);
     if (node === null || !this.#settings.peers.some((peer) => peer.node === node)) {
       socket.destroy();
       return null;
     }
-    // The peer has restarted: what its previous process still sends must not be taken for its own.
+    // The peer has restarted: messages of its previous process must not be attributed to the new one.
     this.#accepted.get(node)?.destroy();
     this.#accepted.set(node, socket);
     return node;
--- a/src/shell/request-handler.ts
+++ b/src/shell/request-handler.ts
@@ -1,28 +1,28 @@
 import type { AdminRequest, AdminResponse } from "../core/messages/administration.js";
 import type { SubmittedSpec, UserResponse } from "../core/messages/users.js";
 
-/** A page of metrics with its content type. */
+/** Rendered metrics with their content type. */
 export interface MetricsPage {
   readonly type: string;
   readonly text: string;
 }
 
-/** What the HTTP side asks of the controller. Each request is answered exactly once, through its callback. */
+/** The controller as seen by the HTTP routes. Each request is answered exactly once, through its callback. */
 export interface RequestHandler {
-  /** Whether this node takes requests. */
+  /** Whether this node is ready for requests. */
   readonly ready: boolean;
-  /** Whether this node is so far behind that it must shed requests. */
+  /** Whether this node is overloaded and must shed user requests. */
   readonly overloaded: boolean;
-  /** Submits a job. Of a malformed one, too, the controller says whether its uid is known. */
+  /** Submits a job. Malformed ones are passed on too, since the controller may already know the uid. */
   submit(uid: string, submitted: SubmittedSpec, respond: (response: UserResponse) => void): void;
-  /** Looks up a job. */
+  /** Looks up a job's status. */
   poll(uid: string, respond: (response: UserResponse) => void): void;
   /** Cancels a job. */
   cancel(uid: string, respond: (response: UserResponse) => void): void;
-  /** Carries out an operator's request. */
+  /** Executes an operator's request. */
   administer(request: AdminRequest, respond: (response: AdminResponse) => void): void;
-  /** Takes an agent's heartbeat; false, and no answer, if the body is none. */
-  takeHeartbeat(body: unknown, respond: (status: number, body: unknown) => void): boolean;
+  /** Accepts an agent's heartbeat. Returns false, without calling `respond`, if the body is not a valid heartbeat. */
+  receiveHeartbeat(body: unknown, respond: (status: number, body: unknown) => void): boolean;
   /** Renders the metrics for a scrape. */
   metrics(): Promise<MetricsPage>;
 }
--- a/src/shell/serve.ts
+++ b/src/shell/serve.ts
@@ -6,25 +6,25 @@
 import { ControllerLoop } from "./controller-loop.js";
 import { type Log, openLog } from "./log.js";
 import { openFilesProblem } from "./open-files.js";
-import { shareSockets } from "./sockets.js";
+import { allocateSockets } from "./sockets.js";
 
 export { compileAhead } from "./compile-ahead.js";
 
-/** The part of its memory that a node may use for the records that it caches as a standby. */
-const STANDBY_MEMORY_PART = 1 / 16;
+/** Fraction of the node's memory that the standby cache may use. */
+const STANDBY_MEMORY_FRACTION = 1 / 16;
 const BYTES_PER_MB = 1024 * 1024;
 
-/** How a node runs, beside its settings. */
+/** Options of a node in addition to its settings file. */
 export interface ServeOptions {
-  /** Why this program was loaded without its code cache; null if it was loaded with it. */
+  /** Why the code cache was not used; null if it was. */
   readonly cacheProblem: string | null;
-  /** Whether this node caches the records while another leads. */
+  /** Whether this node keeps a standby cache of the records while another node leads. */
   readonly standby: boolean;
-  /** Whether submissions are admitted by the teams' shares. */
+  /** Whether submissions are limited by the teams' shares. */
   readonly admission: boolean;
 }
 
-/** Runs a node until its process is killed; throws a SettingsError if its settings are unusable. */
+/** Runs a node until its process is killed; throws a SettingsError if its settings are invalid. */
 export function serve(configPath: string, options: ServeOptions): void {
   const settings = loadSettings(configPath);
   const log = openLog(process.env.LOG_LEVEL, settings.deployment.node);
@@ -34,32 +34,32 @@
     process.exit(1);
   };
   const loop = new ControllerLoop(settings, createIdentity(settings, options), log);
-  const shares = shareSockets(settings.maxConnections);
-  const server = createServer(loop, shares);
+  const sockets = allocateSockets(settings.maxConnections);
+  const server = createServer(loop, sockets);
   server.on("error", exitOnListenError);
-  listen(server, settings, shares.inbound, log);
+  listen(server, settings, sockets.inbound, log);
   loop.start(exitOnListenError);
 }
 
 function logStartProblems(log: Log, settings: Settings, { cacheProblem }: ServeOptions): void {
-  if (cacheProblem !== null) log.info({ reason: cacheProblem }, "started without the code cache");
+  if (cacheProblem !== null) log.info({ reason: cacheProblem }, "started without code cache");
   const problem = openFilesProblem(settings.maxConnections);
-  if (problem !== null) log.error({ reason: problem }, "too few open files");
+  if (problem !== null) log.error({ reason: problem }, "open file limit too low");
 }
 
-/** A new identity for each process: a node that restarts is not taken for its previous process. */
+/** Creates a new identity for each process, so that a restarted node is not mistaken for its previous process. */
 function createIdentity(settings: Settings, { standby, admission }: ServeOptions): Identity {
   const nonce = randomBytes(8);
   return {
     incarnation: nonce.toString("hex"),
     seed: nonce.readInt32LE(0),
     epochMs: Date.now() - performance.now(),
-    standbyBytes: standby ? settings.memoryMb * BYTES_PER_MB * STANDBY_MEMORY_PART : 0,
+    standbyBytes: standby ? settings.memoryMb * BYTES_PER_MB * STANDBY_MEMORY_FRACTION : 0,
     admission,
   };
 }
 
-/** A whole fleet may connect at once: Node's own default backlog would let only 511 connections wait. */
+/** The whole fleet may connect at once, and Node.js's default backlog holds only 511 connections. */
 function listen(server: Server, { listen: { host, port } }: Settings, backlog: number, log: Log): void {
   server.listen({ host, port, backlog }, () => {
     log.info({ listen: { host, port }, started_ms: Math.round(performance.now()) }, "started");
--- a/src/shell/sockets.ts
+++ b/src/shell/sockets.ts
@@ -1,38 +1,38 @@
-/** What a node's sockets are for: bounds that together stay within what the settings allow it. */
-export interface SocketShares {
-  /** Connections that users, agents, probes and operators may have open here; beyond it they are turned away. */
+/** Limits of a node's sockets by use. Together they stay within `max_connections`. */
+export interface SocketAllocation {
+  /** Inbound connections of users, agents, probes and operators; any more are rejected. */
   readonly inbound: number;
-  /** How many of those may be agents': the rest is for probes and users. */
+  /** How many inbound connections agents may use; the rest is reserved for the others. */
   readonly agentsInbound: number;
-  /** How many of these are kept open between heartbeats; an agent beyond them is answered, and its connection closed. */
+  /** How many agent connections stay open between heartbeats; any more are closed after the response. */
   readonly agentsKeptOpen: number;
-  /** Connections to agents, for direct commands. */
+  /** Outbound connections to agents for direct commands. */
   readonly agentsOutbound: number;
 }
 
-/** Key-value store, cloud and peers, with one more each for connections that are being closed; listeners and the like. */
+/** For store, cloud and peers, with one more each for a connection that is closing, and for listeners and the like. */
 const FIXED_SOCKETS = 96;
-const AGENTS_OUTBOUND_PART = 0.1;
-const OTHERS_INBOUND_PART = 0.08;
+const AGENTS_OUTBOUND_FRACTION = 0.1;
+const OTHERS_INBOUND_FRACTION = 0.08;
 const MIN_OTHERS_INBOUND = 8;
-/** The part of the agents' connections that is free for those that are opened for one heartbeat. */
-const SHORT_LIVED_PART = 0.1;
-const MIN_SHARE = 8;
+/** Fraction of the agent connections reserved for those that are opened for a single heartbeat. */
+const SHORT_LIVED_FRACTION = 0.1;
+const MIN_ALLOCATION = 8;
 
 /**
- * Divides a node's connections. Nearly all go to the listener: after a restart one node may serve the whole fleet for a
- * while. Direct commands need few, as the connection that has been idle longest makes way for another machine's.
+ * Divides a node's connections by use. Nearly all are for inbound connections, since after a restart one node may serve
+ * the whole fleet for a while. Direct commands need few, as the longest idle connection is closed to open another.
  */
-export function shareSockets(maxConnections: number): SocketShares {
+export function allocateSockets(maxConnections: number): SocketAllocation {
   const available = Math.max(0, maxConnections - Math.min(FIXED_SOCKETS, Math.floor(maxConnections / 3)));
-  const workersOut = Math.max(MIN_SHARE, Math.floor(available * AGENTS_OUTBOUND_PART));
-  const inbound = Math.max(2 * MIN_SHARE, available - workersOut);
-  const othersInbound = Math.max(MIN_OTHERS_INBOUND, Math.floor(inbound * OTHERS_INBOUND_PART));
-  const workersIn = Math.max(1, inbound - othersInbound);
+  const agentsOutbound = Math.max(MIN_ALLOCATION, Math.floor(available * AGENTS_OUTBOUND_FRACTION));
+  const inbound = Math.max(2 * MIN_ALLOCATION, available - agentsOutbound);
+  const othersInbound = Math.max(MIN_OTHERS_INBOUND, Math.floor(inbound * OTHERS_INBOUND_FRACTION));
+  const agentsInbound = Math.max(1, inbound - othersInbound);
   return {
     inbound,
-    agentsInbound: workersIn,
-    agentsKeptOpen: Math.floor(workersIn * (1 - SHORT_LIVED_PART)),
-    agentsOutbound: workersOut,
+    agentsInbound,
+    agentsKeptOpen: Math.floor(agentsInbound * (1 - SHORT_LIVED_FRACTION)),
+    agentsOutbound,
   };
 }
--- a/src/shell/user-routes.ts
+++ b/src/shell/user-routes.ts
@@ -7,7 +7,7 @@
 
 const OVERLOADED: UserResponse = { kind: "unavailable", error: "overloaded", retryAfterS: 2 };
 
-/** The routes of users: submitting, polling and cancelling a job. Bodies of more than `bodyLimit` bytes are refused. */
+/** Adds the routes for submitting, polling and cancelling jobs. Bodies over `bodyLimit` bytes are rejected. */
 export function addUserRoutes(app: Express, handler: RequestHandler, bodyLimit: number): void {
   const shed = shedWhenOverloaded(handler);
   const jsonBody = express.json({ limit: bodyLimit, type: () => true, strict: false });
@@ -30,7 +30,7 @@
   });
 }
 
-/** Sheds load before the body is read: what can't be taken is answered at once. */
+/** Rejects requests under overload, before reading their bodies. */
 function shedWhenOverloaded(handler: RequestHandler) {
   return (_req: Request<{ id: string }>, res: Response, next: NextFunction) => {
     if (handler.overloaded) writeUserResponse(res, OVERLOADED);
--- a/src/shell/write-response.ts
+++ b/src/shell/write-response.ts
@@ -1,7 +1,7 @@
 import type http from "node:http";
 import type { HttpResponse } from "../protocol/http.js";
 
-/** Answers with a JSON body, unless the request was answered already or its connection is closed. */
+/** Sends a JSON response, unless the request was already answered or its connection is closed. */
 export function writeJson(res: http.ServerResponse, status: number, body: unknown): void {
   if (res.headersSent || res.destroyed) return;
   const text = JSON.stringify(body ?? {});
@@ -9,7 +9,7 @@
   res.end(text);
 }
 
-/** Answers with a response in its wire form. */
+/** Sends an encoded response. */
 export function writeResponse(res: http.ServerResponse, response: HttpResponse): void {
   if (res.headersSent || res.destroyed) return;
   if (response.retryAfterS !== null) res.setHeader("retry-after", String(response.retryAfterS));
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -11,7 +11,7 @@
 import type { PeerMessage } from "../src/core/messages/peers.js";
 import { createServer, type RequestHandler } from "../src/shell/api.js";
 import { Peers } from "../src/shell/peers.js";
-import { shareSockets } from "../src/shell/sockets.js";
+import { allocateSockets } from "../src/shell/sockets.js";
 import { SETTINGS } from "./support/settings.js";
 
 const LOOPBACK = "127.0.0.1";
@@ -77,7 +77,7 @@
   poll(): void {}
   cancel(): void {}
   administer(): void {}
-  takeHeartbeat(body: unknown): boolean {
+  receiveHeartbeat(body: unknown): boolean {
     if (body !== undefined) this.taken++;
     return false;
   }
@@ -135,7 +135,7 @@
 
   test("an oversized chunked body is refused without being buffered, on every path", async () => {
     const handler = new CountingRequestHandler();
-    const server = createServer(handler, shareSockets(100));
+    const server = createServer(handler, allocateSockets(100));
     const port = await listen(server);
     try {
       for (const path of ["/api/jobs", "/agent/beat"]) {
@@ -158,7 +158,7 @@
 
   test("a body that arrives byte by byte is read whole, and an incomplete request costs only its own connection", async () => {
     const handler = new CountingRequestHandler();
-    const server = createServer(handler, shareSockets(100));
+    const server = createServer(handler, allocateSockets(100));
     const port = await listen(server);
     try {
       const halfRequest = net.connect(port, LOOPBACK);
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -6,7 +6,7 @@
 import { test } from "node:test";
 import { createServer, type RequestHandler } from "../src/shell/api.js";
 import { HttpClient, type HttpResult } from "../src/shell/http-client.js";
-import { shareSockets } from "../src/shell/sockets.js";
+import { allocateSockets } from "../src/shell/sockets.js";
 
 const LOOPBACK = "127.0.0.1";
 
@@ -28,7 +28,7 @@
 
 test("the socket shares of a node stay within its limit, and leave enough for the agents of a whole fleet", () => {
   for (const limit of [64, 400, 1200, 1282, 1936, 10_000]) {
-    const { inbound, agentsInbound, agentsKeptOpen, agentsOutbound } = shareSockets(limit);
+    const { inbound, agentsInbound, agentsKeptOpen, agentsOutbound } = allocateSockets(limit);
     assert.ok(
       agentsKeptOpen >= 1 && agentsKeptOpen < agentsInbound,
       `${limit}: ${agentsKeptOpen} of ${agentsInbound} kept`,
@@ -36,8 +36,8 @@
     assert.ok(inbound + agentsOutbound < limit, `${limit}: ${inbound} + ${agentsOutbound}`);
     assert.ok(agentsInbound < inbound && agentsOutbound >= 1);
   }
-  assert.ok(shareSockets(1282).agentsInbound >= 940);
-  assert.ok(shareSockets(1936).agentsInbound >= 940);
+  assert.ok(allocateSockets(1282).agentsInbound >= 940);
+  assert.ok(allocateSockets(1936).agentsInbound >= 940);
 });
 
 test("with more hosts than connections each call is answered, and the longest idle connection is closed for it", async () => {
@@ -91,7 +91,7 @@
   poll(): void {}
   cancel(): void {}
   administer(): void {}
-  takeHeartbeat(_body: unknown, then: (status: number, body: unknown) => void): boolean {
+  receiveHeartbeat(_body: unknown, then: (status: number, body: unknown) => void): boolean {
     then(200, { baton: 1, orders: [] });
     return true;
   }
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -18,7 +18,7 @@
 import { decodeStoreResponse } from "../src/protocol/store.js";
 import { createServer, type RequestHandler } from "../src/shell/api.js";
 import { openFilesProblem } from "../src/shell/open-files.js";
-import { shareSockets } from "../src/shell/sockets.js";
+import { allocateSockets } from "../src/shell/sockets.js";
 import { SETTINGS } from "./support/settings.js";
 
 const JOB = {
@@ -201,7 +201,7 @@
         : { kind: "ok", body: {} },
     );
   }
-  takeHeartbeat(): boolean {
+  receiveHeartbeat(): boolean {
     return false;
   }
   metrics(): Promise<{ type: string; text: string }> {
@@ -211,7 +211,7 @@
 
 test("the API answers invalid input with 4xx at no cost, and sheds load beyond its capacity at once", async () => {
   const handler = new FakeRequestHandler();
-  const server = createServer(handler, shareSockets(100));
+  const server = createServer(handler, allocateSockets(100));
   await new Promise<void>((listening) => server.listen(0, "127.0.0.1", listening));
   const { port } = server.address() as AddressInfo;
   const request = async (method: string, path: string, body?: string) => {
