--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -17,12 +17,12 @@
   readonly node: string;
 }
 
-/** Runs one command line to its end. What its user did wrong is printed, and ends the process with status 1. */
+/** Runs a command line. For errors that the user can fix, prints the message and exits with status 1. */
 export async function run(argv: readonly string[]): Promise<void> {
   const program = new Command("hillspindle")
-    .description("A cluster scheduler: run a node, or talk to one.")
+    .description("Cluster scheduler: runs a node, or sends requests to one.")
     .version(readVersion())
-    .showHelpAfterError("(--help tells the usage)");
+    .showHelpAfterError("(use --help for usage information)");
   addServeCommand(program);
   addJobCommands(program);
   addOperatorCommands(program);
@@ -35,7 +35,7 @@
   }
 }
 
-/** The version in the manifest: the program is one bundle in target/, beside the manifest's folder. */
+/** Reads the version from package.json, in the parent directory of the bundle (target/). */
 function readVersion(): string {
   const manifest: unknown = JSON.parse(readFileSync(new URL("../package.json", import.meta.url), "utf8"));
   const version =
@@ -44,19 +44,23 @@
 }
 
 function nodeOption(): Option {
-  return new Option("-n, --node <host:port>", "the node to ask")
+  return new Option("-n, --node <host:port>", "node to send the request to")
     .default(DEFAULT_NODE)
     .env("HILLSPINDLE_NODE");
 }
 
-/** The server's modules are loaded by this command alone: the others stay quick to start. */
+/** Only this command loads the server's modules, so that the others start quickly. */
 function addServeCommand(program: Command): void {
   program
     .command("serve")
     .description("run a node")
-    .requiredOption("--config <file>", "the platform's settings (TOML)")
-    .option("--standby", "keep the records while another node leads, so as to take over from it warm", false)
-    .option("--admission", "admit submissions by the teams' shares, and answer the rest 429", false)
+    .requiredOption("--config <file>", "settings file in TOML format")
+    .option("--standby", "cache the records while another node leads, for a faster failover", false)
+    .option(
+      "--admission",
+      "limit submissions by the teams' shares; answer excess ones with status 429",
+      false,
+    )
     .action(async ({ config, standby, admission }: ServeArguments) => {
       const { loadServer } = await import("./server-bundle.js");
       const { server, cacheProblem } = loadServer();
@@ -67,7 +71,7 @@
 function addJobCommands(program: Command): void {
   program
     .command("submit")
-    .description("submit a job described in a JSON file (- for standard input)")
+    .description("submit a job from a JSON file (- for standard input)")
     .argument("<file>")
     .addOption(nodeOption())
     .action((file: string, { node }: NodeArguments) =>
@@ -75,7 +79,7 @@
     );
   program
     .command("show")
-    .description("show a job's state")
+    .description("show a job's status")
     .argument("<id>")
     .addOption(nodeOption())
     .action((id: string, { node }: NodeArguments) =>
@@ -94,7 +98,7 @@
 function addOperatorCommands(program: Command): void {
   program
     .command("settings")
-    .description("show the operators' settings, or change some: name=value …")
+    .description("show the operator settings, or change them: name=value ...")
     .argument("[changes...]")
     .addOption(nodeOption())
     .action((changes: string[], { node }: NodeArguments) => {
@@ -105,7 +109,9 @@
     });
   program
     .command("machine")
-    .description("set a machine to open, cordon (nothing new) or drain (emptied and returned)")
+    .description(
+      "set a machine's mode: open, cordon (no new tasks) or drain (move tasks off, then terminate)",
+    )
     .argument("<name>")
     .argument("<mode>")
     .addOption(nodeOption())
@@ -114,7 +120,7 @@
     );
   program
     .command("status")
-    .description("show a node's view: leader, machines, queue, pending move")
+    .description("show a node's status: leader, machines, queue, pending replica migration")
     .addOption(nodeOption())
     .action(({ node }: NodeArguments) => callNode({ node, method: "GET", path: "/admin/status" }));
 }
--- a/src/cli/errors.ts
+++ b/src/cli/errors.ts
@@ -1,7 +1,7 @@
-/** What kept a command from being carried out. */
+/** Why a command failed. */
 export type CliErrorCode = "unreachable" | "refused" | "badArgument";
 
-/** A command that could not be carried out; the message is for the user, and names what was wrong. */
+/** Thrown if a command fails for a reason to show to its user; the message states that reason. */
 export class CliError extends Error {
   readonly code: CliErrorCode;
 
@@ -12,7 +12,7 @@
   }
 }
 
-/** The message of anything that was thrown. */
+/** Returns the message of any thrown value. */
 export function messageOf(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
--- a/src/cli/make-code-cache.ts
+++ b/src/cli/make-code-cache.ts
@@ -2,7 +2,7 @@
 import { fileURLToPath } from "node:url";
 import { loadServer } from "./server-bundle.js";
 
-/** Run by the build, under the flags of the run line: writes the code cache that later starts use. */
+/** Writes the code cache. The build uses the server's Node.js flags here, as V8 rejects a cache made with others. */
 
 const { server, codeCache } = loadServer();
 server.compileAhead();
--- a/src/cli/node-client.ts
+++ b/src/cli/node-client.ts
@@ -11,12 +11,12 @@
   readonly body?: unknown;
 }
 
-/** Sends a request to a node and prints the body of its answer; any status but a 2xx is a CliError. */
+/** Sends a request to a node and prints the response body; throws a CliError if the status is not 2xx. */
 export async function callNode(request: NodeRequest): Promise<void> {
   const response = await send(request);
   const text = await response.text();
   process.stdout.write(`${text.trimEnd()}\n`);
-  if (!response.ok) throw new CliError("refused", `${request.node} answered ${response.status}`);
+  if (!response.ok) throw new CliError("refused", `${request.node} responded with status ${response.status}`);
 }
 
 async function send({ node, method, path, body }: NodeRequest): Promise<Response> {
@@ -28,7 +28,7 @@
       signal: AbortSignal.timeout(TIMEOUT_MS),
     });
   } catch (error) {
-    // What fetch throws says only that it failed; its cause says why.
+    // The error thrown by fetch only says that it failed; its cause contains the reason.
     const cause = error instanceof Error && error.cause !== undefined ? error.cause : error;
     throw new CliError("unreachable", `cannot reach ${node}: ${messageOf(cause)}`, { cause: error });
   }
--- a/src/cli/server-bundle.ts
+++ b/src/cli/server-bundle.ts
@@ -4,25 +4,25 @@
 import { fileURLToPath } from "node:url";
 import { Script } from "node:vm";
 
-/** The server bundle and its code cache, as `build.mjs` writes them beside the command line's bundle. */
+/** The server bundle and its code cache; `build.mjs` writes them to the directory of the CLI bundle. */
 const BUNDLE = "server.cjs";
 const CODE_CACHE = "server.cache";
 
 type ServerModule = typeof import("../shell/serve.js");
 
-/** The server's modules, loaded. */
+/** The loaded server bundle. */
 export interface LoadedServer {
   readonly server: ServerModule;
   /** Why the code cache was not used; null if it was. */
   readonly cacheProblem: string | null;
-  /** The compiled code as V8 would store it now. */
+  /** Returns the code compiled so far, as a V8 code cache. */
   readonly codeCache: () => Buffer;
 }
 
 /**
- * Loads the server bundle, with V8's code cache if the build left one that fits: compiling the bundle is a third of the
- * processor time of a start. A cache that is missing, or was made by another version of Node or under other flags, is
- * ignored, and the bundle compiled as usual.
+ * Loads the server bundle, using V8's code cache if possible, as compiling the bundle takes a third of the CPU time of
+ * startup. If the cache is missing, or was made by another version of Node.js or with other flags, the bundle is
+ * compiled as usual.
  */
 export function loadServer(folder = dirname(fileURLToPath(import.meta.url))): LoadedServer {
   const filename = `${folder}/${BUNDLE}`;
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,71 +1,74 @@
 import * as v from "valibot";
 
 /**
- * The operators' own settings. They are stored in the key-value store and change only through the administration API;
- * these are the defaults and the bounds.
+ * Settings that operators change at run time, with defaults and bounds. They are stored in the key-value store and
+ * change only through the administration API.
  */
 
 const number = (min: number, max: number) => v.pipe(v.number(), v.finite(), v.minValue(min), v.maxValue(max));
-const whole = (min: number, max: number) => v.pipe(number(min, max), v.integer());
+const integer = (min: number, max: number) => v.pipe(number(min, max), v.integer());
 
-/** The most machines that a leader is meant for (docs/DESIGN.md, "Bounds"); the version in production reads no more. */
+/** Design limit of a leader (docs/DESIGN.md, "Bounds"); the previous version does not accept more. */
 const MAX_MACHINES = 10_000;
 
-/** The stored form of the settings. A name that is unknown is an error, so that a mistyped one is not ignored. */
+/** Schema of the stored settings. Unknown names are errors, so that misspelt ones are not ignored. */
 export const operatorSchema = v.strictObject({
-  /** A machine is cold while its booked CPU share is below `move_low`; replicas move to where it stays below `move_high`. */
+  /**
+   * A machine is underutilized while its booked CPU share is below `move_low`. The target of a replica migration must
+   * stay below `move_high`.
+   */
   move_low: v.optional(number(0, 1), 0.3),
   move_high: v.optional(number(0, 1), 0.8),
-  /** How often a replica migration may begin, how long a machine must have been cold, how long the old replica drains. */
+  /** Interval between replica migrations, minimum time underutilized before one, and drain time of the old replica. */
   move_round_s: v.optional(number(1, 3600), 30),
   move_window_s: v.optional(number(0, 600), 10),
   move_drain_s: v.optional(number(0, 600), 30),
-  /** TTL of the leader's lease. */
-  leader_grant_ms: v.optional(whole(1000, 60_000), 3000),
-  /** How long a leader that can't reach the key-value store goes on replying to heartbeats. */
+  /** TTL of the leader lease. */
+  leader_grant_ms: v.optional(integer(1000, 60_000), 3000),
+  /** How long a leader that can't reach the key-value store continues to reply to heartbeats. */
   hold_s: v.optional(number(0, 600), 30),
-  /** Time for one scheduling round. */
+  /** Time budget of one scheduling round. */
   round_budget_ms: v.optional(number(1, 1000), 20),
-  /** No more are provisioned. */
-  max_machines: v.optional(whole(0, MAX_MACHINES), MAX_MACHINES),
-  /** An empty machine is terminated after this. */
+  /** Maximum number of provisioned machines. */
+  max_machines: v.optional(integer(0, MAX_MACHINES), MAX_MACHINES),
+  /** Time after which an empty machine is terminated. */
   idle_s: v.optional(number(5, 86_400), 40),
-  /** Over what time GPU work is counted for the headroom, and how much headroom there is, in standard deviations. */
+  /** Time window over which GPU demand is measured, and the headroom in standard deviations of that demand. */
   spare_window_s: v.optional(number(1, 3600), 120),
   spare_factor: v.optional(number(0, 10), 1.5),
-  /** Small work may provision GPU machines up to this multiple of its cost elsewhere. */
+  /** Jobs without GPUs may provision GPU machines up to this multiple of their lowest cost on other machines. */
   dear_factor: v.optional(number(1, 1000), 6),
-  /** A machine is terminated if it is not up after this many times its type's boot time. */
+  /** A machine that is not up after this multiple of its type's boot time is terminated. */
   boot_factor: v.optional(number(1.5, 100), 4),
-  /** How often the fencing token is raised, so that ended attempts can be acknowledged. */
+  /** Interval at which the fencing token is raised so that ended attempts can be acknowledged. */
   token_raise_s: v.optional(number(5, 3600), 30),
-  /** Jobs accepted a second by all nodes; 0: as many as the key-value store's write rate suffices for. */
+  /** Jobs per second that all nodes together accept; 0 derives the rate from the key-value store's write rate. */
   admission_rate: v.optional(number(0, 10_000), 0),
-  /** Unfinished jobs of all teams up to which new ones are accepted. */
-  admission_open_jobs: v.optional(whole(1, 1_000_000), 20_000),
-  /** By team; a team that is not named has its guaranteed CPUs as its weight. */
+  /** Limit on unfinished jobs of all teams; at the limit no new jobs are accepted. */
+  admission_open_jobs: v.optional(integer(1, 1_000_000), 20_000),
+  /** By team; defaults to the guaranteed CPUs of the team. */
   admission_weights: v.optional(v.record(v.string(), number(0, 1_000_000)), {}),
-  /** After this long without a start the oldest job of a class of a team goes first. */
+  /** After this time without a task start, the oldest waiting job of a team's class is scheduled first. */
   admission_turn_s: v.optional(number(5, 160), 60),
 });
 
-/** The operators' settings, by their stored names. */
+/** The operator settings, by their stored names. */
 export type OperatorSettings = v.InferOutput<typeof operatorSchema>;
 
-/** The settings as long as an operator has changed none. */
+/** The default settings. */
 export const defaultOperatorSettings: OperatorSettings = v.parse(operatorSchema, {});
 
-/** The settings after a change, or what is wrong with it; the error names the setting at fault. */
+/** The settings after a change, or an error that names the invalid setting. */
 export type OperatorSettingsResult =
   | { readonly ok: true; readonly settings: OperatorSettings }
   | { readonly ok: false; readonly error: string };
 
-/** Applies a change to the present settings. */
+/** Applies a change to the current settings. */
 export function changeOperatorSettings(
-  present: OperatorSettings,
+  current: OperatorSettings,
   change: Record<string, unknown>,
 ): OperatorSettingsResult {
-  const result = v.safeParse(operatorSchema, { ...present, ...change });
+  const result = v.safeParse(operatorSchema, { ...current, ...change });
   if (!result.success) {
     const issue = result.issues[0];
     return { ok: false, error: `${v.getDotPath(issue) ?? "settings"}: ${issue.message}` };
@@ -76,7 +79,7 @@
   return { ok: true, settings: result.output };
 }
 
-/** Reads stored settings; one that is unknown or out of bounds (another version wrote it) falls back to its default. */
+/** Reads stored settings. Those that are unknown or out of bounds, written by another version, get their defaults. */
 export function readOperatorSettings(stored: unknown): OperatorSettings {
   if (typeof stored !== "object" || stored === null) return defaultOperatorSettings;
   let settings = defaultOperatorSettings;
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -8,13 +8,13 @@
 const endpoint = v.pipe(v.string(), v.regex(/^[^\s:]+:\d{1,5}$/, "must be host:port"));
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
 const amount = v.optional(v.pipe(v.number(), v.finite(), v.minValue(0)), 0);
-/** A replica migration, a start with its machine's record, and a job's two keys at its end each fit in one transaction. */
+/** One transaction must fit a replica migration, a task start with its machine record, or a finished job's two keys. */
 const txnOps = v.pipe(v.number(), v.integer(), v.minValue(4));
-/** The store allows bursts of a second's worth of writes: a transaction of the smallest size has to fit in one. */
+/** The store allows bursts of one second's writes, and a transaction of minimum size must fit in one burst. */
 const writeRps = v.pipe(v.number(), v.finite(), v.minValue(4));
-/** Keep-alives, watches and heartbeats of three nodes take this much by themselves. */
+/** Minimum for the lease renewals, watches and heartbeats of three nodes. */
 const storeRps = v.pipe(v.number(), v.finite(), v.minValue(10));
-/** The records of ordinary jobs need this much. */
+/** Minimum for the records of typical jobs. */
 const MIN_VALUE_KB = 1;
 
 const schema = v.object({
@@ -79,11 +79,11 @@
 const MAX_PORT = 65_535;
 const BYTES_PER_KB = 1024;
 
-/** The settings of a node, as the platform writes them; they are read once, at the start. */
+/** Settings of a node from the settings file that the platform writes, read once at startup. */
 export interface Settings {
-  /** Where users, agents, probes and operators connect to. */
+  /** Listen address for users, agents, probes and operators. */
   readonly listen: Endpoint;
-  /** Where peers connect to. */
+  /** Listen address for peers. */
   readonly peerListen: Endpoint;
   readonly peers: readonly { readonly node: string; readonly at: Endpoint }[];
   readonly cloud: Endpoint;
@@ -94,16 +94,16 @@
   readonly deployment: Deployment;
 }
 
-/** Where a service listens. */
+/** Host and port of a service. */
 export interface Endpoint {
   readonly host: string;
   readonly port: number;
 }
 
-/** Which part of reading the settings failed. */
+/** Why loading the settings failed. */
 export type SettingsErrorCode = "unreadable" | "notToml" | "invalid";
 
-/** Settings that a node can't start with; the message names the field, where one is at fault. */
+/** Thrown if the settings cannot be read or are invalid. The message names the invalid field, if any. */
 export class SettingsError extends Error {
   readonly code: SettingsErrorCode;
 
@@ -114,18 +114,18 @@
   }
 }
 
-/** Splits a `host:port`; the port is not checked. */
+/** Splits `host:port` without checking the port. */
 export function parseEndpoint(value: string): Endpoint {
   const colon = value.lastIndexOf(":");
   return { host: value.slice(0, colon), port: Number(value.slice(colon + 1)) };
 }
 
-/** Reads a settings file; throws a SettingsError if it can't be read or is invalid. */
+/** Loads a settings file; throws a SettingsError if it can't be read or is invalid. */
 export function loadSettings(path: string): Settings {
   return parseSettings(readSource(path));
 }
 
-/** Reads settings in TOML; throws a SettingsError if they are invalid. Unknown fields are a later version's and ignored. */
+/** Parses TOML settings; throws a SettingsError if invalid. Ignores unknown fields, as a later version may add some. */
 export function parseSettings(source: string): Settings {
   const result = v.safeParse(schema, parseToml(source));
   if (!result.success) {
@@ -166,10 +166,10 @@
 function checkNames({ node, known, deployment: { teams } }: WireSettings): void {
   const names = new Set<string>();
   for (const [i, { name }] of teams.entries()) {
-    if (names.has(name)) throw invalid(`deployment.teams.${i}.name`, `${name} is named twice`);
+    if (names.has(name)) throw invalid(`deployment.teams.${i}.name`, `duplicate team name ${name}`);
     names.add(name);
   }
-  if (known.some((peer) => peer.node === node)) throw invalid("known", "names this node itself");
+  if (known.some((peer) => peer.node === node)) throw invalid("known", "must not contain this node");
 }
 
 function checkStoreLimits({ value_kb, next }: WireDeployment["state"]): void {
@@ -180,11 +180,17 @@
   }
 }
 
-/** A heartbeat renews an agent's lease; a task on a lost machine runs for up to one lease, and must be over by `cancel_s`. */
+/**
+ * Heartbeats renew the agent lease, so the lease must outlast their interval. A task on a lost machine runs for up to
+ * one lease, and must have ended after `cancel_s`.
+ */
 function checkAgentTimes({ report_s, lease_s, cancel_s }: WireDeployment["workers"]): void {
   if (lease_s <= report_s) throw invalid("deployment.workers.lease_s", "must be longer than report_s");
   if (cancel_s <= lease_s) {
-    throw invalid("deployment.workers.cancel_s", "must be longer than lease_s, the life of a lost task");
+    throw invalid(
+      "deployment.workers.cancel_s",
+      "must be longer than lease_s, for which tasks on a lost machine continue to run",
+    );
   }
 }
 
@@ -207,7 +213,7 @@
 
 function checkedEndpoint(value: string, field: string): Endpoint {
   const endpoint = parseEndpoint(value);
-  if (endpoint.port < 1 || endpoint.port > MAX_PORT) throw invalid(field, "port out of range");
+  if (endpoint.port < 1 || endpoint.port > MAX_PORT) throw invalid(field, "port must be between 1 and 65535");
   return endpoint;
 }
 
@@ -243,7 +249,7 @@
   };
 }
 
-/** The limits that are announced to come; null if there are none. What they don't name stays as it is. */
+/** The announced future limits, null if there are none. Those not announced keep their current values. */
 function toNextStoreLimits(state: WireDeployment["state"]): StoreLimits | null {
   const { next } = state;
   if (!next) return null;
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The entry point of the program: the command line, which also starts a controller (`serve`). */
+/** Entry point: runs the command line, whose `serve` command starts a controller. */
 import { run } from "./cli/cli.js";
 
 await run(process.argv);
--- a/src/protocol/administration.ts
+++ b/src/protocol/administration.ts
@@ -1,18 +1,18 @@
 import type { MachineMode } from "../core/model/machine.js";
 
-/** Operators' requests as they come in. */
+/** Decodes operators' requests. */
 
-/** A change of settings, or what is wrong with its form; the values themselves are checked by the controller. */
+/** A settings change, or why its body is malformed. The controller validates the values. */
 export type SettingsChange =
   | { readonly ok: true; readonly values: Record<string, unknown> }
   | { readonly ok: false; readonly error: string };
 
-/** A machine's mode, or what is wrong with it. */
+/** A machine mode, or why it is invalid. */
 export type MachineModeChange =
   | { readonly ok: true; readonly mode: MachineMode }
   | { readonly ok: false; readonly error: string };
 
-/** Reads the body of a change of settings. */
+/** Decodes the body of a settings change. */
 export function decodeSettingsChange(body: unknown): SettingsChange {
   if (typeof body !== "object" || body === null || Array.isArray(body)) {
     return { ok: false, error: "the body must be a JSON object of settings" };
@@ -20,7 +20,7 @@
   return { ok: true, values: { ...body } };
 }
 
-/** Reads the body of a change of a machine's mode. */
+/** Decodes the body of a machine mode change. */
 export function decodeMachineMode(body: unknown): MachineModeChange {
   const mode = typeof body === "object" && body !== null && "mode" in body ? body.mode : undefined;
   if (mode === "open" || mode === "cordon" || mode === "drain") return { ok: true, mode };
--- a/src/protocol/admission.ts
+++ b/src/protocol/admission.ts
@@ -9,9 +9,9 @@
 } from "../admission/messages.js";
 
 /**
- * The admission part of a peer heartbeat: internal message in, wire form out, and back. The words of the wire are older
- * than the internal ones and stay, since two versions speak to each other during an upgrade. Unknown fields are ignored:
- * they are a later version's.
+ * Encodes and decodes the admission part of a peer heartbeat. Field names on the wire differ from the internal ones and
+ * must not change, because two versions communicate during an upgrade. Unknown fields are ignored, as a later version
+ * may send them.
  */
 
 const count = v.pipe(v.number(), v.minValue(0));
@@ -41,10 +41,10 @@
   permits: v.array(permitsSchema),
 });
 
-/** The schema of the wire form. */
+/** Schema of the wire form of an admission message. */
 export const admissionSchema = v.object({ report: reportSchema, slice: v.optional(sliceSchema) });
 
-/** The wire form of an admission message. */
+/** An admission message in its wire form. */
 export type WireAdmission = v.InferOutput<typeof admissionSchema>;
 type WireTeam = v.InferOutput<typeof teamSchema>;
 type WirePromise = v.InferOutput<typeof promiseSchema>;
@@ -52,12 +52,12 @@
 type WireReport = v.InferOutput<typeof reportSchema>;
 type WireSlice = v.InferOutput<typeof sliceSchema>;
 
-/** The wire form of an admission message. */
+/** Encodes an admission message. */
 export function encodeAdmission(message: AdmissionMessage): WireAdmission {
   return { report: encodeReport(message.report), slice: message.lease && encodeLease(message.lease) };
 }
 
-/** The admission message of a wire form that {@link admissionSchema} has accepted. */
+/** Decodes an admission message that {@link admissionSchema} has validated. */
 export function decodeAdmission(wire: WireAdmission): AdmissionMessage {
   return { report: decodeReport(wire.report), lease: wire.slice && decodeLease(wire.slice) };
 }
--- a/src/protocol/agents.ts
+++ b/src/protocol/agents.ts
@@ -4,13 +4,13 @@
 import type { ExitReason, TaskState } from "../core/model/job-spec.js";
 import type { HttpRequest } from "./http.js";
 
-/** Agents' heartbeats and the commands to them. Names become indices here, words of the wire the terms of the domain. */
+/** Decodes agents' heartbeats and encodes commands to them. Maps wire terms to internal ones, and names to indices. */
 
-/** Where agents post their heartbeats. */
+/** Path to which agents post heartbeats. */
 export const HEARTBEAT_PATH = "/agent/beat";
 const COMMAND_PATH = "/do";
 const EXECUTED = 200;
-/** The batch was refused for its fencing token or its incarnation: nothing of it was executed. */
+/** The agent refused the batch for its fencing token or incarnation, and executed none of it. */
 const REFUSED = 409;
 
 const TASK_STATES: Record<string, TaskState> = {
@@ -32,13 +32,14 @@
 };
 const COMMAND_VERBS = { start: "launch", stop: "stop", acknowledge: "clear" } as const;
 
-// Integers may reach 2^64, beyond what a double represents exactly; ours stay far below, others' are only compared.
-const whole = v.pipe(v.number(), v.minValue(0));
+// Integers may reach 2^64, beyond a double's exact range. Those set by this system stay far below; others are only
+// compared.
+const nonNegative = v.pipe(v.number(), v.minValue(0));
 const text = v.pipe(v.string(), v.nonEmpty(), v.maxLength(300));
 
 const taskSchema = v.object({
   piece: text,
-  try: whole,
+  try: nonNegative,
   phase: v.picklist(["pulling", "waiting", "running", "saving", "ended"]),
   cause: v.nullish(v.string(), null),
   stored: v.nullish(v.boolean(), false),
@@ -49,14 +50,14 @@
   rack: text,
   yard: text,
   loaners: v.boolean(),
-  shift: whole,
-  tally: whole,
-  baton: whole,
+  shift: nonNegative,
+  tally: nonNegative,
+  baton: nonNegative,
   recall_s: v.nullish(v.number(), null),
   pieces: v.array(taskSchema),
 });
 
-/** A heartbeat; null for anything that is not a well-formed one. */
+/** Decodes a heartbeat; returns null if it is malformed. */
 export function decodeHeartbeat(body: unknown, names: NameRegistry): Heartbeat | null {
   const result = v.safeParse(heartbeatSchema, body);
   if (!result.success) return null;
@@ -81,7 +82,7 @@
   };
 }
 
-/** A task is named by its job and its number, with a slash in between; null if it isn't. */
+/** Decodes a reported task, named `<job>/<number>` on the wire; returns null if it is malformed. */
 function decodeTask(wire: v.InferOutput<typeof taskSchema>, names: NameRegistry): ReportedTask | null {
   const slash = wire.piece.lastIndexOf("/");
   const task = Number(wire.piece.slice(slash + 1));
@@ -92,13 +93,13 @@
     task,
     attempt: wire.try,
     state,
-    // A later version's reason counts as an error.
+    // Unknown reasons, from a later version, count as errors.
     exitReason: wire.cause === null ? null : (EXIT_REASONS[wire.cause] ?? "error"),
     saved: wire.stored,
   };
 }
 
-/** The wire form of commands to an agent. */
+/** Encodes commands to an agent. */
 export function encodeAgentCommands(commands: readonly AgentCommand[], names: NameRegistry): unknown[] {
   return commands.map((command) => {
     const piece = `${names.jobs.nameOf(command.job)}/${command.task}`;
@@ -107,7 +108,7 @@
   });
 }
 
-/** The wire form of a command batch, for one incarnation of an agent under a fencing token. */
+/** Encodes a command batch for one incarnation of an agent, with a fencing token. */
 export function encodeCommandBatch(
   fencingToken: number,
   incarnation: number,
@@ -117,14 +118,14 @@
   return { baton: fencingToken, shift: incarnation, orders: encodeAgentCommands(commands, names) };
 }
 
-/** A command batch with what it is sent under. */
+/** Commands to an agent with the sender's fencing token and the agent's incarnation. */
 export interface CommandBatch {
   readonly fencingToken: number;
   readonly incarnation: number;
   readonly commands: readonly AgentCommand[];
 }
 
-/** The request by which a command batch is sent to an agent directly. */
+/** Encodes the request that sends a command batch directly to an agent. */
 export function encodeCommandRequest(batch: CommandBatch, names: NameRegistry): HttpRequest {
   const { fencingToken, incarnation, commands } = batch;
   const body = encodeCommandBatch(fencingToken, incarnation, commands, names);
@@ -133,19 +134,19 @@
 
 /** An agent's reply to a command batch. */
 export interface CommandReply {
-  /** Null if the reply can't be read. */
+  /** Null if the reply is malformed. */
   readonly heartbeat: Heartbeat | null;
   /** Whether the batch was executed. */
   readonly executed: boolean;
 }
 
-/** Reads an agent's reply to a command batch: a heartbeat, whether or not the batch was executed. */
+/** Decodes an agent's reply to a command batch. It contains a heartbeat whether or not the batch was executed. */
 export function decodeCommandReply(status: number, body: unknown, names: NameRegistry): CommandReply {
   if (status !== EXECUTED && status !== REFUSED) return { heartbeat: null, executed: false };
   return { heartbeat: decodeHeartbeat(body, names), executed: status === EXECUTED };
 }
 
-/** The wire form of a reply to a heartbeat. */
+/** Encodes a reply to a heartbeat. */
 export function encodeHeartbeatReply(
   reply: HeartbeatReply,
   names: NameRegistry,
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -4,19 +4,19 @@
 import { roundDownCapacity } from "../core/model/resources.js";
 import type { HttpRequest } from "./http.js";
 
-/** Requests to the cloud, and its answers. The words of the wire end here. */
+/** Encodes requests to the cloud and decodes its responses. Maps the cloud API's names to internal terms. */
 
-const measure = v.pipe(v.number(), v.finite(), v.minValue(0));
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
 const machineTypeSchema = v.object({
   name: v.string(),
-  cpus: measure,
-  gpus: v.nullish(measure, 0),
-  ram_gb: measure,
-  cache_gb: v.nullish(measure, 0),
-  fetch_gb_per_s: v.nullish(measure, 0),
-  hourly: measure,
-  market_price: v.nullish(measure, null),
-  startup_s: measure,
+  cpus: nonNegative,
+  gpus: v.nullish(nonNegative, 0),
+  ram_gb: nonNegative,
+  cache_gb: v.nullish(nonNegative, 0),
+  fetch_gb_per_s: v.nullish(nonNegative, 0),
+  hourly: nonNegative,
+  market_price: v.nullish(nonNegative, null),
+  startup_s: nonNegative,
   yards: v.array(v.string()),
 });
 const machineSchema = v.object({
@@ -40,10 +40,10 @@
 };
 const PAGE_SIZE = 500;
 const NO_CAPACITY = "no capacity";
-/** An answer that can't be read counts as none. */
+/** A malformed response counts as no response. */
 const UNREADABLE: CloudResponse = { kind: "timeout" };
 
-/** The wire form of a request to the cloud. */
+/** Encodes a request to the cloud. */
 export function encodeCloudRequest(request: CloudRequest): HttpRequest {
   switch (request.kind) {
     case "listTypes":
@@ -69,7 +69,7 @@
   }
 }
 
-/** What the cloud's answer to a request means. */
+/** Decodes the cloud's response to a request. */
 export function decodeCloudResponse(request: CloudRequest, status: number, body: unknown): CloudResponse {
   if (status === 503 && request.kind === "create" && isOutOfCapacity(body)) return { kind: "noCapacity" };
   if (status !== 200) return { kind: "unavailable", reason: `status ${status}` };
@@ -115,7 +115,7 @@
     cacheGb: wire.cache_gb,
     fetchGbPerS: wire.fetch_gb_per_s,
     price: wire.hourly,
-    // Without a market price spot instances cost what others do.
+    // Without a market price, spot machines cost the hourly price.
     spotPrice: wire.market_price ?? wire.hourly,
     bootS: wire.startup_s,
     zones: wire.yards,
@@ -129,7 +129,7 @@
     type: wire.rack,
     zone: wire.yard,
     spot: wire.loaners,
-    // A phase that only a later version of the cloud knows: not usable yet.
+    // An unknown phase, from a later version of the cloud API, counts as not usable yet.
     phase: MACHINE_PHASES[wire.phase] ?? "booting",
     ageS: wire.age_s,
   };
--- a/src/protocol/http.ts
+++ b/src/protocol/http.ts
@@ -1,15 +1,15 @@
-/** A request to an outside service, before it is put on a connection. */
+/** An encoded request to an external service. */
 export interface HttpRequest {
   readonly method: "GET" | "POST" | "DELETE";
   readonly path: string;
-  /** Encoded as JSON; absent where the request has no body. */
+  /** Sent as JSON; absent if the request has no body. */
   readonly body?: unknown;
 }
 
-/** What is answered to a client of this node, before it is put on a connection. */
+/** An encoded response to a client of this node. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
-  /** Whole seconds for the Retry-After header; null where there is none. */
+  /** Whole seconds for the Retry-After header; null to omit the header. */
   readonly retryAfterS: number | null;
 }
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -3,16 +3,16 @@
 import type { JobShape, JobSpec, Priority } from "../core/model/job-spec.js";
 import { roundUpDemand } from "../core/model/resources.js";
 
-/** Jobs as users submit and see them. The words of the wire end here. */
+/** Decodes job submissions and encodes job statuses. Maps the user API's names to internal terms. */
 
 const UID = /^j-[0-9]{1,40}$/;
 const MAX_TASKS = 100_000;
-const MAX_NAME = 200;
-/** More dependencies than that are taken for a mistake. */
-const MAX_AWAITS = 100;
+const MAX_NAME_CHARS = 200;
+/** A submission with more dependencies is assumed to be a mistake. */
+const MAX_DEPENDENCIES = 100;
 
-const text = v.pipe(v.string(), v.nonEmpty(), v.maxLength(MAX_NAME));
-const measure = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e12));
+const text = v.pipe(v.string(), v.nonEmpty(), v.maxLength(MAX_NAME_CHARS));
+const sizeOrSeconds = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e12));
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e9));
 
 const uid = v.pipe(v.string(), v.regex(UID, "must have the form j-000412"));
@@ -36,21 +36,22 @@
   apart: v.boolean(),
   loaners: v.boolean(),
   bundle: text,
-  size_gb: measure,
-  guess_s: measure,
-  snapshot_s: measure,
-  stow_s: measure,
-  due_s: v.nullish(measure, null),
-  awaits: v.nullish(v.pipe(v.array(uid), v.maxLength(MAX_AWAITS)), null),
+  size_gb: sizeOrSeconds,
+  guess_s: sizeOrSeconds,
+  snapshot_s: sizeOrSeconds,
+  stow_s: sizeOrSeconds,
+  due_s: v.nullish(sizeOrSeconds, null),
+  awaits: v.nullish(v.pipe(v.array(uid), v.maxLength(MAX_DEPENDENCIES)), null),
 });
 
-/** Whether a text has the form of a job's uid. */
+/** Whether a string is a well-formed job uid. */
 export function isUid(value: string): boolean {
   return UID.test(value);
 }
 
 /**
- * A submission's uid, null if it has no well-formed one, and its job or what is wrong with it. A malformed job is handed on under its uid: the controller may know that uid already.
+ * Decodes a submission: its uid, null if missing or malformed, and its job spec or an error. The uid of a malformed job
+ * is returned as well, since the controller may already know it.
  */
 export function decodeJobSubmission(body: unknown): {
   uid: string | null;
@@ -59,7 +60,7 @@
   return { uid: decodeUid(body), submitted: decodeSpec(body) };
 }
 
-/** The wire form of a job as its user sees it. */
+/** Encodes a job's status for its user. */
 export function encodeJobStatus(status: JobStatus): Record<string, unknown> {
   const { uid, phase, done, running, awaits } = status;
   return awaits ? { uid, phase, done, running, awaits } : { uid, phase, done, running };
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -3,9 +3,9 @@
 import { admissionSchema, decodeAdmission, encodeAdmission } from "./admission.js";
 
 /**
- * The frames that controllers exchange: internal messages in, wire form out, and back. The words of the wire are older
- * than the internal ones and stay, since two versions speak to each other during an upgrade. Unknown fields are ignored:
- * they are a later version's.
+ * Encodes and decodes the frames exchanged between nodes. Field names on the wire differ from the internal ones and
+ * must not change, because two versions communicate during an upgrade. Unknown fields are ignored, as a later version
+ * may send them.
  */
 
 const count = v.pipe(v.number(), v.minValue(0));
@@ -19,7 +19,7 @@
     workersHeard: count,
     protocol: v.optional(count),
     standby: v.optional(v.picklist(["cold", "warm"])),
-    // What can't be read of it is no reason not to hear the heartbeat.
+    // A malformed admission part is dropped without rejecting the heartbeat.
     admission: v.fallback(v.optional(admissionSchema), undefined),
   }),
   v.object({
@@ -36,18 +36,18 @@
 
 type WireMessage = v.InferOutput<typeof messageSchema>;
 
-/** The first frame of a connection: it names the sender. */
+/** Encodes the first frame of a connection, which names the sender. */
 export function encodeHello(node: string): unknown {
   return { t: "hello", node };
 }
 
-/** The node that a first frame names; null if it is none. */
+/** Decodes the first frame of a connection; returns the sender, or null if the frame is malformed. */
 export function decodeHello(raw: unknown): string | null {
   const result = v.safeParse(helloSchema, raw);
   return result.success ? result.output.node : null;
 }
 
-/** The wire form of a message. */
+/** Encodes a message to a peer. */
 export function encodePeerMessage(message: PeerMessage): unknown {
   switch (message.kind) {
     case "heartbeat":
@@ -72,7 +72,7 @@
   }
 }
 
-/** A message of a peer; null if it can't be read. */
+/** Decodes a message from a peer; returns null if it is malformed. */
 export function decodePeerMessage(raw: unknown): PeerMessage | null {
   const result = v.safeParse(messageSchema, raw);
   return result.success ? fromWire(result.output) : null;
--- a/src/protocol/responses.ts
+++ b/src/protocol/responses.ts
@@ -4,8 +4,8 @@
 import { encodeJobStatus } from "./jobs.js";
 
 /**
- * The answers to users and operators: status code, body and Retry-After, in one place. A status of 4xx, 429 excepted,
- * tells the client not to repeat the request as it is; 429 and 503 name the time after which to repeat it.
+ * HTTP responses: status code, body and Retry-After. For users and operators, a 4xx status other than 429 means that
+ * the request must not be retried unchanged, and 429 and 503 carry a Retry-After header with the time to wait.
  */
 
 const ADMIN_RETRY_AFTER_S = 1;
@@ -18,11 +18,11 @@
   return { status, body: { error }, retryAfterS: Math.ceil(retryAfterS) };
 }
 
-/** The answer to a user's request. */
+/** Encodes the response to a user's request. */
 export function encodeUserResponse(response: UserResponse): HttpResponse {
   switch (response.kind) {
     case "accepted":
-      // 200: the same job was submitted before, and the request is idempotent.
+      // 200 if the same job was submitted before: submissions are idempotent.
       return respond(response.known ? 200 : 201, encodeJobStatus(response.status));
     case "status":
       return respond(200, encodeJobStatus(response.status));
@@ -39,7 +39,7 @@
   }
 }
 
-/** The answer to an operator's request. */
+/** Encodes the response to an operator's request. */
 export function encodeAdminResponse(response: AdminResponse): HttpResponse {
   switch (response.kind) {
     case "ok":
@@ -51,29 +51,29 @@
   }
 }
 
-/** The answer to a readiness probe. */
+/** Encodes the response to a readiness probe. */
 export function encodeReadiness(ready: boolean): HttpResponse {
   return respond(ready ? 200 : 503, { ready });
 }
 
-/** The answer to a request for a path that does not exist. */
+/** Response to a request for an unknown path. */
 export const noSuchPath: HttpResponse = respond(404, { error: "no such path" });
 
-/** The answer to an agent's request that is no heartbeat. */
+/** Response to a malformed heartbeat. */
 export const notAHeartbeat: HttpResponse = respond(400, { error: "not a report" });
 
-/** The answer to a heartbeat that this node has no connection for: the agent tries the next node. */
+/** Response to a heartbeat refused because too many agents are connected; the agent tries the next node. */
 export const tryNextNode: HttpResponse = respond(421, {});
 
-/** The answer to a heartbeat that was forwarded to a leader which did not reply in time. */
+/** Response to a forwarded heartbeat if the leader did not reply in time. */
 export const leaderTimedOut: HttpResponse = respond(503, { error: "the leader does not answer" });
 
-/** The answer to a heartbeat that was forwarded to a leader whose connection was then lost. */
+/** Response to a forwarded heartbeat if the connection to the leader was lost. */
 export const leaderDisconnected: HttpResponse = respond(503, { error: "the leader is gone" });
 
 /**
- * The answer where handling a request threw. Whatever is wrong with a request is a 400, as any other status would have
- * its sender repeat it for a minute.
+ * Encodes the response if handling a request threw an error. Every client error becomes a 400, since clients retry on
+ * any other status for a minute.
  */
 export function encodeFailure(error: unknown): HttpResponse {
   const status = typeof error === "object" && error !== null && "status" in error ? error.status : undefined;
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -8,7 +8,7 @@
 } from "../core/messages/store.js";
 import type { HttpRequest } from "./http.js";
 
-/** Requests to the key-value store, and its answers. The words of the wire end here. */
+/** Encodes requests to the key-value store and decodes its responses. Maps the store API's names to internal terms. */
 
 const entrySchema = v.object({ path: v.string(), value: v.unknown(), stamp: v.number() });
 const revisionSchema = v.object({ ledger: v.number() });
@@ -27,7 +27,7 @@
 
 const PAGE_SIZE = 500;
 const MAX_REASON_CHARS = 200;
-/** An answer that can't be read leaves the outcome unknown, as no answer does. */
+/** A malformed response leaves the outcome unknown, like no response. */
 const UNREADABLE: StoreResponse = { kind: "timeout" };
 
 function encodeChange(change: StoreChange): Record<string, unknown> {
@@ -36,7 +36,7 @@
   return change.leaseId === undefined ? put : { ...put, tenure: change.leaseId };
 }
 
-/** The wire form of a request to the store. */
+/** Encodes a request to the store. */
 export function encodeStoreRequest(request: StoreRequest): HttpRequest {
   switch (request.kind) {
     case "transaction":
@@ -45,7 +45,7 @@
         path: "/multi",
         body: {
           if: request.conditions.map(({ key, version }) => ({ path: key, stamp: version })),
-          // biome-ignore lint/suspicious/noThenProperty: the store's own word
+          // biome-ignore lint/suspicious/noThenProperty: field name of the store API
           then: request.changes.length > 0 ? request.changes.map(encodeChange) : undefined,
         },
       };
@@ -70,7 +70,7 @@
   }
 }
 
-/** What the store's answer to a request means. */
+/** Decodes the store's response to a request. */
 export function decodeStoreResponse(request: StoreRequest, status: number, body: unknown): StoreResponse {
   return status === 200 ? decodeSuccess(request, body) : decodeFailure(request, status, body);
 }
