--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -110,7 +110,7 @@
   program
     .command("machine")
     .description(
-      "set a machine's mode: open, cordon (no new tasks) or drain (move tasks off, then terminate)",
+      "set a machine's mode: open, cordon (no new tasks) or drain (evict all tasks, then terminate)",
     )
     .argument("<name>")
     .argument("<mode>")
