--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -109,9 +109,7 @@
     });
   program
     .command("machine")
-    .description(
-      "set a machine's mode: open, cordon (no new tasks) or drain (evict all tasks, then terminate)",
-    )
+    .description("set a machine's mode: open, cordon (no new tasks) or drain (empty, then terminate)")
     .argument("<name>")
     .argument("<mode>")
     .addOption(nodeOption())
