--- a/src/core/administration.ts
+++ b/src/core/administration.ts
@@ -9,7 +9,7 @@
 import { KEYS } from "./store/records.js";
 
 const CALL_TIMEOUT_MS = 1500;
-const STORE_UNANSWERED = "the state service does not answer";
+const STORE_UNAVAILABLE = "the state service does not answer";
 const TOO_LARGE: AdminResponse = { kind: "invalid", error: "the value exceeds the size limit of a record" };
 
 type Respond = (response: AdminResponse) => void;
@@ -62,7 +62,7 @@
 
   #changeSettings(stored: StoreResponse, values: Record<string, unknown>, respond: Respond): void {
     if (stored.kind !== "found" && stored.kind !== "notFound") {
-      respond(unavailable(STORE_UNANSWERED));
+      respond(unavailable(STORE_UNAVAILABLE));
       return;
     }
     const entry = stored.kind === "found" ? stored.entry : null;
@@ -114,7 +114,7 @@
         respond({ kind: "ok", body: responseBody });
       } else if (response.kind === "invalid") respond(TOO_LARGE);
       else if (response.kind === "conflict") respond(unavailable("modified concurrently"));
-      else respond(unavailable(STORE_UNANSWERED));
+      else respond(unavailable(STORE_UNAVAILABLE));
     });
   }
 }
@@ -122,5 +122,5 @@
 function settingsResponse(stored: StoreResponse): AdminResponse {
   if (stored.kind === "found") return { kind: "ok", body: { ...readOperatorSettings(stored.entry.value) } };
   if (stored.kind === "notFound") return { kind: "ok", body: { ...readOperatorSettings(null) } };
-  return unavailable(STORE_UNANSWERED);
+  return unavailable(STORE_UNAVAILABLE);
 }
--- a/src/core/agents/agent-manager.ts
+++ b/src/core/agents/agent-manager.ts
@@ -147,8 +147,8 @@
   }
 
   /** True while starts under the current fencing token have shown no effect yet; a new token would invalidate them. */
-  hasStartsInFlight(): boolean {
-    return this.#commandPlanner.hasStartsInFlight();
+  hasUnacknowledgedStarts(): boolean {
+    return this.#commandPlanner.hasUnacknowledgedStarts();
   }
 
   /**
--- a/src/core/agents/command-planner.ts
+++ b/src/core/agents/command-planner.ts
@@ -122,7 +122,7 @@
    * True while starts under the current fencing token have shown no effect yet. If this leader advanced the token,
    * agents would refuse those in flight, and those not sent yet would be abandoned.
    */
-  hasStartsInFlight(): boolean {
+  hasUnacknowledgedStarts(): boolean {
     for (const machine of this.#cluster.machines.values()) {
       if (machine.isLeaseExpired || machine.phase !== "up") continue;
       for (const { observedState, attempt } of machine.placements)
--- a/src/core/agents/heartbeat-router.ts
+++ b/src/core/agents/heartbeat-router.ts
@@ -7,7 +7,7 @@
 const ACTIVE_AGENT_WINDOW_MS = 3500;
 
 /** The router's access to the election and the peers. */
-export interface HeartbeatRouterEvents {
+export interface HeartbeatRouterCallbacks {
   /** Returns the reply if this node leads and may reply, else null. */
   replyAsLeader(heartbeat: Heartbeat): HeartbeatReply | null;
   /** True if this node leads. */
@@ -38,7 +38,7 @@
  */
 export class HeartbeatRouter {
   readonly #ctx: Context;
-  readonly #events: HeartbeatRouterEvents;
+  readonly #callbacks: HeartbeatRouterCallbacks;
   /** The newest heartbeat that this node received from each agent, by machine; older copies are stale. */
   readonly #newest = new Map<number, HeartbeatPosition>();
   /** When this node last received a new heartbeat from each agent, by machine, whether or not it could be answered. */
@@ -46,9 +46,9 @@
   /** Heartbeats that wait for a leader to become known. */
   #waiting: RoutedHeartbeat[] = [];
 
-  constructor(ctx: Context, events: HeartbeatRouterEvents) {
+  constructor(ctx: Context, callbacks: HeartbeatRouterCallbacks) {
     this.#ctx = ctx;
-    this.#events = events;
+    this.#callbacks = callbacks;
   }
 
   /**
@@ -63,7 +63,7 @@
     if (!this.#isStale(heartbeat)) {
       this.#newest.set(machine, { incarnation, sequence });
       this.#lastHeartbeatAt.set(machine, this.#ctx.now);
-    } else if (!this.#events.isLeader()) {
+    } else if (!this.#callbacks.isLeader()) {
       this.#reply(requestId, { kind: "unavailable" });
       return;
     }
@@ -82,17 +82,17 @@
 
   /** Answers, forwards or redirects the heartbeat. Returns false if no leader is known that could answer it. */
   #tryRoute({ requestId, heartbeat, body }: RoutedHeartbeat): boolean {
-    const reply = this.#events.replyAsLeader(heartbeat);
+    const reply = this.#callbacks.replyAsLeader(heartbeat);
     if (reply) {
       this.#reply(requestId, reply);
       return true;
     }
-    const leader = this.#events.leader();
+    const leader = this.#callbacks.leader();
     if (leader === null || leader === this.#ctx.deployment.node) return false;
     // Every node accepts heartbeats and forwards them to the leader. Most of a heartbeat's cost is HTTP handling, and
     // one node's share of a CPU core can't carry that for a large cluster after a failover. Agents are redirected only
     // if this node can't forward.
-    if (this.#events.isReachablePeer(leader))
+    if (this.#callbacks.isReachablePeer(leader))
       this.#ctx.emit({ kind: "forwardHeartbeat", requestId, to: leader, body });
     else this.#reply(requestId, { kind: "redirect", node: leader });
     return true;
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -16,7 +16,8 @@
 
 /**
  * State shared by all parts of the core: the time of this batch, the settings, the requested effects and the calls in
- * flight. The core reads no clock and performs no I/O: it takes commands and the time, and returns effects.
+ * flight. The core reads no clock and performs no I/O: it takes commands and the time, and returns effects, which the
+ * shell (the rest of the process) executes.
  */
 export class Context {
   /** The node's monotonic time of this batch, in milliseconds since its start. */
@@ -38,7 +39,7 @@
   #nextId = 1;
   readonly #pendingStoreCalls = new Map<number, (response: StoreResponse) => void>();
   readonly #pendingCloudCalls = new Map<number, (response: CloudResponse) => void>();
-  /** The wall time at `now` 0. */
+  /** Wall time in ms when `now` is 0. */
   readonly #epochMs: number;
 
   constructor(deployment: Deployment, names: NameRegistry, random: RandomGenerator, epochMs: number) {
@@ -49,7 +50,7 @@
     this.random = random;
   }
 
-  /** Wall time. Only job ages depend on it; no safety rule does. */
+  /** Wall time in ms. Only waits, deadlines and recorded times of jobs depend on it; no safety rule does. */
   get wallMs(): number {
     return this.#epochMs + this.now;
   }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -4,11 +4,11 @@
 import type { StandbyReport } from "../standby/standby.js";
 import { Administration } from "./administration.js";
 import { reasonToResign } from "./agent-isolation.js";
-import { HeartbeatRouter, type HeartbeatRouterEvents } from "./agents/heartbeat-router.js";
+import { HeartbeatRouter, type HeartbeatRouterCallbacks } from "./agents/heartbeat-router.js";
 import { Context, type TimeBudget } from "./context.js";
 import { Election } from "./election/election.js";
 import type { ElectionEvents } from "./election/election-events.js";
-import { type JobRequestEvents, JobRequests } from "./jobs/job-requests.js";
+import { type JobRequestCallbacks, JobRequests } from "./jobs/job-requests.js";
 import { ProgressCounts } from "./jobs/progress-counts.js";
 import { leaderStatus } from "./leader-status.js";
 import { LeaderTerm } from "./leader-term.js";
@@ -38,7 +38,7 @@
   readonly incarnation: string;
   /** Seed of the random number generator. */
   readonly seed: number;
-  /** Wall time at `now` 0. */
+  /** Wall time in ms when `Context.now` is 0. */
   readonly epochMs: number;
   /** Size limit of the standby cache in bytes; 0 or absent disables it. */
   readonly standbyBytes?: number;
@@ -81,9 +81,9 @@
     this.config = new ConfigWatch(ctx, (key) => this.#onConfigChanged(key));
     this.election = new Election(ctx, this.config, incarnation, this.#electionEvents());
     this.#administration = new Administration(ctx, this.config, () => this.status());
-    this.#heartbeatRouter = new HeartbeatRouter(ctx, this.#heartbeatRouterEvents());
+    this.#heartbeatRouter = new HeartbeatRouter(ctx, this.#heartbeatRouterCallbacks());
     this.featureGate = new FeatureGate(ctx, this.config, () => this.election.lease);
-    this.jobs = new JobRequests(ctx, this.config, this.#jobRequestEvents(), this.#admission);
+    this.jobs = new JobRequests(ctx, this.config, this.#jobRequestCallbacks(), this.#admission);
     this.#peerHeartbeats = new PeerHeartbeatSender(ctx, {
       config: this.config,
       election: this.election,
@@ -108,12 +108,12 @@
       isIsolated: () => this.#peers.isIsolated,
       campaignDelayMs: () => this.#failover.campaignDelayMs(this.leaderName),
       onLeaderKeyRemoved: () => this.#failover.onLeaderKeyRemoved(),
-      hasStartsInFlight: () => this.leaderTerm?.agents.hasStartsInFlight() ?? false,
+      hasUnacknowledgedStarts: () => this.leaderTerm?.agents.hasUnacknowledgedStarts() ?? false,
       cancellationsKnownThrough: () => this.leaderTerm?.cancellationsKnownThrough ?? null,
     };
   }
 
-  #heartbeatRouterEvents(): HeartbeatRouterEvents {
+  #heartbeatRouterCallbacks(): HeartbeatRouterCallbacks {
     return {
       replyAsLeader: (heartbeat) => this.#replyAsLeader(heartbeat),
       isLeader: () => this.leaderTerm !== null,
@@ -122,7 +122,7 @@
     };
   }
 
-  #jobRequestEvents(): JobRequestEvents {
+  #jobRequestCallbacks(): JobRequestCallbacks {
     return {
       onJobWritten: (entry, isCancellation) => {
         if (this.leaderTerm) this.leaderTerm.applyJobRecord(entry);
@@ -156,7 +156,7 @@
     return this.#admission?.snapshot() ?? null;
   }
 
-  /** The name of the leader as known to this node; null if there is none. */
+  /** The name of the leader as known to this node; null if none is known. */
   get leaderName(): string | null {
     if (this.leaderTerm) return this.ctx.deployment.node;
     return this.config.leader?.value.node ?? null;
@@ -321,7 +321,7 @@
     if (reason !== null) this.election.resign(reason);
   }
 
-  /** Only a leader with a valid lease that has loaded the records of accepted jobs issues permit leases. */
+  /** A leader issues permit leases only while its lease is valid, and only after it has loaded the job records. */
   #tickAdmission(): void {
     const term = this.leaderTerm;
     const mayIssue = term?.agents.areRecordsLoaded === true && this.election.hasValidLease;
@@ -337,8 +337,8 @@
   }
 
   /**
-   * Returns the leader's reply, the only kind that carries a fencing token, or null if this node may not reply. Also
-   * returns null if the heartbeat carries a higher token and thereby ends the term.
+   * Returns the leader's reply; replies of other nodes carry no fencing token. Returns null if this node may not reply,
+   * or if the heartbeat itself ends the term because it carries a higher token.
    */
   #replyAsLeader(heartbeat: Heartbeat): HeartbeatReply | null {
     const { leaderTerm } = this;
--- a/src/core/election/campaign.ts
+++ b/src/core/election/campaign.ts
@@ -26,9 +26,9 @@
   | { readonly kind: "lost"; readonly reason: string };
 
 /**
- * One attempt to become leader. Acquires a lease, then writes the leader key under that lease and increments the epoch
- * key in one compare-and-swap transaction. Every acquisition increments the epoch, so fencing tokens never repeat or
- * decrease.
+ * Campaigns for leadership. Each campaign acquires a lease, then writes the leader key under that lease and increments
+ * the epoch key, both in one compare-and-swap transaction. As every acquisition increments the epoch, fencing tokens
+ * never repeat or decrease.
  */
 export class Campaign {
   readonly #ctx: Context;
@@ -41,7 +41,7 @@
     this.#incarnation = incarnation;
   }
 
-  /** Campaigns on the given version of the leader key, 0 if it does not exist. Calls `onOutcome` exactly once. */
+  /** Runs a campaign that fails unless the leader key has this version (0: no key). Calls `onOutcome` exactly once. */
   run(leaderKeyVersion: number, onOutcome: (outcome: CampaignOutcome) => void): void {
     const leaseRequestedAt = this.#ctx.now;
     const ttlMs = this.#ctx.settings.leader_grant_ms;
--- a/src/core/election/election-events.ts
+++ b/src/core/election/election-events.ts
@@ -7,14 +7,14 @@
   | { readonly kind: "candidate" }
   | { readonly kind: "leader"; readonly lease: LeaderLease };
 
-/** Queries and callbacks of the election to its node. */
+/** Queries and callbacks from the election to its node. */
 export interface ElectionEvents extends RenewalInputs {
   /** This node has become the leader. */
   onElected(lease: LeaderLease): void;
   /** This node is no longer the leader. */
   onSteppedDown(reason: string): void;
-  /** True while recorded starts are unacknowledged: advancing the fencing token would make them start over. */
-  hasStartsInFlight(): boolean;
+  /** True while starts under the current token are unacknowledged or unsent: a new token would make them start over. */
+  hasUnacknowledgedStarts(): boolean;
   /** How long this node waits for better candidates after the leader key is removed, in milliseconds. */
   campaignDelayMs(): number;
   /** This node has observed that the leader key was removed. */
--- a/src/core/election/election.ts
+++ b/src/core/election/election.ts
@@ -10,7 +10,7 @@
 import { PreviousLeaderBound } from "./previous-leader-bound.js";
 import { ELECTION_CALL_TIMEOUT_MS, leaseValidUntil } from "./timing.js";
 
-/** How long a node does not campaign after resigning, so that leadership does not flap. */
+/** How long a node waits after resigning before it campaigns again, so that leadership does not flap. */
 const RESIGNED_BACKOFF_MS = 20_000;
 const STEPPED_DOWN_BACKOFF_MS = 500;
 const LOST_BACKOFF_MIN_MS = 200;
@@ -86,8 +86,8 @@
   }
 
   /**
-   * True if this node may reply to heartbeats and thereby renew agent leases: within the grace period, and while its
-   * view of cancellations is recent enough (I1), so not before the records are loaded.
+   * True if this node may reply to heartbeats and thereby renew agent leases: until the grace period has ended, and
+   * while its view of cancellations is recent enough (I1). There is no such view before the records are loaded.
    */
   get mayReplyToAgents(): boolean {
     const { lease } = this;
@@ -156,7 +156,7 @@
     this.#campaignAt = Math.max(this.#campaignAt, this.#ctx.now + delayMs);
   }
 
-  /** Runs time-driven work: campaigns, or steps down, renews the lease and advances the fencing token. */
+  /** Runs time-driven work. A follower campaigns; a leader renews its lease and advances its token, or steps down. */
   tick(): void {
     const { state } = this;
     switch (state.kind) {
@@ -180,7 +180,7 @@
     this.#campaign.run(leader ? leader.version : 0, (outcome) => this.#onCampaignOver(outcome));
   }
 
-  /** True if an earlier process of this node wrote the leader key: it is replaced without waiting for its lease. */
+  /** True if an earlier process of this node wrote the leader key: that lease need not expire first. */
   #isEarlierProcessOfThisNode(leader: { readonly node: string; readonly incarnation: string }): boolean {
     return leader.node === this.#ctx.deployment.node && leader.incarnation !== this.#incarnation;
   }
@@ -223,11 +223,11 @@
   #tickLeader(lease: LeaderLease): void {
     const { now } = this.#ctx;
     if (now >= lease.validUntil + this.#policy.currentGracePeriodMs) {
-      this.stepDown("the grace period after the lease expired is over");
+      this.stepDown("the grace period after lease expiry has ended");
       return;
     }
     if (this.#areCancellationsStale()) {
-      const reason = "the known cancellations are stale";
+      const reason = "the view of cancellations is stale";
       if (this.hasValidLease) this.resign(reason);
       else this.stepDown(reason);
       return;
@@ -261,12 +261,15 @@
     );
   }
 
-  /** Waits for starts in flight, for at most one more period: under a new token they would have to start over. */
+  /**
+   * True once the period has passed. Unacknowledged starts delay the advance by at most one more period, because they
+   * would have to start over under a new token.
+   */
   #isTokenAdvanceDue(): boolean {
     if (this.#tokenAdvancer.isInFlight || !this.hasValidLease) return false;
     const ageMs = this.#ctx.now - this.#tokenAdvancedAt;
     const periodMs = this.#ctx.settings.token_raise_s * 1000;
-    return ageMs >= periodMs && (!this.#events.hasStartsInFlight() || ageMs >= 2 * periodMs);
+    return ageMs >= periodMs && (!this.#events.hasUnacknowledgedStarts() || ageMs >= 2 * periodMs);
   }
 
   /**
--- a/src/core/election/fencing-token-advancer.ts
+++ b/src/core/election/fencing-token-advancer.ts
@@ -5,11 +5,11 @@
 import { KEYS } from "../store/records.js";
 import { ELECTION_CALL_TIMEOUT_MS } from "./timing.js";
 
-/** Queries and callbacks of `FencingTokenAdvancer` to the election. */
+/** Queries and callbacks from `FencingTokenAdvancer` to the election. */
 export interface FencingTokenEvents {
   /** The lease of the current term; null while this node is not the leader. */
   currentLease(): LeaderLease | null;
-  /** The lease was updated to this fencing token. */
+  /** The fencing token of the lease was advanced to this value. */
   onTokenAdvanced(fencingToken: number): void;
   /** The leader key is no longer that of this term: another node has been elected. */
   onLeaderKeyReplaced(): void;
--- a/src/core/election/lease-renewal-policy.ts
+++ b/src/core/election/lease-renewal-policy.ts
@@ -7,7 +7,7 @@
 /** The maximum time for which a watch of the job keys waits for a change. */
 const MAX_WATCH_WAIT_MS = 2000;
 const MIN_STALENESS_BOUND_MS = 2000;
-/** Allows for an agent to terminate its tasks at lease expiry, and for a user's response to arrive early. */
+/** Covers an agent's termination of its tasks at lease expiry, and a response that reaches its user early. */
 const CANCEL_MARGIN_MS = 2500;
 /** The same margin in whole seconds, for the bound on the grace period. */
 const GRACE_MARGIN_S = 3;
@@ -69,7 +69,7 @@
     return this.cancellationsKnownThrough + this.#stalenessBoundMs;
   }
 
-  /** The time left of `cancelS` after an agent lease. The minimum lets a leader reply even if almost none is left. */
+  /** What remains of `cancelS` after an agent lease. The minimum lets a leader reply even if almost nothing remains. */
   get #stalenessBoundMs(): number {
     const { cancelS, leaseS } = this.#ctx.deployment;
     const boundMs = ((cancelS - leaseS * CLOCK_DRIFT_FACTOR) * 1000 - CANCEL_MARGIN_MS) / CLOCK_DRIFT_FACTOR;
@@ -77,8 +77,9 @@
   }
 
   /**
-   * The maximum wait of a watch request on the job keys. A response covers changes up to its request, and that view
-   * ages until the next response. The wait must be a fraction of the staleness bound, or a healthy leader would resign.
+   * The maximum wait of a watch request on the job keys. A response covers the changes made before its request, and
+   * that view ages until the next response. The wait must be a fraction of the staleness bound, or a healthy leader
+   * would resign.
    */
   get watchWaitMs(): number {
     return Math.min(MAX_WATCH_WAIT_MS, this.#stalenessBoundMs / 4);
--- a/src/core/election/previous-leader-bound.ts
+++ b/src/core/election/previous-leader-bound.ts
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Starts a term with this fencing token and returns until when an earlier leader may reply. The first leader of a
-   * cluster has no predecessor. If this process also led the previous term (the epoch counts every election, so no
+   * Starts a term with this fencing token. Returns the time until which an earlier leader may reply. The first leader
+   * of a cluster has no predecessor. If this process also led the previous term (the epoch counts every election, so no
    * other term lies between), its own bound is used. Otherwise the longest grace period after a lease is assumed.
    */
   beginTerm(fencingToken: number): number {
--- a/src/core/job-lifecycle.ts
+++ b/src/core/job-lifecycle.ts
@@ -18,7 +18,7 @@
   readonly dependencies: DependencyGraph;
 }
 
-/** Queries and callbacks of `JobLifecycle` to the term. */
+/** Queries and callbacks from `JobLifecycle` to the term. */
 export interface JobLifecycleEvents {
   /** True once the term has ended: late responses must have no effect. */
   hasTermEnded(): boolean;
@@ -56,7 +56,7 @@
     this.#events = events;
   }
 
-  /** Applies a job's key, unless the same or a newer version has been applied. */
+  /** Applies a job record to the cluster state, unless the same or a newer version has been applied. */
   applyRecord(entry: StoreEntry): void {
     const record = readJob(entry.value);
     const uid = entry.key.slice(KEYS.jobsPrefix.length);
@@ -141,7 +141,7 @@
     });
   }
 
-  /** The final record already exists, from an earlier leader or from a write whose outcome was unknown. */
+  /** Handles a final record that already exists, from an earlier leader or from a write whose outcome was unknown. */
   #onAlreadyFinalized(job: Job, state: "done" | "cancelled", endedAt: number | null): void {
     job.state = state;
     job.endedAt = endedAt;
--- a/src/core/jobs/job-requests.ts
+++ b/src/core/jobs/job-requests.ts
@@ -12,7 +12,7 @@
 import { SubmissionValidator } from "./submission-validator.js";
 
 /** Callbacks from {@link JobRequests} to its node. */
-export interface JobRequestEvents {
+export interface JobRequestCallbacks {
   /** Called when this node has written a job's record, to accept or to cancel the job. */
   onJobWritten(entry: StoreEntry, cancelled: boolean): void;
   /** True while a node may lead whose version does not support dependencies between jobs. */
@@ -32,14 +32,19 @@
   readonly #cancellations: CancellationHandler;
 
   /** `admission` is null if fair admission is not enabled. */
-  constructor(ctx: Context, config: ConfigWatch, events: JobRequestEvents, admission: Admission | null) {
+  constructor(
+    ctx: Context,
+    config: ConfigWatch,
+    callbacks: JobRequestCallbacks,
+    admission: Admission | null,
+  ) {
     const lookup = new JobLookup(ctx);
-    const statuses = new JobStatusReader(lookup, events.progressOf);
+    const statuses = new JobStatusReader(lookup, callbacks.progressOf);
     const validator = new SubmissionValidator({
       ctx,
       config,
       lookup,
-      isOlderPeerAlive: () => events.isOlderPeerAlive(),
+      isOlderPeerAlive: () => callbacks.isOlderPeerAlive(),
     });
     this.#submissions = new SubmissionHandler({
       ctx,
@@ -47,14 +52,14 @@
       statuses,
       validator,
       admission,
-      onJobAccepted: (entry) => events.onJobWritten(entry, false),
+      onJobAccepted: (entry) => callbacks.onJobWritten(entry, false),
     });
     this.#polls = new PollHandler(ctx, lookup, statuses);
     this.#cancellations = new CancellationHandler({
       ctx,
       lookup,
       statuses,
-      onJobCancelled: (entry) => events.onJobWritten(entry, true),
+      onJobCancelled: (entry) => callbacks.onJobWritten(entry, true),
     });
   }
 
--- a/src/core/leader-term.ts
+++ b/src/core/leader-term.ts
@@ -157,7 +157,7 @@
     };
   }
 
-  /** All changes of job keys before this time have been applied (I1); null until the records are loaded. */
+  /** All changes to job keys made before this time have been applied (I1); null until the records are loaded. */
   get cancellationsKnownThrough(): number | null {
     return this.#jobWatch.cancellationsKnownThrough;
   }
@@ -191,7 +191,7 @@
 
   /* ---- jobs and placements ---- */
 
-  /** Applies a job's key from loading, from the watch, or directly from the node that wrote it. */
+  /** Applies a job record from loading, from the watch, or directly from the node that wrote it. */
   applyJobRecord(entry: StoreEntry): void {
     this.#jobLifecycle.applyRecord(entry);
   }
--- a/src/core/messages/agents.ts
+++ b/src/core/messages/agents.ts
@@ -1,6 +1,6 @@
 import type { ExitReason, TaskState } from "../model/job-spec.js";
 
-/** Heartbeats from agents and the commands sent to them. Names are already replaced by interned indices. */
+/** Heartbeats from agents and the commands sent to them. Names have already been replaced by interner indices. */
 
 /** The state of a task as reported by an agent. */
 export interface ReportedTask {
--- a/src/core/messages/effects.ts
+++ b/src/core/messages/effects.ts
@@ -19,7 +19,7 @@
   readonly commands: readonly AgentCommand[];
 }
 
-/** An output of a controller: an action for its host to execute. */
+/** An output of a controller: an action for the shell to execute. */
 export type Effect =
   | { readonly kind: "respondToUser"; readonly requestId: number; readonly response: UserResponse }
   | { readonly kind: "respondToOperator"; readonly requestId: number; readonly response: AdminResponse }
--- a/src/core/messages/peers.ts
+++ b/src/core/messages/peers.ts
@@ -1,7 +1,7 @@
 import type { AdmissionMessage } from "../../admission/messages.js";
 import type { StoreEntry } from "./store.js";
 
-/** Messages between controllers. No invariant depends on their delivery. */
+/** Messages between nodes. No invariant depends on their delivery. */
 
 /** An agent's heartbeat forwarded by a follower; `id` is assigned by the follower. */
 export interface ForwardedHeartbeat {
@@ -16,7 +16,7 @@
   readonly body: unknown;
 }
 
-/** Sent to every peer once a second. */
+/** Sent to every peer once per second, and sooner after a change of leadership. */
 export interface PeerHeartbeat {
   readonly kind: "heartbeat";
   readonly fencingToken: number;
@@ -34,7 +34,7 @@
 /** A job's progress, for display: its uid and the numbers of its finished and running tasks. */
 export type ProgressRow = readonly [uid: string, done: number, running: number];
 
-/** A message between two controllers. */
+/** A message from one node to another. */
 export type PeerMessage =
   | PeerHeartbeat
   | { readonly kind: "jobRecord"; readonly entry: StoreEntry }
--- a/src/core/messages/store.ts
+++ b/src/core/messages/store.ts
@@ -62,6 +62,7 @@
     }
   | { readonly kind: "leaseGranted"; readonly leaseId: number }
   | { readonly kind: "events"; readonly events: readonly WatchEvent[]; readonly revision: number }
+  /** The store no longer keeps all changes made after the revision given in the watch request. */
   | { readonly kind: "compacted" }
   /** The request was not executed and may be retried. */
   | { readonly kind: "unavailable"; readonly reason: string }
--- a/src/core/model/cluster-state.ts
+++ b/src/core/model/cluster-state.ts
@@ -20,7 +20,7 @@
   readonly teamUsage = new Map<string, Resources>();
   /** The machine types of the cloud's catalogue by name. */
   readonly machineTypes = new Map<string, MachineType>();
-  /** Incremented with every placement added or removed: results computed before that may be stale. */
+  /** Incremented with every placement added or removed: results computed earlier may be stale. */
   placementChanges = 0;
   /** When the cloud confirmed a termination, by machine name: late lists and heartbeats may still show the machine. */
   readonly terminatedMachines = new Map<string, number>();
@@ -30,7 +30,7 @@
     this.names = names;
   }
 
-  /** Returns the machine of this name, adding it if absent. Updates the address of an existing one if it is given. */
+  /** Returns the machine of this name, adding it if absent. An existing one gets the new address, if any. */
   ensureMachine(name: string, origin: MachineOrigin, createdAt: number): Machine {
     const index = this.names.machines.intern(name);
     const known = this.machines.get(index);
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -47,19 +47,19 @@
   isFinalRecordQueued = false;
   /** Since when scheduling rounds have found no machine for a task of the job. */
   blockedSince: number | null = null;
-  /** True if no job of its class and team has started for some time and it is the oldest of them. */
+  /** True if no job of its class and team has started for some time and it is the oldest of those pending. */
   hasRoundRobinTurn = false;
   /** Until when free capacity of machines may be reserved for the job. */
   reservationUntil = 0;
-  /** When preemption last failed for the job; it is not retried immediately. */
+  /** When preemption was last tried for the job; it is not retried immediately. */
   preemptionTriedAt = Number.NEGATIVE_INFINITY;
   /** Tasks are being preempted for the job: no further ones are preempted before this time. */
   preemptionUntil = 0;
-  /** For a gang, until when it waits for capacity on machines that cache its image; null before its first try. */
+  /** For a gang, until when it waits for tasks preempted on machines with its image; null if there were none. */
   imageWaitUntil: number | null = null;
   /** Versions of its placement records (chunks) by key: writes of the chunks are conditioned on them (I5). */
   readonly chunkVersions = new Map<string, number>();
-  /** Task count of its smallest chunk. Where chunks overlap, the smaller one is correct, so none may grow again. */
+  /** Task count of its smallest chunk. Where chunks overlap, the smaller one is correct, so this never increases. */
   chunkTasks = Number.POSITIVE_INFINITY;
   /** Wall time of the end in ms, as in the final record. */
   endedAt: number | null = null;
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -10,7 +10,7 @@
   return fits(spec.need, type.size) && (spec.types === null || spec.types.includes(type.name));
 }
 
-/** An image that is assumed to be in the cache of a machine or being fetched. */
+/** An image that a machine is assumed to have in its cache or to be fetching. */
 export interface CachedImage {
   /** Estimated time at which the fetch is complete. */
   readyAt: number;
--- a/src/core/model/placement.ts
+++ b/src/core/model/placement.ts
@@ -5,7 +5,7 @@
 /** Reserves the free capacity of a machine for a job until the job uses it or the reservation expires. */
 export interface Reservation {
   readonly job: Job;
-  /** True if it applies to jobs of any priority, even a higher one. */
+  /** True if it also keeps out jobs of a higher priority. */
   readonly isFirm: boolean;
   /** Expiry of the reservation. */
   readonly until: number;
--- a/src/core/model/store-limits.ts
+++ b/src/core/model/store-limits.ts
@@ -5,7 +5,7 @@
 /** The fraction of the current write rate to use while throttled if no next write rate is known. */
 const THROTTLED_SHARE = 0.7;
 
-/** Allowed conditions per allowed change of a transaction. */
+/** Ratio of the maximum number of conditions in a transaction to its maximum number of changes. */
 const CONDITIONS_PER_CHANGE = 4;
 
 /**
@@ -14,23 +14,23 @@
  * rate applies until the store throttles.
  */
 export class EffectiveStoreLimits {
-  readonly #present: Omit<StoreLimits, "rps">;
+  readonly #current: Omit<StoreLimits, "rps">;
   readonly #next: StoreLimits | null;
   #throttledUntil = Number.NEGATIVE_INFINITY;
 
   constructor({ storeWriteRps, valueBytes, txnOps, nextStoreLimits }: Deployment) {
-    this.#present = { writeRps: storeWriteRps, valueBytes, txnOps };
+    this.#current = { writeRps: storeWriteRps, valueBytes, txnOps };
     this.#next = nextStoreLimits ?? null;
   }
 
   /** Maximum size of an encoded value, in bytes. */
   get valueBytes(): number {
-    return Math.min(this.#present.valueBytes, this.#next?.valueBytes ?? Number.POSITIVE_INFINITY);
+    return Math.min(this.#current.valueBytes, this.#next?.valueBytes ?? Number.POSITIVE_INFINITY);
   }
 
   /** Maximum number of changes in a transaction. */
   get txnOps(): number {
-    return Math.min(this.#present.txnOps, this.#next?.txnOps ?? Number.POSITIVE_INFINITY);
+    return Math.min(this.#current.txnOps, this.#next?.txnOps ?? Number.POSITIVE_INFINITY);
   }
 
   /** Maximum number of conditions in a transaction. */
@@ -40,7 +40,7 @@
 
   /** Maximum number of changes per second at this time, for all nodes together. */
   writeRps(now: number): number {
-    const { writeRps } = this.#present;
+    const { writeRps } = this.#current;
     if (now >= this.#throttledUntil) return writeRps;
     return Math.min(writeRps, this.#next?.writeRps ?? writeRps * THROTTLED_SHARE);
   }
--- a/src/core/peer-message-handler.ts
+++ b/src/core/peer-message-handler.ts
@@ -15,7 +15,7 @@
   readonly progress: ProgressCounts;
   /** Null if fair admission is disabled. */
   readonly admission: Admission | null;
-  /** Applies a job's key on the leader; has no effect on other nodes. */
+  /** Applies a job record if this node is the leader; otherwise has no effect. */
   readonly applyJobRecord: (entry: StoreEntry) => void;
 }
 
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Sends a job's key that this node has written to the leader. A cancellation is sent to every peer, because any of
-   * them may have become leader, or may still reply to agents, before this node is notified.
+   * Sends the leader a job record that this node has written. A cancellation is sent to every peer: without this node's
+   * knowledge, any of them may have become leader or may still reply to agents.
    */
   sendJobRecord(entry: StoreEntry, isCancellation: boolean, leader: string | null): void {
     for (const to of this.#ctx.deployment.peers) {
--- a/src/core/peer-table.ts
+++ b/src/core/peer-table.ts
@@ -19,7 +19,7 @@
   standby: Warmth | undefined;
 }
 
-/** The state of the peers, from their heartbeats and the state of the links to them. */
+/** The state of each peer, from its heartbeats and the link to it. */
 export class PeerTable {
   readonly #ctx: Context;
   readonly #peers: ReadonlyMap<string, Peer>;
@@ -36,7 +36,7 @@
     this.#peers = new Map(ctx.deployment.peers.map((name) => [name, initialPeer()]));
   }
 
-  /** True if the deployment lists this node as a peer. */
+  /** True if the deployment lists a node of this name as a peer. */
   has(node: string): boolean {
     return this.#peers.has(node);
   }
@@ -101,7 +101,7 @@
     });
   }
 
-  /** The peers part of the status, by peer name. */
+  /** The field `peers` of the status page, by peer name. */
   status(): Record<string, unknown> {
     return Object.fromEntries(
       [...this.#peers].map(([name, { isLinkUp, storeHealthy, standby }]) => [
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -3,7 +3,7 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 
-/** Creates the only random number generator of the core. The same seed produces the same sequence. */
+/** Creates the generator of all random numbers in the core. The same seed produces the same sequence. */
 export function seededRandom(seed: number): RandomGenerator {
   return xoroshiro128plus(seed);
 }
@@ -13,7 +13,7 @@
   return uniformInt(random, from, to);
 }
 
-/** Draws an index with probability proportional to its weight; null, without a draw, if the sum is not positive. */
+/** Draws an index with probability proportional to its weight. Returns null without a draw if the weights sum to 0. */
 export function weightedIndex(random: RandomGenerator, weights: readonly number[]): number | null {
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   if (!(total > 0)) return null;
--- a/src/core/record-restore.ts
+++ b/src/core/record-restore.ts
@@ -34,7 +34,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** Restores the machines of one record. An unreadable record is logged and left in the store. */
+  /** Restores the machines listed in one record. An unreadable record is logged and left in the store. */
   restoreMachines(entry: StoreEntry): void {
     const record = readBucket(entry.value);
     const index = Number(entry.key.slice(KEYS.machinesPrefix.length));
@@ -63,7 +63,7 @@
     let restored = 0;
     for (const [uid, chunks] of stored.byJob) {
       const job = this.#cluster.jobByUid(uid);
-      // The job's key was replaced by its final record, so no placement is active and its chunks are obsolete.
+      // A job's key is replaced by its final record only once no placement is active: the chunks are obsolete.
       if (!job) for (const { key } of chunks) this.#recordWriter.queueDeletion(key);
       else restored += this.#restoreJob(job, chunks);
     }
