--- a/test/administration.test.ts
+++ b/test/administration.test.ts
@@ -1,10 +1,10 @@
-/** Settings that operators change at run time. */
+/** Operator settings, which can be changed at run time. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
 
-test("operator settings are stored and take effect at once, and an invalid value changes nothing", () => {
+test("a change of operator settings is stored and takes effect at once on all nodes; a change with an invalid value is rejected and has no effect", () => {
   const harness = new ControllerHarness().becomeLeader();
   assert.equal(harness.admin({ kind: "changeSettings", values: { move_low: 2 } })?.kind, "invalid");
   assert.equal(harness.admin({ kind: "changeSettings", values: { no_such: 1 } })?.kind, "invalid");
--- a/test/admission-policy.test.ts
+++ b/test/admission-policy.test.ts
@@ -1,4 +1,4 @@
-/** The admission policy out of operators' settings and the deployment. */
+/** Computation of the admission policy from the operator settings and the deployment. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -6,7 +6,7 @@
 import { defaultOperatorSettings } from "../src/config/operator.js";
 import { deployment } from "./support/deployment.js";
 
-test("admission weights default to guaranteed quotas, and the admission rate to the smaller write limit of the store", () => {
+test("admission weights default to the guaranteed quotas, and the admission rate is derived from the smaller write limit of the store", () => {
   const { teams, ratePerS } = policyOf(
     { ...defaultOperatorSettings, admission_weights: { blue: 5 } },
     deployment("n0"),
--- a/test/admission-shares.test.ts
+++ b/test/admission-shares.test.ts
@@ -1,4 +1,4 @@
-/** Weighted shares: properties of the allocation. */
+/** Properties of the allocation of admission capacity by weight. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -6,34 +6,34 @@
 import { allocate, type Claim } from "../src/admission/shares.js";
 
 const RUNS = { numRuns: 500, seed: 20_261_202 };
-const weight = fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 5000 }));
-const anyClaim: fc.Arbitrary<Claim> = fc.record({ weight, demand: fc.nat({ max: 300 }) });
+const anyWeight = fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 5000 }));
+const anyClaim: fc.Arbitrary<Claim> = fc.record({ weight: anyWeight, demand: fc.nat({ max: 300 }) });
 const anyClaims = fc.array(anyClaim, { maxLength: 9 });
 const anyCapacity = fc.nat({ max: 400 });
 
-const sum = (list: readonly number[]) => list.reduce((total, count) => total + count, 0);
+const sum = (counts: readonly number[]) => counts.reduce((total, count) => total + count, 0);
 
-test("property: an allocation exceeds neither capacity nor demand, and leaves no capacity unused while demand is unmet", () => {
+test("property: an allocation exceeds neither the capacity nor the demand, and leaves no capacity unused while there is unmet demand", () => {
   fc.assert(
-    fc.property(anyCapacity, anyClaims, (capacity, list) => {
-      const given = allocate(capacity, list);
-      assert.equal(given.length, list.length);
-      for (const [i, count] of given.entries()) {
+    fc.property(anyCapacity, anyClaims, (capacity, claims) => {
+      const allocation = allocate(capacity, claims);
+      assert.equal(allocation.length, claims.length);
+      for (const [i, count] of allocation.entries()) {
         assert.ok(Number.isInteger(count) && count >= 0);
-        assert.ok(count <= (list[i]?.demand ?? 0));
+        assert.ok(count <= (claims[i]?.demand ?? 0));
       }
-      assert.equal(sum(given), Math.min(capacity, sum(list.map(({ demand }) => demand))));
+      assert.equal(sum(allocation), Math.min(capacity, sum(claims.map(({ demand }) => demand))));
     }),
     RUNS,
   );
 });
 
-test("property: each claimant gets its weighted share or its whole demand, whatever the others demand", () => {
+test("property: each claimant gets at least the smaller of its weighted share and its demand, regardless of the demand of the others", () => {
   fc.assert(
-    fc.property(anyCapacity, anyClaims, (capacity, list) => {
-      const weights = sum(list.map((claim) => claim.weight));
-      for (const [i, count] of allocate(capacity, list).entries()) {
-        const claim = list[i];
+    fc.property(anyCapacity, anyClaims, (capacity, claims) => {
+      const weights = sum(claims.map((claim) => claim.weight));
+      for (const [i, count] of allocate(capacity, claims).entries()) {
+        const claim = claims[i];
         if (!claim || claim.weight === 0) continue;
         assert.ok(count >= Math.min(claim.demand, Math.floor((capacity * claim.weight) / weights)));
       }
@@ -42,32 +42,32 @@
   );
 });
 
-test("property: a claimant that raises its demand takes nothing from the weighted share of another", () => {
+test("property: a claimant that increases its demand does not reduce another claimant's allocation below its weighted share", () => {
   fc.assert(
     fc.property(
       anyCapacity,
       anyClaims,
       fc.nat({ max: 8 }),
       fc.nat({ max: 100_000 }),
-      (capacity, list, flooderIndex, flood) => {
-        const flooder = list[flooderIndex];
-        if (!flooder) return;
-        const before = allocate(capacity, list);
-        const weights = sum(list.map((claim) => claim.weight));
-        const flooded = list.map((claim, i) =>
-          i === flooderIndex ? { ...claim, demand: claim.demand + flood } : claim,
+      (capacity, claims, increasedIndex, addedDemand) => {
+        const increasedClaim = claims[increasedIndex];
+        if (!increasedClaim) return;
+        const before = allocate(capacity, claims);
+        const weights = sum(claims.map((claim) => claim.weight));
+        const withIncrease = claims.map((claim, i) =>
+          i === increasedIndex ? { ...claim, demand: claim.demand + addedDemand } : claim,
         );
-        const after = allocate(capacity, flooded);
+        const after = allocate(capacity, withIncrease);
 
-        assert.ok((after[flooderIndex] ?? 0) >= (before[flooderIndex] ?? 0));
+        assert.ok((after[increasedIndex] ?? 0) >= (before[increasedIndex] ?? 0));
 
-        for (const [i, claim] of list.entries()) {
-          if (i === flooderIndex || claim.weight === 0) continue;
-          // A claimant that had more than its share had it because the others asked for less.
-          const part = Math.floor((capacity * claim.weight) / weights);
+        for (const [i, claim] of claims.entries()) {
+          if (i === increasedIndex || claim.weight === 0) continue;
+          // Capacity beyond a claimant's weighted share came from unused shares of others and may be taken back.
+          const weightedShare = Math.floor((capacity * claim.weight) / weights);
           assert.ok(
-            (after[i] ?? 0) >= Math.min(before[i] ?? 0, part),
-            `${before[i]} to ${after[i]}, part ${part}`,
+            (after[i] ?? 0) >= Math.min(before[i] ?? 0, weightedShare),
+            `allocation changed from ${before[i]} to ${after[i]}, weighted share ${weightedShare}`,
           );
         }
       },
@@ -76,42 +76,43 @@
   );
 });
 
-test("property: a higher weight never lowers an allocation, and the order of claims does not change the total", () => {
+test("property: a higher weight never reduces an allocation, and the order of the claims does not affect the total", () => {
   fc.assert(
     fc.property(
       anyCapacity,
       anyClaims,
       fc.nat({ max: 8 }),
       fc.integer({ min: 1, max: 5000 }),
-      (capacity, list, claimIndex, addedWeight) => {
-        const claim = list[claimIndex];
+      (capacity, claims, claimIndex, addedWeight) => {
+        const claim = claims[claimIndex];
         if (!claim) return;
-        const heavier = list.map((other, i) =>
+        const withHigherWeight = claims.map((other, i) =>
           i === claimIndex ? { ...other, weight: other.weight + addedWeight } : other,
         );
 
         assert.ok(
-          (allocate(capacity, heavier)[claimIndex] ?? 0) >= (allocate(capacity, list)[claimIndex] ?? 0),
+          (allocate(capacity, withHigherWeight)[claimIndex] ?? 0) >=
+            (allocate(capacity, claims)[claimIndex] ?? 0),
         );
-        assert.equal(sum(allocate(capacity, [...list].reverse())), sum(allocate(capacity, list)));
+        assert.equal(sum(allocate(capacity, [...claims].reverse())), sum(allocate(capacity, claims)));
       },
     ),
     RUNS,
   );
 });
 
-test("a claimant of weight 0 gets what the others leave over, and a huge capacity is allocated in full", () => {
-  const list = [
+test("a claimant with weight 0 gets only capacity that the others leave unused, and a very large capacity is allocated in full", () => {
+  const claims = [
     { weight: 3, demand: 10 },
     { weight: 1, demand: 10 },
     { weight: 0, demand: 10 },
   ];
-  assert.deepEqual(allocate(12, list), [9, 3, 0]);
-  assert.deepEqual(allocate(23, list), [10, 10, 3]);
+  assert.deepEqual(allocate(12, claims), [9, 3, 0]);
+  assert.deepEqual(allocate(23, claims), [10, 10, 3]);
 
-  const huge = [
+  const largeClaims = [
     { weight: 7, demand: Number.MAX_SAFE_INTEGER },
     { weight: 5, demand: 1e12 },
   ];
-  assert.equal(sum(allocate(1e9, huge)), 1e9);
+  assert.equal(sum(allocate(1e9, largeClaims)), 1e9);
 });
--- a/test/admission-world.test.ts
+++ b/test/admission-world.test.ts
@@ -1,3 +1,5 @@
+/** Simulates a submission burst by one team under fair admission, with and without other faults. */
+
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { SubmittedJob } from "./model/jobs.js";
@@ -5,66 +7,66 @@
 import { NO_TROUBLE, type Trouble } from "./model/trouble.js";
 import { jobSpec } from "./support/controller-harness.js";
 
-const QUIET_S = 20;
+const BEFORE_BURST_S = 20;
 const BURST_S = 60;
-const AFTER_S = 90;
-/** Each team submits a job that often; the flooding one submits so many a second beside in the burst. */
+const AFTER_BURST_S = 90;
+/** Each team submits one job per interval; during the burst, one team submits this many more per second. */
 const SUBMISSION_INTERVAL_S = 2;
-const FLOOD_PER_S = 10;
-/** The longest delay that the smaller team's users may be asked to keep, and the longest wait for its next task. */
+const BURST_JOBS_PER_S = 10;
+/** Upper bounds for the other team: the retry-after of a throttled submission, and the delay until a task starts. */
 const MAX_RETRY_AFTER_S = 3;
 const MAX_START_DELAY_S = 60;
 
-/** What happens beside the burst. */
-interface Circumstances {
+/** Faults that occur in addition to the burst. */
+interface Scenario {
   readonly trouble?: Trouble;
-  readonly meanwhile?: (cluster: ModelCluster, second: number) => void;
+  readonly injectFaults?: (cluster: ModelCluster, second: number) => void;
 }
 
-interface Day {
+interface BurstResult {
   readonly cluster: ModelCluster;
-  /** Jobs of the team that does not flood, submitted in the burst. */
-  readonly others: SubmittedJob[];
+  /** Jobs that the other team submitted during the burst. */
+  readonly otherTeamJobs: SubmittedJob[];
 }
 
-/** One team submits ten times what both do in quiet. */
-function playBurst(seed: number, { trouble, meanwhile }: Circumstances): Day {
+/** During the burst, one team submits jobs at ten times the normal rate of both teams together. */
+function simulateBurst(seed: number, { trouble, injectFaults }: Scenario): BurstResult {
   const cluster = new ModelCluster({ seed, trouble, admission: true });
-  const others: SubmittedJob[] = [];
-  let nextJob = 1;
+  const otherTeamJobs: SubmittedJob[] = [];
+  let nextJobNumber = 1;
   const submit = (team: string) => {
-    const uid = `j-${nextJob++}`;
+    const uid = `j-${nextJobNumber++}`;
     cluster.users.submit(jobSpec(uid, { team, jobClass: team, tasks: 2, estimateS: 4 }));
     return uid;
   };
-  for (let second = 1; second <= QUIET_S + BURST_S + AFTER_S; second++) {
+  for (let second = 1; second <= BEFORE_BURST_S + BURST_S + AFTER_BURST_S; second++) {
     cluster.run(second * 1000);
-    const isBurst = second > QUIET_S && second <= QUIET_S + BURST_S;
-    if (second <= QUIET_S + BURST_S && second % SUBMISSION_INTERVAL_S === 0) {
+    const isBurst = second > BEFORE_BURST_S && second <= BEFORE_BURST_S + BURST_S;
+    if (second <= BEFORE_BURST_S + BURST_S && second % SUBMISSION_INTERVAL_S === 0) {
       const uid = submit("blue");
       const job = cluster.jobs.get(uid);
-      if (isBurst && job) others.push(job);
+      if (isBurst && job) otherTeamJobs.push(job);
       submit("red");
     }
-    if (isBurst) for (let i = 0; i < FLOOD_PER_S; i++) submit("red");
-    meanwhile?.(cluster, second);
+    if (isBurst) for (let i = 0; i < BURST_JOBS_PER_S; i++) submit("red");
+    injectFaults?.(cluster, second);
   }
-  return { cluster, others };
+  return { cluster, otherTeamJobs };
 }
 
 function leaderOf(cluster: ModelCluster): number {
   return cluster.controllers.leader?.index ?? -1;
 }
 
-const CIRCUMSTANCES: Record<string, Circumstances> = {
+const SCENARIOS: Record<string, Scenario> = {
   "with no other fault": {},
   "while the leader crashes": {
-    meanwhile: (cluster, second) => {
+    injectFaults: (cluster, second) => {
       if (second === 40 || second === 60) cluster.controllers.crash(Math.max(0, leaderOf(cluster)), 5000);
     },
   },
   "while a node is partitioned from its peers": {
-    meanwhile: (cluster, second) => {
+    injectFaults: (cluster, second) => {
       const node = cluster.nodes[(leaderOf(cluster) + 1) % cluster.nodes.length];
       if (second === 40 && node) node.peersPartitionedUntil = cluster.now + 15_000;
     },
@@ -72,28 +74,28 @@
   "during a rolling upgrade": { trouble: { ...NO_TROUBLE, upgrade: true } },
 };
 
-for (const [what, circumstances] of Object.entries(CIRCUMSTANCES)) {
-  test(`a tenfold burst by one team ${what}: the other team's jobs are accepted and start in time, and no rule is broken`, () => {
+for (const [condition, scenario] of Object.entries(SCENARIOS)) {
+  test(`a tenfold submission burst by one team ${condition}: the other team's jobs are accepted and start in time, and there is no rule violation`, () => {
     for (let seed = 1; seed <= 2; seed++) {
-      const { cluster, others } = playBurst(seed, circumstances);
+      const { cluster, otherTeamJobs } = simulateBurst(seed, scenario);
       assert.deepEqual(cluster.violations, [], `seed ${seed}`);
-      assert.ok(others.length >= 25);
-      for (const { spec, acceptedAt, finishedAt } of others) {
-        assert.ok(acceptedAt !== null, `seed ${seed}: ${spec.uid} is not accepted`);
-        assert.ok(finishedAt !== null, `seed ${seed}: ${spec.uid} is not done`);
+      assert.ok(otherTeamJobs.length >= 25);
+      for (const { spec, acceptedAt, finishedAt } of otherTeamJobs) {
+        assert.ok(acceptedAt !== null, `seed ${seed}: ${spec.uid} has not been accepted`);
+        assert.ok(finishedAt !== null, `seed ${seed}: ${spec.uid} has not finished`);
         assert.ok(
           finishedAt - acceptedAt <= (MAX_START_DELAY_S + 30) * 1000,
-          `${spec.uid}: ${finishedAt - acceptedAt} ms`,
+          `${spec.uid}: finished ${finishedAt - acceptedAt} ms after its acceptance`,
         );
       }
       const delayed = cluster.users.rejected.filter(
         ({ team, retryAfterS }) => team === "blue" && retryAfterS !== null,
       );
-      const late = delayed.filter(({ retryAfterS }) => (retryAfterS ?? 0) > MAX_RETRY_AFTER_S);
-      if (what === "with no other fault") assert.deepEqual(late, [], `seed ${seed}`);
+      const excessiveDelays = delayed.filter(({ retryAfterS }) => (retryAfterS ?? 0) > MAX_RETRY_AFTER_S);
+      if (condition === "with no other fault") assert.deepEqual(excessiveDelays, [], `seed ${seed}`);
       assert.ok(
         cluster.users.rejected.some(({ team }) => team === "red"),
-        "the flood is throttled",
+        "submissions of the bursting team are throttled",
       );
     }
   });
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -1,4 +1,4 @@
-/** Fair admission as users, operators and peers see it: throttled submissions, settings, heartbeats, metrics. */
+/** External behaviour of fair admission: throttled submissions, settings, peer heartbeats, status and metrics. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -10,34 +10,34 @@
 import { FakeStore } from "./support/fake-store.js";
 import { readMessageInProduction } from "./support/production-readers.js";
 
-/** Submits jobs of a team until one is throttled; returns that response and the ids that were accepted. */
+/** Submits jobs of a team until one is throttled; returns that response and the uids of the accepted jobs. */
 function submitUntilThrottled(
   harness: ControllerHarness,
   team: string,
   firstNumber: number,
   limit = 500,
-): { refused: UserResponse; taken: string[] } {
+): { throttled: UserResponse; accepted: string[] } {
   const accepted: string[] = [];
   for (let i = 0; i < limit; i++) {
     const uid = `j-${firstNumber + i}`;
     const response = harness.submit(jobSpec(uid, { team }));
-    if (response?.kind === "throttled") return { refused: response, taken: accepted };
+    if (response?.kind === "throttled") return { throttled: response, accepted };
     assert.equal(response?.kind, "accepted");
     accepted.push(uid);
   }
-  throw new Error(`${limit} were taken`);
+  throw new Error(`none of ${limit} submissions was throttled`);
 }
 
-test("a submission beyond the team's share is throttled with a retry-after; repeated submissions, cancellations and polls are not", () => {
+test("a submission that exceeds the team's share is throttled with a retry-after; repeated submissions, cancellations and polls are not throttled", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(5000);
-  const { refused, taken: accepted } = submitUntilThrottled(harness, "red", 1000);
+  const { throttled, accepted } = submitUntilThrottled(harness, "red", 1000);
 
-  assert.ok(refused.kind === "throttled" && refused.retryAfterS >= 1 && refused.retryAfterS <= 30);
-  assert.match(refused.error, /red/);
+  assert.ok(throttled.kind === "throttled" && throttled.retryAfterS >= 1 && throttled.retryAfterS <= 30);
+  assert.match(throttled.error, /red/);
 
-  const written = [...harness.store.entries.keys()].filter((key) => key.startsWith("j/"));
-  assert.equal(written.length, accepted.length, "a throttled submission is not stored");
+  const storedKeys = [...harness.store.entries.keys()].filter((key) => key.startsWith("j/"));
+  assert.equal(storedKeys.length, accepted.length, "a throttled submission is not stored");
 
   const [firstUid = ""] = accepted;
   const repeatedSubmission = harness.submit(jobSpec(firstUid, { team: "red" }));
@@ -52,7 +52,7 @@
   assert.equal(harness.submit(jobSpec("j-5001", { team: "green" }))?.kind, "unsatisfiable");
 });
 
-test("a repeated submission of a job that another node accepted is 200 under overload, whatever the job's state", () => {
+test("under overload, a repeated submission of a job that another node accepted is answered with 200, whatever the job's state", () => {
   const store = new FakeStore();
   const harness = leaderWithFairAdmission(store);
   const otherNode = new ControllerHarness("n1", store);
@@ -69,7 +69,7 @@
   }
 });
 
-test("jobs of a team removed from the settings go on and their repeated submission is 200, while its new jobs are unsatisfiable", () => {
+test("when a team is removed from the settings, its existing jobs continue and their repeated submission is answered with 200, while new jobs are unsatisfiable", () => {
   const store = new FakeStore();
   const leaderWithBlue = leaderWithFairAdmission(store);
   assert.equal(leaderWithBlue.submit(jobSpec("j-1", { team: "blue" }))?.kind, "accepted");
@@ -94,7 +94,7 @@
   assert.equal(leaderWithoutBlue.cancel("j-1")?.kind, "status");
 });
 
-test("throttled submissions are checked against the store many to a request, and are 503 if it does not respond", () => {
+test("throttled submissions are looked up in the store in batches, and are answered with 503 if the store does not respond", () => {
   const harness = leaderWithFairAdmission();
   submitUntilThrottled(harness, "red", 1000);
   let lookups = 0;
@@ -116,14 +116,14 @@
       (response) => response?.kind === "throttled",
     ),
   );
-  assert.ok(lookups <= 3, `${lookups} requests for 40`);
+  assert.ok(lookups <= 3, `${lookups} store requests for 40 submissions`);
 
   harness.storeRule = (call) =>
     call.kind === "transaction" ? { kind: "unavailable", reason: "outage" } : null;
   assert.equal(harness.submit(jobSpec("j-8000"))?.kind, "unavailable");
 });
 
-test("a permit is returned when the write of its submission is refused", () => {
+test("a permit is returned when the store rejects the write of its submission", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(3000);
   const available = () => {
@@ -144,7 +144,7 @@
   assert.equal(available(), (before ?? 0) - 1);
 });
 
-test("admission weights and bounds are validated and take effect at once", () => {
+test("admission weights and the limits of admission settings are validated, and valid changes take effect at once", () => {
   const harness = leaderWithFairAdmission();
   const changeSettings = (values: Record<string, unknown>) =>
     harness.admin({ kind: "changeSettings", values });
@@ -160,7 +160,7 @@
   assert.equal(admission.teams.find(({ name }) => name === "blue")?.weight, 7);
 });
 
-test("peer heartbeats carry admission as an added field that production ignores, and omit it where admission is off", () => {
+test("peer heartbeats contain an added admission field that the previous version (production) ignores, and omit it when fair admission is disabled", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(2000);
   const heartbeat = harness.heartbeats.get("n1");
@@ -168,23 +168,25 @@
   assert.ok(heartbeat?.kind === "heartbeat" && heartbeat.admission);
   assert.ok(readMessageInProduction(encodePeerMessage(heartbeat)));
 
-  const plainHeartbeat = new ControllerHarness().becomeLeader().heartbeats.get("n1");
-  assert.ok(plainHeartbeat?.kind === "heartbeat" && plainHeartbeat.admission === undefined);
+  const heartbeatWithoutAdmission = new ControllerHarness().becomeLeader().heartbeats.get("n1");
+  assert.ok(
+    heartbeatWithoutAdmission?.kind === "heartbeat" && heartbeatWithoutAdmission.admission === undefined,
+  );
 });
 
-test("a malformed admission field is dropped from a peer heartbeat, and the heartbeat still counts", () => {
+test("a malformed admission field of a peer heartbeat is dropped, and the rest of the heartbeat is accepted", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(2000);
   const heartbeat = harness.heartbeats.get("n1");
 
   assert.ok(heartbeat?.kind === "heartbeat" && heartbeat.admission);
 
-  const asSent = JSON.parse(JSON.stringify(encodePeerMessage(heartbeat)));
-  const read = decodePeerMessage(asSent);
-  assert.ok(read);
-  assert.deepEqual(JSON.parse(JSON.stringify(encodePeerMessage(read))), asSent);
+  const encoded = JSON.parse(JSON.stringify(encodePeerMessage(heartbeat)));
+  const roundTripped = decodePeerMessage(encoded);
+  assert.ok(roundTripped);
+  assert.deepEqual(JSON.parse(JSON.stringify(encodePeerMessage(roundTripped))), encoded);
 
-  const { report } = asSent.admission;
+  const { report } = encoded.admission;
   const malformed = [
     "yes",
     { report: { ...report, sequence: -1 } },
@@ -192,18 +194,18 @@
     { report, slice: { token: "x" } },
   ];
   for (const admission of malformed) {
-    const decoded = decodePeerMessage({ ...asSent, admission });
+    const decoded = decodePeerMessage({ ...encoded, admission });
     assert.ok(decoded?.kind === "heartbeat" && decoded.admission === undefined, JSON.stringify(admission));
   }
-  const laterVersion = decodePeerMessage({ ...asSent, admission: { ...asSent.admission, more: 1 } });
+  const fromLaterVersion = decodePeerMessage({ ...encoded, admission: { ...encoded.admission, more: 1 } });
 
   assert.ok(
-    laterVersion?.kind === "heartbeat" && laterVersion.admission,
-    "unknown fields belong to a later version",
+    fromLaterVersion?.kind === "heartbeat" && fromLaterVersion.admission,
+    "a field added by a later version is ignored",
   );
 });
 
-test("metrics and status give each team's admitted and refused submissions, its retry-after and its longest wait", async () => {
+test("metrics and status report each team's admitted and refused submissions, its retry-after and its longest wait", async () => {
   const harness = leaderWithFairAdmission();
   submitUntilThrottled(harness, "red", 1000);
   const { text } = await renderMetrics(harness.controller, { batches: 1, lagMs: 0, pendingUsers: 0 });
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -1,4 +1,4 @@
-/** Peers and clients that don't read, or send too much, cost a bounded amount of memory. */
+/** Peers and clients that do not read, or that send too much, use only a bounded amount of memory. */
 
 import assert from "node:assert/strict";
 import net, { type AddressInfo } from "node:net";
@@ -16,30 +16,30 @@
 
 const LOOPBACK = "127.0.0.1";
 const MB = 1024 * 1024;
-/** Messages of 13 KB each: far more than may be buffered for a peer. */
+/** Messages of 13 KB each; in total far more than may be buffered for a peer. */
 const MAX_SENT_MESSAGES = 4000;
 
 async function listen(server: net.Server): Promise<number> {
-  await new Promise<void>((listening) => server.listen(0, LOOPBACK, listening));
+  await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   return (server.address() as AddressInfo).port;
 }
 
 setFlagsFromString("--expose-gc");
 const collectGarbage = runInNewContext("gc") as () => void;
 
-/** Bytes in use after a garbage collection, on the heap and in array buffers. */
+/** Runs a garbage collection and returns the bytes in use on the heap and in array buffers. */
 function bytesInUse(): number {
   collectGarbage();
   const { heapUsed, arrayBuffers } = process.memoryUsage();
   return heapUsed + arrayBuffers;
 }
 
-/** Sends far more than may be buffered to a peer that accepts the link and never reads. `kept` is the peak in bytes. */
-async function offerToStalledPeer(): Promise<{ kept: number; sent: number; lost: number }> {
+/** Sends messages to a peer that accepts the connection but never reads, until it is disconnected. */
+async function sendToStalledPeer(): Promise<{ peakBytes: number; sent: number; disconnects: number }> {
   const stalled = net.createServer((socket) => socket.pause());
   const address = { host: LOOPBACK, port: await listen(stalled) };
   const base = parseSettings(SETTINGS);
-  const links: boolean[] = [];
+  const linkStates: boolean[] = [];
   const peers = new Peers(
     {
       ...base,
@@ -47,38 +47,38 @@
       peerListen: { host: LOOPBACK, port: 0 },
       peers: [{ node: "n1", at: address }],
     },
-    { linkChanged: (_node, up) => links.push(up), messageReceived: () => {} },
+    { linkChanged: (_node, up) => linkStates.push(up), messageReceived: () => {} },
   );
   peers.listen((error) => {
     throw error;
   });
   const bytesBefore = bytesInUse();
-  let kept = 0;
+  let peakBytes = 0;
   let sent = 0;
-  while (!links.includes(false)) {
+  while (!linkStates.includes(false)) {
     const body = { pieces: Array.from({ length: 1024 }, () => "0123456789ab") };
     const message: PeerMessage = { kind: "forwardedHeartbeats", heartbeats: [{ id: 1, body }] };
     peers.send("n1", message);
-    if (links.includes(true)) sent++;
-    if (sent % 100 === 1) kept = Math.max(kept, bytesInUse() - bytesBefore);
+    if (linkStates.includes(true)) sent++;
+    if (sent % 100 === 1) peakBytes = Math.max(peakBytes, bytesInUse() - bytesBefore);
     if (sent > MAX_SENT_MESSAGES) break;
-    await new Promise((next) => setImmediate(next));
+    await new Promise((resolve) => setImmediate(resolve));
   }
-  return { kept, sent, lost: links.filter((up) => !up).length };
+  return { peakBytes, sent, disconnects: linkStates.filter((up) => !up).length };
 }
 
 class CountingRequestHandler implements RequestHandler {
   readonly ready = true;
   readonly overloaded = false;
-  taken = 0;
+  handledRequests = 0;
   submit(): void {
-    this.taken++;
+    this.handledRequests++;
   }
   poll(): void {}
   cancel(): void {}
   administer(): void {}
   takeHeartbeat(body: unknown): boolean {
-    if (body !== undefined) this.taken++;
+    if (body !== undefined) this.handledRequests++;
     return false;
   }
   metrics(): Promise<{ type: string; text: string }> {
@@ -86,20 +86,23 @@
   }
 }
 
-/** Sends a chunked body of so many bytes, without a content length; resolves to the status line of the response. */
+/**
+ * Sends a chunked body of the given size, without a content length. Resolves to the status line of the response, or to
+ * "closed" if the connection is closed first.
+ */
 function streamBody(port: number, path: string, bytes: number, onPiece: () => void): Promise<string> {
   const piece = Buffer.alloc(64 * 1024, "x");
-  return new Promise((then) => {
+  return new Promise((resolve) => {
     const socket = net.connect(port, LOOPBACK);
-    socket.on("error", () => then("closed"));
-    socket.on("close", () => then("closed"));
+    socket.on("error", () => resolve("closed"));
+    socket.on("close", () => resolve("closed"));
     socket.on("data", (data) => {
-      then(data.toString("utf8").split("\r\n")[0] ?? "");
+      resolve(data.toString("utf8").split("\r\n")[0] ?? "");
       socket.destroy();
     });
     socket.write(`POST ${path} HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n`);
     let bytesLeft = bytes;
-    const next = () => {
+    const sendNextPiece = () => {
       onPiece();
       if (socket.destroyed) return;
       if (bytesLeft <= 0) {
@@ -109,82 +112,86 @@
       bytesLeft -= piece.length;
       socket.write(`${piece.length.toString(16)}\r\n`);
       socket.write(piece);
-      if (socket.write("\r\n")) setImmediate(next);
-      else socket.once("drain", next);
+      if (socket.write("\r\n")) setImmediate(sendNextPiece);
+      else socket.once("drain", sendNextPiece);
     };
-    next();
+    sendNextPiece();
   });
 }
 
 if (isMainThread) {
-  // Guarded against: a stalled peer, to which heartbeats are forwarded, makes a controller run out of memory.
-  test("a peer that does not read its socket costs a bounded amount of memory and then loses its link", async () => {
+  // Guards against a controller running out of memory because it forwards heartbeats to a stalled peer.
+  test("a peer that does not read from its socket uses a bounded amount of memory before its link is closed", async () => {
     const worker = new Worker(fileURLToPath(import.meta.url));
     try {
-      const result = await new Promise<Awaited<ReturnType<typeof offerToStalledPeer>>>((then, fail) => {
-        worker.once("message", then);
-        worker.once("error", fail);
+      const result = await new Promise<Awaited<ReturnType<typeof sendToStalledPeer>>>((resolve, reject) => {
+        worker.once("message", resolve);
+        worker.once("error", reject);
       });
-      assert.equal(result.lost, 1, `the link is closed: ${JSON.stringify(result)}`);
-      // 2 KiB for each of its 256 connections, and the message being encoded; the rest is in the kernel's buffers.
-      assert.ok(result.kept < 8 * MB, JSON.stringify(result));
+      assert.equal(result.disconnects, 1, `the link is closed once: ${JSON.stringify(result)}`);
+      // Buffered: 2 KiB for each of the 256 connections, and the message being encoded. The kernel buffers the rest.
+      assert.ok(result.peakBytes < 8 * MB, JSON.stringify(result));
     } finally {
       await worker.terminate();
     }
   });
 
-  test("an oversized chunked body is refused without being buffered, on every path", async () => {
+  test("an oversized chunked body is rejected without being buffered, on every path", async () => {
     const handler = new CountingRequestHandler();
     const server = createServer(handler, shareSockets(100));
     const port = await listen(server);
     try {
       for (const path of ["/api/jobs", "/agent/beat"]) {
         const bytesBefore = bytesInUse();
-        let kept = 0;
+        let peakBytes = 0;
         let pieces = 0;
         const status = await streamBody(port, path, 64 * MB, () => {
-          if (pieces++ % 64 === 0) kept = Math.max(kept, bytesInUse() - bytesBefore);
+          if (pieces++ % 64 === 0) peakBytes = Math.max(peakBytes, bytesInUse() - bytesBefore);
         });
 
         assert.match(status, /^HTTP\/1\.1 400|^closed/, path);
-        assert.ok(kept < 8 * MB, `${path}: ${Math.round(kept / MB)} MB were buffered`);
+        assert.ok(peakBytes < 8 * MB, `${path}: ${Math.round(peakBytes / MB)} MB in use`);
       }
-      assert.equal(handler.taken, 0);
+      assert.equal(handler.handledRequests, 0);
     } finally {
       server.close();
       server.closeAllConnections();
     }
   });
 
-  test("a body that arrives byte by byte is read whole, and an incomplete request costs only its own connection", async () => {
+  test("a body that arrives byte by byte is read completely, and an incomplete request occupies only its own connection", async () => {
     const handler = new CountingRequestHandler();
     const server = createServer(handler, shareSockets(100));
     const port = await listen(server);
     try {
-      const halfRequest = net.connect(port, LOOPBACK);
-      halfRequest.write("POST /agent/beat HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\n{");
+      const incompleteRequest = net.connect(port, LOOPBACK);
+      incompleteRequest.write("POST /agent/beat HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\n{");
       const text = '{"host":"i-1"}';
-      const status = await new Promise<string>((then) => {
+      const status = await new Promise<string>((resolve) => {
         const socket = net.connect(port, LOOPBACK);
-        socket.on("data", (data) => then(data.toString("utf8").split("\r\n")[0] ?? ""));
-        const wholeRequest = `POST /agent/beat HTTP/1.1\r\nhost: x\r\ncontent-length: ${text.length}\r\n\r\n${text}`;
+        socket.on("data", (data) => resolve(data.toString("utf8").split("\r\n")[0] ?? ""));
+        const completeRequest = `POST /agent/beat HTTP/1.1\r\nhost: x\r\ncontent-length: ${text.length}\r\n\r\n${text}`;
         const send = (i: number) => {
-          if (i === wholeRequest.length) return;
-          socket.write(wholeRequest.charAt(i));
+          if (i === completeRequest.length) return;
+          socket.write(completeRequest.charAt(i));
           setImmediate(() => send(i + 1));
         };
         send(0);
       });
 
       assert.equal(status, "HTTP/1.1 400 Bad Request");
-      assert.equal(handler.taken, 1, "it was read as JSON");
+      assert.equal(
+        handler.handledRequests,
+        1,
+        "the body is parsed as JSON and handed to the request handler",
+      );
 
-      halfRequest.destroy();
+      incompleteRequest.destroy();
     } finally {
       server.close();
       server.closeAllConnections();
     }
   });
 } else {
-  parentPort?.postMessage(await offerToStalledPeer());
+  parentPort?.postMessage(await sendToStalledPeer());
 }
--- a/test/cloud-inventory.test.ts
+++ b/test/cloud-inventory.test.ts
@@ -1,10 +1,10 @@
-/** A terminated machine stays terminated, whatever old lists or heartbeats say (I4). */
+/** A terminated machine is not used again because of a stale cloud list or a delayed heartbeat (I4). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 
-test("neither a stale cloud list nor a late heartbeat brings a terminated machine back into use", () => {
+test("neither a stale cloud list nor a delayed heartbeat makes a terminated machine schedulable again", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineList = (phase: "failed" | "running") => ({
     kind: "page" as const,
@@ -29,7 +29,7 @@
   assert.deepEqual(harness.startCommands("j-1"), []);
 });
 
-test("a late duplicate heartbeat neither revives a terminated machine nor proves an agent alive to a new leader", () => {
+test("a delayed duplicate heartbeat neither restores a terminated machine nor proves to a new leader that the agent is alive", () => {
   const leader = new ControllerHarness().becomeLeader();
   const terminatedMachines: string[] = [];
   leader.cloudRule = (call) => {
@@ -45,12 +45,12 @@
   assert.deepEqual(terminatedMachines, ["A"]);
 
   leader.advance(30_000);
-  const lateHeartbeat = leader.makeHeartbeat("A");
-  leader.handle({ kind: "heartbeat", requestId: 900, heartbeat: lateHeartbeat, body: null });
+  const delayedHeartbeat = leader.makeHeartbeat("A");
+  leader.handle({ kind: "heartbeat", requestId: 900, heartbeat: delayedHeartbeat, body: null });
   leader.advance(5000);
 
   assert.deepEqual(leader.agentReply(900), { kind: "unavailable" });
-  assert.deepEqual(terminatedMachines, ["A"], "it is not terminated again");
+  assert.deepEqual(terminatedMachines, ["A"], "the machine is not terminated a second time");
   assert.equal(leader.controller.leaderTerm?.cluster.machines.size, 0);
 
   const nextLeader = new ControllerHarness().becomeLeader();
@@ -61,6 +61,6 @@
   assert.deepEqual(
     nextLeader.startCommands("j-1"),
     [],
-    "the heartbeat carries no fencing token of this term",
+    "the heartbeat does not contain the fencing token of the current term",
   );
 });
--- a/test/command-planner.test.ts
+++ b/test/command-planner.test.ts
@@ -1,4 +1,4 @@
-/** Which commands an agent is sent, and when they are sent or repeated (I2). */
+/** Selection and timing of the commands sent to an agent, including repeats (I2). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -6,7 +6,7 @@
 import { onlyElement } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a start command is sent only after its placement is stored", () => {
+test("a start command is sent only after its placement has been stored", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.storeRule = (call) =>
@@ -23,13 +23,13 @@
   assert.equal(harness.startCommands("j-1").length, 1);
 });
 
-test("a start command is neither sent nor repeated while the leader's knowledge of cancellations is stale", () => {
+test("no start command is sent or repeated while the leader's view of cancellations is stale", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
   harness.advance(200);
   harness.timeOutCommands();
-  // The job watch fails, so that a cancellation by another node would not be seen (I2).
+  // The job watch fails, so the leader would miss a cancellation by another node (I2).
   harness.storeRule = (call) => (call.kind === "watch" ? STORE_OUTAGE : null);
   for (let i = 0; i < 4; i++) {
     harness.advance(2000);
@@ -45,12 +45,12 @@
   assert.equal(harness.startCommands("j-1").length, startsBefore);
 });
 
-test("a task cancelled before its start command was sent is never started", () => {
+test("a task that is cancelled before its start command is sent is never started", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-0"));
   harness.advance(200);
-  // A command batch to the machine is in flight, so the next start is on record but not yet sent.
+  // A command batch to the machine is in flight, so the next placement is stored but its start command is not yet sent.
   harness.submit(jobSpec("j-1"));
   harness.advance(300);
 
@@ -72,7 +72,7 @@
   assert.ok(harness.store.entries.has("f/j-1"));
 });
 
-test("an unanswered start command is repeated only with the same attempt on the same machine", () => {
+test("an unanswered start command is repeated only for the same attempt and on the same machine", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
@@ -92,7 +92,7 @@
   assert.ok(reply?.kind === "commands");
 });
 
-test("a cancelled task whose start command may be in flight is started and stopped, so that no late start can follow", () => {
+test("for a cancelled task whose start command may be in flight, start and stop are sent together, so that a delayed start has no effect", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
@@ -100,10 +100,10 @@
   harness.timeOutCommands();
   harness.cancel("j-1");
   harness.advance(2000);
-  const last = harness.sentCommands.at(-1);
+  const lastBatch = harness.sentCommands.at(-1);
 
   assert.deepEqual(
-    last?.commands.map((command) => command.kind),
+    lastBatch?.commands.map((command) => command.kind),
     ["start", "stop"],
   );
 });
--- a/test/controller.test.ts
+++ b/test/controller.test.ts
@@ -1,13 +1,13 @@
-/** Faults in the controller itself. */
+/** Handling of faults within the controller. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("an exception in the core makes the leader step down and leaves the process running", () => {
+test("an exception in the core makes the leader step down, and the process keeps running", () => {
   const { harness } = leaderWithRunningTask();
-  // The fault: a machine index that the interner does not know. The poll behind it in the same batch is answered all
-  // the same.
+  // A machine index that the interner has not assigned causes an exception. The poll that follows it in the same batch
+  // must still be answered.
   const heartbeat = { ...harness.makeHeartbeat("A"), machine: 9999 };
   harness.handle(
     { kind: "heartbeat", requestId: 800, heartbeat, body: null },
@@ -20,6 +20,6 @@
   assert.equal(harness.controller.leaderName === null || harness.controller.election.lease === null, true);
 
   harness.advance(6000);
-  assert.ok(harness.controller.election.lease, "it leads again");
-  assert.equal(harness.controller.status().jobs, 1, "with the jobs restored from the records");
+  assert.ok(harness.controller.election.lease, "the node is re-elected");
+  assert.equal(harness.controller.status().jobs, 1, "the jobs are restored from the records");
 });
--- a/test/dependency-cancellation.test.ts
+++ b/test/dependency-cancellation.test.ts
@@ -1,4 +1,4 @@
-/** Cancellation of a job reaches all that depend on it, on every node (I8). */
+/** The cancellation of a job cancels all jobs that depend on it, and every node reports it (I8). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -7,17 +7,21 @@
 import { leaderWithDependentJob, phaseOf, reportDone, writesFinalRecord } from "./support/dependent-jobs.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("when a cancellation races with completion, one write decides for the job and its dependents", () => {
+test("when a cancellation races with completion, the first write to the store decides the outcome of the job and its dependents", () => {
   for (const cancelledFirst of [true, false]) {
     const { harness, runningTask } = leaderWithDependentJob();
     if (cancelledFirst) {
-      // The other node's transaction comes before the leader's, and the leader has not seen it yet.
+      // The other node's transaction precedes the leader's, and the leader's watch has not reported it yet.
       const otherNode = new ControllerHarness("n1", harness.store);
       otherNode.advance(300);
       harness.storeRule = (call) => (call.kind === "watch" ? STORE_OUTAGE : null);
 
       assert.equal(phaseOf(otherNode.cancel("j-1")), "cancelled");
-      assert.equal(phaseOf(otherNode.poll("j-2")), "cancelled", "at once, on the node that confirmed it");
+      assert.equal(
+        phaseOf(otherNode.poll("j-2")),
+        "cancelled",
+        "the node that confirmed the cancellation reports it at once",
+      );
 
       reportDone(harness, runningTask);
       harness.advance(2000);
@@ -29,20 +33,24 @@
       assert.equal(phaseOf(harness.cancel("j-1")), "done");
 
       harness.advance(500);
-      assert.equal(harness.startCommands("j-2").length, 1, "a response of done lets dependents start");
+      assert.equal(
+        harness.startCommands("j-2").length,
+        1,
+        "dependents start once the job is reported as done",
+      );
       assert.equal(phaseOf(harness.poll("j-2")), "queued");
     }
   }
 });
 
-test("every node reports the dependents of a cancelled job as cancelled, though the leader can't reach the store, has ended or has not seen it", () => {
+test("every node reports the dependents of a cancelled job as cancelled, even if the leader cannot reach the store, has failed or has not seen the cancellation", () => {
   const { harness } = leaderWithDependentJob();
   harness.submit(jobSpec("j-3", { awaits: ["j-2"] }));
   harness.advance(300);
   const otherNode = new ControllerHarness("n1", harness.store);
   otherNode.advance(300);
 
-  // To both nodes all three jobs are unfinished.
+  // Both nodes report all three jobs as unfinished.
   for (const uid of ["j-1", "j-2", "j-3"]) {
     assert.notEqual(phaseOf(harness.poll(uid)), "cancelled");
     assert.notEqual(phaseOf(otherNode.poll(uid)), "cancelled");
@@ -51,17 +59,25 @@
   harness.storeRule = () => STORE_OUTAGE;
   assert.equal(phaseOf(otherNode.cancel("j-1")), "cancelled");
   assert.equal(phaseOf(otherNode.poll("j-3")), "cancelled");
-  assert.equal(phaseOf(otherNode.submit(jobSpec("j-3", { awaits: ["j-2"] }))), "cancelled", "a repeat");
+  assert.equal(
+    phaseOf(otherNode.submit(jobSpec("j-3", { awaits: ["j-2"] }))),
+    "cancelled",
+    "a repeated submission",
+  );
   assert.equal(
     phaseOf(otherNode.submit(jobSpec("j-4", { awaits: ["j-3"] }))),
     "cancelled",
-    "accepted nevertheless",
+    "a new submission is accepted and cancelled",
+  );
+  assert.equal(
+    phaseOf(harness.poll("j-3")),
+    "unavailable",
+    "a node that cannot reach the store reports no stale state",
   );
-  assert.equal(phaseOf(harness.poll("j-3")), "unavailable", "no stale state is reported");
 
   const thirdNode = new ControllerHarness("n2", harness.store);
   thirdNode.advance(300);
-  assert.equal(phaseOf(thirdNode.poll("j-4")), "cancelled", "on a node that has read nothing yet");
+  assert.equal(phaseOf(thirdNode.poll("j-4")), "cancelled", "a node that has read no records yet");
 
   harness.storeRule = null;
   harness.advance(3000);
@@ -74,11 +90,11 @@
   assert.equal(
     phaseOf(harness.submit(jobSpec("j-5", { awaits: ["j-2"] }))),
     "cancelled",
-    "after the cancellation has been completed",
+    "a submission after all dependents have been cancelled",
   );
 });
 
-test("a job accepted while a dependency is being cancelled is cancelled too, even after the leader is lost", () => {
+test("a job that is accepted while a dependency is being cancelled is also cancelled, even if the leader fails", () => {
   const { harness } = leaderWithDependentJob();
   const otherNode = new ControllerHarness("n1", harness.store);
   otherNode.advance(300);
@@ -93,7 +109,7 @@
       call.changes.some((change) => "put" in change && change.put === "j/j-9")
     ) {
       isCancelInjected = true;
-      // Between the read of its dependencies and its own write; no node leads from here on.
+      // The cancellation is between the read of the dependencies and the write of j-9; there is no leader after that.
       assert.equal(phaseOf(harness.cancel("j-1")), "cancelled");
     }
     return null;
@@ -104,7 +120,7 @@
   assert.equal(phaseOf(new ControllerHarness("n2", harness.store).becomeLeader().poll("j-9")), "cancelled");
 });
 
-test("a job cancelled by its user while the leader cancels it for a dependency ends as cancelled", () => {
+test("a job that its user cancels while the leader cancels it because of a dependency ends as cancelled", () => {
   const { harness } = leaderWithDependentJob();
   const otherNode = new ControllerHarness("n1", harness.store);
   otherNode.advance(300);
@@ -124,7 +140,7 @@
   assert.ok(!harness.store.entries.has("j/j-2"));
 });
 
-test("during a store outage a node reports the dependents of a job it knows to be cancelled as cancelled", () => {
+test("during a store outage, a node reports the dependents of a job as cancelled if it has already seen the job's cancellation", () => {
   const { harness } = leaderWithDependentJob();
   harness.cancel("j-1");
   harness.storeRule = () => STORE_OUTAGE;
--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -1,4 +1,4 @@
-/** Dependencies between jobs: when they are satisfied, and what a dependent job inherits or passes on. */
+/** Dependencies between jobs: when they are satisfied, and how priorities and deadlines are inherited. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -10,12 +10,12 @@
 import { electNextLeader } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a job starts once its dependencies are stored as done, not when a heartbeat reports them done", () => {
+test("a job starts once its dependencies are stored as done, not when a heartbeat reports them as done", () => {
   const { harness, runningTask } = leaderWithDependentJob();
   harness.advance(5000);
   assert.deepEqual(harness.startCommands("j-2"), []);
 
-  // The transaction with the final record is pending, and may yet conflict with a cancellation (I8).
+  // The transaction with the final record is pending and may still conflict with a cancellation (I8).
   harness.storeRule = (call) => (writesFinalRecord(call, "j-1") ? "hang" : null);
   reportDone(harness, runningTask);
   harness.advance(1000);
@@ -36,13 +36,13 @@
   assert.equal(harness.startCommands("j-2").length, 1);
 });
 
-test("a final record whose store response is lost satisfies dependencies only once its outcome is known", () => {
+test("a final record whose store response is lost satisfies dependencies only once the outcome of the write is known", () => {
   const { harness, runningTask } = leaderWithDependentJob();
   let lostResponses = 0;
   harness.storeRule = (call) => {
     if (!writesFinalRecord(call, "j-1") || lostResponses > 0) return null;
     lostResponses++;
-    // Carried out; only the response is lost.
+    // The write is applied, and only the response is lost.
     if (call.kind !== "watch") harness.store.run(call, harness.now);
     return { kind: "timeout" };
   };
@@ -55,7 +55,7 @@
   assert.equal(harness.startCommands("j-2").length, 1);
 });
 
-test("a new leader that has not read the final records starts no job that may depend on them", () => {
+test("a new leader that has not read the final records does not start jobs that may depend on them", () => {
   const { harness: previousLeader, runningTask } = leaderWithDependentJob();
   previousLeader.submit(jobSpec("j-3", { awaits: ["j-2", "j-1"] }));
   reportDone(previousLeader, runningTask);
@@ -63,7 +63,7 @@
   previousLeader.store.expire(previousLeader.now + 60_000);
   const newLeader = new ControllerHarness("n1", previousLeader.store);
   newLeader.now = previousLeader.now + 60_000;
-  // j-1 has ended: its state is under its final key alone, which can't be read for now.
+  // j-1 has ended, so its state is stored only under its final key, and reads of that key fail for now.
   newLeader.storeRule = (call) => (call.kind === "get" && call.key.startsWith("f/") ? STORE_OUTAGE : null);
   newLeader.becomeLeader();
   newLeader.advance(3000);
@@ -84,11 +84,11 @@
   assert.equal(
     dependentJob.queuedSince,
     finalRecord.at,
-    "its queue time counts from the recorded end of its dependencies",
+    "its queue time is measured from the recorded end of its dependencies",
   );
 });
 
-test("deadlines count from acceptance and queue times from when dependencies are satisfied, also under the next leader", () => {
+test("deadlines are measured from acceptance and queue times from when dependencies are satisfied, also after a failover", () => {
   const { harness: leader, runningTask } = leaderWithDependentJob();
   leader.submit(jobSpec("j-3", { awaits: ["j-1"], deadlineS: 100 }));
   for (let i = 0; i < 30; i++) {
@@ -96,7 +96,8 @@
     leader.advance(2000);
   }
   const acceptedAt =
-    leader.controller.leaderTerm?.cluster.jobByUid("j-3")?.acceptedAt ?? assert.fail("unknown");
+    leader.controller.leaderTerm?.cluster.jobByUid("j-3")?.acceptedAt ??
+    assert.fail("the leader does not know j-3");
   reportDone(leader, runningTask);
   leader.advance(1000);
   leader.store.expire(leader.now + 60_000);
@@ -104,21 +105,22 @@
   nextLeader.now = leader.now + 5000;
   nextLeader.becomeLeader();
   nextLeader.advance(2000);
-  const restoredJob = nextLeader.controller.leaderTerm?.cluster.jobByUid("j-3") ?? assert.fail("unknown");
+  const restoredJob =
+    nextLeader.controller.leaderTerm?.cluster.jobByUid("j-3") ?? assert.fail("the leader does not know j-3");
 
   assert.equal(restoredJob.dependenciesSatisfied, true);
   assert.equal(restoredJob.effectiveDeadlineAt, acceptedAt + 100_000);
   assert.ok(
     restoredJob.queuedSince - acceptedAt > 55_000,
-    `${restoredJob.queuedSince - acceptedAt} ms after its acceptance`,
+    `${restoredJob.queuedSince - acceptedAt} ms between acceptance and queue time`,
   );
 });
 
-test("a job with unsatisfied dependencies is queued without using quota, ageing or scaling out, and counts in full once they are satisfied", () => {
+test("a job with unsatisfied dependencies is queued without using quota, ageing or causing scale-out; once they are satisfied, it counts in full", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
-  // Would use the whole guaranteed quota of its team, and fit no machine.
+  // Without the dependency, it would use the whole guaranteed quota of its team, and it fits on no machine.
   harness.submit(
     jobSpec("j-2", { awaits: ["j-1"], shape: "gang", tasks: 6, need: { cpu: 4000, gpu: 0, ram: 1000 } }),
   );
@@ -134,15 +136,15 @@
     harness.advance(2000);
   }
   const { leaderTerm } = harness.controller;
-  const first = leaderTerm?.cluster.jobByUid("j-1");
-  const second = leaderTerm?.cluster.jobByUid("j-2");
+  const dependencyJob = leaderTerm?.cluster.jobByUid("j-1");
+  const waitingJob = leaderTerm?.cluster.jobByUid("j-2");
 
-  assert.ok(leaderTerm && first && second);
+  assert.ok(leaderTerm && dependencyJob && waitingJob);
   assert.equal(phaseOf(harness.poll("j-2")), "queued");
-  assert.equal(second.pendingCount, 0);
+  assert.equal(waitingJob.pendingCount, 0);
   assert.deepEqual(leaderTerm.scheduler.blocked, []);
   assert.equal(harness.cloudCalls.filter(({ kind }) => kind === "create").length, 0);
-  assert.ok(findGuaranteedJobs(harness.controller.ctx.deployment.teams, [first]).has(first));
+  assert.ok(findGuaranteedJobs(harness.controller.ctx.deployment.teams, [dependencyJob]).has(dependencyJob));
 
   const { awaiting } = harness.controller.status() as { awaiting: unknown[] };
   assert.deepEqual(awaiting, [{ job: "j-2", tasks: 6, awaits: ["j-1"] }]);
@@ -157,19 +159,19 @@
     awaits: ["j-1"],
   });
 
-  // 200 s after its acceptance its time in the queue only begins.
+  // Its queue time starts only now, 200 s after its acceptance.
   reportDone(harness, runningTask);
   harness.advance(1000);
-  assert.equal(second.pendingCount, 6);
-  assert.ok(harness.controller.ctx.wallMs - second.queuedSince < 2000);
+  assert.equal(waitingJob.pendingCount, 6);
+  assert.ok(harness.controller.ctx.wallMs - waitingJob.queuedSince < 2000);
   assert.ok(harness.cloudCalls.some(({ kind }) => kind === "create"));
   assert.ok(
     !harness.logLines.includes("job is starving"),
-    "the wait for dependencies does not count as queue time",
+    "the time spent waiting for dependencies is not queue time",
   );
 });
 
-test("jobs inherit the priority and deadline of their dependents until those are cancelled", () => {
+test("jobs inherit the priority and deadline of their dependents until the dependents are cancelled", () => {
   const leader = new ControllerHarness().becomeLeader();
   leader.submit(jobSpec("j-1", { priority: 0, tasks: 8 }));
   leader.submit(jobSpec("j-2", { priority: 0, tasks: 8, estimateS: 20, awaits: ["j-1"] }));
@@ -189,7 +191,7 @@
   assert.deepEqual(effectiveOf("j-2"), { priority: 2, dueS: 95 });
   assert.deepEqual(effectiveOf("j-1"), { priority: 2, dueS: 75 });
 
-  // A new leader derives the same.
+  // A new leader computes the same values.
   const nextLeader = electNextLeader(leader);
 
   assert.equal(nextLeader.controller.leaderTerm?.cluster.jobByUid("j-1")?.effectivePriority, 2);
@@ -200,10 +202,10 @@
   assert.equal(nextLeader.controller.leaderTerm.cluster.jobByUid("j-1")?.effectiveDeadlineAt, null);
 });
 
-test("a job with an inherited priority preempts only when the deadline of its dependent is at risk", () => {
+test("a job with an inherited priority preempts other jobs only when the deadline of its dependent is at risk", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
-  // Fills the machine, and can't save checkpoints.
+  // Occupies the whole machine and cannot save checkpoints.
   harness.submit(jobSpec("j-1", { priority: 0, tasks: 4 }));
   harness.advance(300);
   const running = harness
@@ -228,7 +230,7 @@
   runFor(30);
   assert.equal(harness.commandedTasks("stop", "j-1").length > 0, true);
 
-  // A job with a high priority of its own preempts at once.
+  // A job with a high priority of its own preempts other jobs at once.
   const highPriorityHarness = new ControllerHarness().becomeLeader();
   highPriorityHarness.sendHeartbeat("A");
   highPriorityHarness.submit(jobSpec("j-1", { priority: 0, tasks: 4 }));
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -1,11 +1,11 @@
-/** Election of the leader, fencing tokens, and stepping down. */
+/** Leader election, fencing tokens and stepping down. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { jobSpec } from "./support/controller-harness.js";
 import { electNextLeader, leaderWithRunningTask } from "./support/leaders.js";
 
-test("a leader whose lease has expired launches nothing and replies to heartbeats within the grace period only", () => {
+test("a leader whose leader lease has expired starts nothing, and replies to heartbeats only within the grace period", () => {
   const { harness, attempt } = leaderWithRunningTask();
   const token = harness.controller.election.lease?.fencingToken;
   harness.storeRule = () => ({ kind: "unavailable", reason: "outage" });
@@ -22,14 +22,14 @@
   assert.notEqual(harness.sendHeartbeat("A")?.kind, "commands");
 });
 
-test("a leader whose lease is not found, or that sees a higher fencing token, steps down at once", () => {
-  for (const evidence of ["grant", "token"]) {
+test("a leader steps down at once if the store no longer has its leader lease or if it sees a higher fencing token", () => {
+  for (const evidence of ["lease", "token"]) {
     const { harness } = leaderWithRunningTask();
-    if (evidence === "grant")
+    if (evidence === "lease")
       harness.storeRule = (call) => (call.kind === "renewLease" ? { kind: "notFound" } : null);
     else harness.sendHeartbeat("B", [], { fencingToken: 99 });
     harness.advance(1000);
-    if (evidence === "grant") harness.storeRule = null;
+    if (evidence === "lease") harness.storeRule = null;
 
     assert.ok(
       harness.controller.leaderTerm === null || harness.controller.leaderTerm.lease.fencingToken > 1,
@@ -38,7 +38,7 @@
   }
 });
 
-test("each leader's fencing token is higher than all before it, also after a leader has raised its own", () => {
+test("each leader's fencing token is higher than all previous ones, even if a leader has raised its token during its term", () => {
   const { harness: leader } = leaderWithRunningTask();
   const firstToken = leader.controller.election.lease?.fencingToken ?? 0;
   for (let i = 0; i < 32; i++) {
