--- a/test/failure-tracking.test.ts
+++ b/test/failure-tracking.test.ts
@@ -1,10 +1,10 @@
-/** Machines on which tasks of different jobs fail are drained. */
+/** Task failures per machine, and draining of machines on which tasks of several jobs fail. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 
-test("a machine on which different jobs fail is drained", () => {
+test("a machine on which tasks of different jobs fail is drained", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   for (const uid of ["j-1", "j-2"]) {
--- a/test/feasible-machines.test.ts
+++ b/test/feasible-machines.test.ts
@@ -1,11 +1,11 @@
-/** Which machines a task may be placed on, and in which order they are preferred. */
+/** Filtering and ranking of the machines for the placement of a task. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("a spread service has at most half of its replicas, rounded up, in one zone", () => {
+test("a service with spread places at most half of its replicas, rounded up, in one zone", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -15,7 +15,7 @@
   assert.equal(liveTasks(tasksByMachine, "A").length, 2);
 });
 
-test("a service whose image is cached nowhere is placed on several machines, those with the fewest cached images first", () => {
+test("a service whose image is not cached on any machine is distributed over several machines, preferring those with the fewest cached images", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>();
   const service = {
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -1,24 +1,24 @@
-/** The proofs that an attempt has ended (I3). */
+/** Evidence that proves that an attempt has ended, so that its task may be restarted (I3). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("a later agent incarnation, a terminated machine or an expired lease proves that a task has ended, absence from a heartbeat does not", () => {
-  const absent = leaderWithRunningTask();
-  absent.harness.sendHeartbeat("B", [], { zone: "b" });
-  // A heartbeat without the task, under the fencing token that the task was started with, proves nothing (I3).
-  absent.harness.sendHeartbeat("A");
-  absent.harness.advance(300);
+test("a later agent incarnation, a terminated machine or an expired agent lease proves that an attempt has ended; its absence from a heartbeat does not", () => {
+  const withoutTask = leaderWithRunningTask();
+  withoutTask.harness.sendHeartbeat("B", [], { zone: "b" });
+  // A heartbeat that omits the task and has the fencing token with which the task was started proves nothing (I3).
+  withoutTask.harness.sendHeartbeat("A");
+  withoutTask.harness.advance(300);
 
-  assert.equal(absent.harness.startCommands("j-1").length, 1, "absence alone proves nothing");
+  assert.equal(withoutTask.harness.startCommands("j-1").length, 1, "absence from a heartbeat proves nothing");
 
   const reincarnated = leaderWithRunningTask();
   reincarnated.harness.sendHeartbeat("B", [], { zone: "b" });
   reincarnated.harness.sendHeartbeat("A", [], { incarnation: 2 });
   reincarnated.harness.advance(300);
 
-  assert.equal(reincarnated.harness.startCommands("j-1").length, 2, "later incarnation");
+  assert.equal(reincarnated.harness.startCommands("j-1").length, 2, "a later incarnation proves it");
 
   const terminated = leaderWithRunningTask();
   terminated.harness.sendHeartbeat("B", [], { zone: "b" });
@@ -32,7 +32,11 @@
   terminated.harness.sendHeartbeat("B", [], { zone: "b" });
   terminated.harness.advance(3000);
 
-  assert.deepEqual(terminated.harness.startCommands("j-1").at(-1)?.machine, "B", "release");
+  assert.deepEqual(
+    terminated.harness.startCommands("j-1").at(-1)?.machine,
+    "B",
+    "the termination of machine A proves it",
+  );
 
   const expired = leaderWithRunningTask();
   expired.harness.cloudRule = () => ({ kind: "unavailable", reason: "" });
@@ -50,8 +54,9 @@
   assert.equal(expired.harness.startCommands("j-1").length, 2, "the agent lease has expired");
 });
 
-test("an agent with a new incarnation gets tasks and a full lease once it sends a heartbeat, not by replies to direct commands alone", () => {
-  // Found by the property test (rule ran_twice): the agent was declared dead by the lease of its previous incarnation.
+test("an agent with a new incarnation gets tasks and a full lease only once it sends a heartbeat; replies to direct commands are not sufficient", () => {
+  // Failure found by the property test (rule ran_twice): the agent was considered dead because the lease of its
+  // previous incarnation had expired.
   const { harness } = leaderWithRunningTask();
   harness.cloudRule = () => ({ kind: "unavailable", reason: "" });
   harness.advance(14_000);
@@ -63,8 +68,8 @@
   replyAsNewIncarnation();
   harness.advance(300);
 
-  // I7: an agent that reaches no controller, while direct commands reach it, would lose whatever is started there.
-  assert.equal(harness.startCommands("j-1").length, 1, "only the first attempt while it sends no heartbeat");
+  // I7: an agent that receives direct commands but cannot reach a controller would lose every task started on it.
+  assert.equal(harness.startCommands("j-1").length, 1, "nothing is started there before the first heartbeat");
 
   harness.sendHeartbeat("A", [], { incarnation: 2 });
   harness.advance(300);
@@ -75,6 +80,6 @@
   assert.equal(
     harness.startCommands("j-1").filter((start) => start.attempt !== attempt).length,
     1,
-    "only the first attempt before the new one",
+    "the only other attempt is the first one",
   );
 });
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -1,4 +1,4 @@
-/** Gangs start whole and end whole. */
+/** All tasks of a gang are started together and stopped together. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -7,7 +7,7 @@
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
-test("a gang starts whole, in one zone and under one attempt, or not at all", () => {
+test("all tasks of a gang start together, in one zone and as one attempt, or none of them starts", () => {
   const harness = new ControllerHarness().becomeLeader();
   const spec = { shape: "gang", priority: 2, tasks: 2, types: ["gpu"], oneZone: true } as const;
   const tasksByMachine = new Map<string, TaskStatus[]>([
@@ -31,7 +31,7 @@
   assert.ok(fencingTokenOf(starts[0]?.attempt ?? 0) > 0);
 });
 
-test("when a task of a gang fails the others are stopped, and the gang restarts only after all of them have ended", () => {
+test("when a task of a gang fails, the others are stopped, and the gang restarts only after all of them have ended", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineFields = { A: GPU_MACHINE, B: GPU_MACHINE };
   for (const name of ["A", "B"]) harness.sendHeartbeat(name, [], GPU_MACHINE);
@@ -52,13 +52,13 @@
   const statusOf = (
     start: typeof first,
     state: TaskStatus["state"],
-    cause: TaskStatus["exitReason"] = null,
+    exitReason: TaskStatus["exitReason"] = null,
   ): TaskStatus => ({
     uid: "j-1",
     task: start.task,
     attempt: start.attempt,
     state,
-    exitReason: cause,
+    exitReason,
   });
   harness.replyToCommands(first.machine, [statusOf(first, "running")], machineFields.A);
   harness.replyToCommands(second.machine, [statusOf(second, "running")], machineFields.B);
--- a/test/heartbeat-router.test.ts
+++ b/test/heartbeat-router.test.ts
@@ -1,11 +1,11 @@
-/** What a follower does with heartbeats. */
+/** Handling of agent heartbeats by a follower. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("a follower forwards heartbeats to a leader it hears, redirects agents to one it does not hear, and never replies itself", () => {
+test("a follower forwards heartbeats to a leader that it receives heartbeats from, otherwise redirects agents to the leader, and never replies itself", () => {
   const { harness: leader } = leaderWithRunningTask();
   const follower = new ControllerHarness("n1", leader.store);
   follower.now = leader.now;
@@ -15,7 +15,7 @@
   assert.deepEqual(
     follower.sendHeartbeat("C"),
     { kind: "redirect", node: "n0" },
-    "the link alone proves nothing",
+    "an open link alone does not show that the leader is reachable",
   );
 
   const message = {
@@ -26,7 +26,7 @@
     agentsHeard: 1,
   } as const;
   follower.handle({ kind: "peerMessage", from: "n0", message });
-  assert.equal(follower.sendHeartbeat("C"), undefined, "no reply of its own");
+  assert.equal(follower.sendHeartbeat("C"), undefined, "the follower does not reply itself");
   assert.deepEqual(follower.forwardedTo, ["n0"]);
 
   for (let second = 0; second < 4; second++) {
@@ -37,11 +37,11 @@
   assert.deepEqual(
     follower.sendHeartbeat("C"),
     { kind: "redirect", node: "n0" },
-    "the leader is no longer heard",
+    "no heartbeats are received from the leader any more",
   );
 });
 
-test("a follower that knows no leader delays a heartbeat for a while, then redirects the agent to the next node", () => {
+test("a follower that knows no leader holds a heartbeat for a limited time, then redirects the agent to the next node", () => {
   const harness = new ControllerHarness("n1");
   harness.storeRule = () => ({ kind: "unavailable", reason: "" });
   harness.handle({ kind: "heartbeat", requestId: 77, heartbeat: harness.makeHeartbeat("C"), body: null });
@@ -53,7 +53,7 @@
   assert.deepEqual(harness.agentReply(77), { kind: "redirect", node: null });
 });
 
-test("a duplicate heartbeat at a follower is answered as unavailable and not forwarded to the leader", () => {
+test("a follower answers a duplicate heartbeat as unavailable and does not forward it to the leader", () => {
   const { harness: leader } = leaderWithRunningTask();
   const follower = new ControllerHarness("n1", leader.store);
   follower.now = leader.now;
--- a/test/import-direction.test.ts
+++ b/test/import-direction.test.ts
@@ -4,8 +4,8 @@
 import { test } from "node:test";
 
 /**
- * The layers of src/core/, the lowest first (docs/ARCHITECTURE.md, "Layers"). A module may import from its own layer and from
- * those below it. What is not listed lies directly in src/core/ and is the top layer.
+ * The layers of src/core/, lowest first (docs/ARCHITECTURE.md, "Layers"). A module may import from its own layer and
+ * from the layers below it. Modules that are not listed are directly in src/core/ and form the top layer.
  */
 const LAYERS = [
   ["src/core/messages/", "src/core/model/"],
@@ -18,8 +18,12 @@
   ["src/core/autoscaling/"],
   ["src/core/migration/"],
 ];
-/** Data that refers to each other: a job has placements, a placement its job and machine. */
-const MUTUAL = new Set(["src/core/model/job.ts", "src/core/model/machine.ts", "src/core/model/placement.ts"]);
+/** Data types that refer to each other: a job has placements, and a placement has a job and a machine. */
+const ALLOWED_CYCLE = new Set([
+  "src/core/model/job.ts",
+  "src/core/model/machine.ts",
+  "src/core/model/placement.ts",
+]);
 
 function modulesOf(folder: string): string[] {
   return readdirSync(folder, { recursive: true, encoding: "utf8" })
@@ -28,8 +32,8 @@
 }
 
 function importsOf(module: string): string[] {
-  const found = readFileSync(module, "utf8").matchAll(/\bfrom "(\.[^"]+)\.js"/g);
-  return [...found].map(([, path = ""]) => normalize(join(dirname(module), `${path}.ts`)));
+  const matches = readFileSync(module, "utf8").matchAll(/\bfrom "(\.[^"]+)\.js"/g);
+  return [...matches].map(([, path = ""]) => normalize(join(dirname(module), `${path}.ts`)));
 }
 
 function layerOf(module: string): number {
@@ -37,19 +41,19 @@
   return layer < 0 ? LAYERS.length : layer;
 }
 
-/** The modules that can be reached from one by its imports. */
+/** Returns the modules that a module imports directly or indirectly. */
 function reachableFrom(module: string, imports: ReadonlyMap<string, readonly string[]>): Set<string> {
-  const reached = new Set<string>();
+  const reachable = new Set<string>();
   const queue = [...(imports.get(module) ?? [])];
   for (let next = queue.pop(); next !== undefined; next = queue.pop()) {
-    if (reached.has(next)) continue;
-    reached.add(next);
+    if (reachable.has(next)) continue;
+    reachable.add(next);
     queue.push(...(imports.get(next) ?? []));
   }
-  return reached;
+  return reachable;
 }
 
-test("imports of the core go one way: from a layer to itself and to those below", () => {
+test("modules of the core import only from their own layer and from lower layers", () => {
   const upward = modulesOf("src/core").flatMap((module) =>
     importsOf(module)
       .filter((imported) => imported.startsWith("src/core/") && layerOf(imported) > layerOf(module))
@@ -59,13 +63,13 @@
   assert.deepEqual(upward, []);
 });
 
-test("no modules of src import each other in a circle, but for jobs, machines and placements", () => {
+test("there are no circular imports in src, except between jobs, machines and placements", () => {
   const modules = modulesOf("src");
   assert.ok(modules.length > 100, `${modules.length} modules`);
   const imports = new Map(modules.map((module) => [module, importsOf(module)]));
 
   const circular = modules.filter(
-    (module) => !MUTUAL.has(module) && reachableFrom(module, imports).has(module),
+    (module) => !ALLOWED_CYCLE.has(module) && reachableFrom(module, imports).has(module),
   );
 
   assert.deepEqual(circular, []);
--- a/test/interner.test.ts
+++ b/test/interner.test.ts
@@ -1,10 +1,10 @@
-/** Indices of names: an index is reclaimed only when nothing can carry it any more. */
+/** An index of a name is reused only when no message can contain it any more. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Interner } from "../src/core/model/interner.js";
 
-test("a reclaimed index is not reused while earlier batches may still carry it", () => {
+test("a reclaimed index is not reused while earlier batches may still contain it", () => {
   const names = new Interner();
   const indexOfA = names.intern("a");
   names.beginBatch();
@@ -22,9 +22,9 @@
   assert.equal(names.nameOf(indexOfA), "d");
 });
 
-// Guarded against: a heartbeat brings a name that nothing else uses, and in the same batch, before the heartbeat is
-// handled, names are reclaimed. What was kept of the heartbeat then carried an index without a name, and the reply to it
-// ended the process.
+// Guards against a process crash: a heartbeat contains a name that is not used elsewhere, and names are reclaimed in
+// the same batch before the heartbeat is handled. The data kept from the heartbeat then contained an index without a
+// name, and the reply to it threw an exception.
 test("a name interned in the current batch is not reclaimed before that batch is handled", () => {
   const names = new Interner();
   names.beginBatch();
@@ -38,7 +38,7 @@
   assert.equal(names.nameOf(indexOfA), "a");
   assert.equal(names.intern("a"), indexOfA);
 
-  // A name that no command brings again is reclaimed like any other.
+  // A name that no later command contains is reclaimed like any other.
   names.beginBatch();
   names.beginBatch();
   names.reclaim(new Set());
--- a/test/job-lookup.test.ts
+++ b/test/job-lookup.test.ts
@@ -1,4 +1,4 @@
-/** Polls: what may be answered from memory, and what has to be compared with the store first (I8). */
+/** Polls: which are answered from memory, and which require a comparison with the store first (I8). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -6,14 +6,14 @@
 import { leaderWithDependentJob, phaseOf, reportDone } from "./support/dependent-jobs.js";
 import { FakeStore } from "./support/fake-store.js";
 
-test("a job is reported as not found only with proof from the store, and as unavailable without it", () => {
+test("a job is reported as not found only if the store confirms it, and as unavailable if the store does not respond", () => {
   const harness = new ControllerHarness().becomeLeader();
   assert.equal(harness.poll("j-5")?.kind, "notFound");
   harness.storeRule = () => ({ kind: "timeout" });
   assert.equal(harness.poll("j-5")?.kind, "unavailable");
 });
 
-test("polls in a batch are confirmed by one compare-only transaction, and never answered with state that another node has changed", () => {
+test("polls in a batch are confirmed by one compare-only transaction, and are never answered with state that another node has changed", () => {
   const store = new FakeStore();
   const harness = new ControllerHarness("n0", store).becomeLeader();
   const otherNode = new ControllerHarness("n1", store);
@@ -21,15 +21,15 @@
   otherNode.advance(500);
   const uids = ["j-1", "j-2", "j-3"];
   for (const uid of uids) harness.submit(jobSpec(uid));
-  const calls: string[] = [];
+  const requestKinds: string[] = [];
   harness.storeRule = (call) => {
-    calls.push(call.kind);
+    requestKinds.push(call.kind);
     return null;
   };
   for (const [index, uid] of uids.entries()) harness.handle({ kind: "poll", requestId: 700 + index, uid });
   harness.handle({ kind: "tick" });
 
-  assert.deepEqual(calls, ["transaction"]);
+  assert.deepEqual(requestKinds, ["transaction"]);
   for (const index of uids.keys()) assert.equal(harness.userResponse(700 + index)?.kind, "status");
   assert.equal(otherNode.cancel("j-2")?.kind, "status");
   assert.deepEqual(harness.poll("j-1"), {
@@ -41,12 +41,16 @@
   assert.ok(response?.kind === "status" && response.status.phase === "cancelled");
 
   harness.storeRule = () => ({ kind: "timeout" });
-  assert.equal(harness.poll("j-1")?.kind, "unavailable", "no answer from memory without a comparison");
+  assert.equal(
+    harness.poll("j-1")?.kind,
+    "unavailable",
+    "no poll is answered from memory without a comparison",
+  );
 });
 
-test("a poll awaiting comparison while its job is read as ended is answered with the ended state", () => {
-  // Found on the bench: the comparing transaction had no conditions left, succeeded, and a job that was done was reported
-  // as running.
+test("a poll whose job is found to have ended while the comparison is pending is answered with the ended state", () => {
+  // Failure found in a benchmark: the comparing transaction had no conditions left and succeeded, so a job that was
+  // done was reported as running.
   const { harness, runningTask } = leaderWithDependentJob();
   const otherNode = new ControllerHarness("n1", harness.store);
   otherNode.advance(300);
@@ -61,7 +65,7 @@
     { kind: "poll", requestId: 902, uid: "j-2" },
   );
 
-  // A repeated submission reads the records in the same tick.
+  // A repeated submission reads the records within the same tick.
   assert.equal(phaseOf(otherNode.submit(jobSpec("j-1"))), "done");
 
   otherNode.handle({ kind: "tick" });
@@ -69,7 +73,7 @@
   assert.equal(phaseOf(otherNode.userResponse(902)), "queued");
 });
 
-test("polls of dependent jobs compare within the operations limit and re-read only the keys that failed", () => {
+test("polls of dependent jobs stay within the operations limit of the store's transactions and re-read only the keys whose comparison failed", () => {
   const harness = new ControllerHarness("n0", new FakeStore(), "n0-1", {
     txnOps: 4,
     nextStoreLimits: null,
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,4 +1,4 @@
-/** CI's verdict on a run of the tests, given the list of known failures. */
+/** The check in CI that compares a test run with the list of known failures. */
 
 import assert from "node:assert/strict";
 import { spawnSync } from "node:child_process";
@@ -9,10 +9,10 @@
 
 const GREEN = "ok 1 - keeps, and holds\n    not ok 1 - a subtest\nok 2 - lets go\n";
 const RED = "ok 1 - keeps, and holds\nnot ok 2 - lets go\n";
-const LINE = "lets go | the cause, as found | issue 13";
+const ENTRY = "lets go | the cause | issue 13";
 
-/** CI's verdict on a run of the tests with this output and exit status, and what it prints; `list` null: no list. */
-function judge(output: string, status: number, list: string | null): { passed: boolean; printed: string } {
+/** Runs the check for a test run with this output and exit status; there is no list file if `list` is null. */
+function runCheck(output: string, status: number, list: string | null): { passed: boolean; printed: string } {
   const folder = mkdtempSync(join(tmpdir(), "known-red-"));
   writeFileSync(join(folder, "output"), output);
   if (list !== null) writeFileSync(join(folder, "list"), list);
@@ -21,21 +21,21 @@
   return { passed: code === 0, printed: stdout };
 }
 
-test("CI tolerates only listed failures, prints them, and rejects a wrong list", () => {
-  assert.equal(judge(GREEN, 0, null).passed, true);
-  assert.equal(judge(GREEN, 0, "").passed, true);
-  assert.equal(judge(RED, 1, null).passed, false);
-  assert.equal(judge(RED, 1, "\n").passed, false);
+test("CI tolerates only listed failures, prints them, and fails if the list is wrong", () => {
+  assert.equal(runCheck(GREEN, 0, null).passed, true);
+  assert.equal(runCheck(GREEN, 0, "").passed, true);
+  assert.equal(runCheck(RED, 1, null).passed, false);
+  assert.equal(runCheck(RED, 1, "\n").passed, false);
 
-  const known = judge(RED, 1, `${LINE}\n`);
+  const known = runCheck(RED, 1, `${ENTRY}\n`);
   assert.equal(known.passed, true);
   assert.match(known.printed, /known red: lets go \| the cause/);
   for (const [output, status, list] of [
-    ["ok 1 - a\nnot ok 2 - lets go\nnot ok 3 - another\n", 1, LINE],
-    [GREEN, 0, LINE],
-    [RED, 1, `${LINE}\nno such test | cause | issue 13`],
+    ["ok 1 - a\nnot ok 2 - lets go\nnot ok 3 - another\n", 1, ENTRY],
+    [GREEN, 0, ENTRY],
+    [RED, 1, `${ENTRY}\nno such test | cause | issue 13`],
     [RED, 1, "lets go"],
-    [RED, 1, [LINE, ...["a", "b", "c"].map((name) => `${name} | cause | issue 13`)].join("\n")],
+    [RED, 1, [ENTRY, ...["a", "b", "c"].map((name) => `${name} | cause | issue 13`)].join("\n")],
     [
       "not ok 1 - a\nnot ok 2 - b\nnot ok 3 - c\nnot ok 4 - d\n",
       1,
@@ -47,6 +47,6 @@
     [GREEN, 7, null],
     ["", 0, null],
   ] as const) {
-    assert.equal(judge(output, status, list).passed, false, `${output} ${status} ${list}`);
+    assert.equal(runCheck(output, status, list).passed, false, `${output} ${status} ${list}`);
   }
 });
--- a/test/lease-renewal-policy.test.ts
+++ b/test/lease-renewal-policy.test.ts
@@ -1,4 +1,6 @@
-/** How long a leader may go on renewing agent leases without the store (I1: it may not know of cancellations). */
+/**
+ * How long a leader continues to renew agent leases when it cannot reach the store and so may miss cancellations (I1).
+ */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -7,7 +9,7 @@
 import { leaderWithRunningTask } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-/** What a peer that can't reach the store either sends; it knows fencing token 1. */
+/** The heartbeat of a peer that cannot reach the store either and has seen fencing token 1. */
 const PEER_IN_OUTAGE = {
   kind: "heartbeat",
   fencingToken: 1,
@@ -16,18 +18,20 @@
   agentsHeard: 0,
 } as const;
 
-test("a leader whose knowledge of cancellations is stale renews agent leases only while they expire within the cancellation deadline", () => {
-  // I1: whether keep-alives succeed or not, what counts is the age of the last job watch response. `cancel_s` is 40 s,
-  // an agent lease 12 s.
-  for (const renewals of [true, false]) {
+test("a leader whose view of cancellations is stale renews agent leases only as long as they expire within the cancellation deadline", () => {
+  // I1: only the age of the last job watch response matters, whether or not keep-alives succeed. `cancel_s` is 40 s, an
+  // agent lease lasts 12 s.
+  for (const areRenewalsAnswered of [true, false]) {
     const { harness, attempt } = leaderWithRunningTask();
     harness.storeRule = (call) =>
-      renewals && (call.kind === "renewLease" || call.kind === "transaction") ? null : STORE_OUTAGE;
-    const confirmedAt = harness.now;
-    // Another node may confirm a cancellation in the next instant, and this leader would not learn of it.
-    let lastRenewedAt = confirmedAt;
-    while (harness.now < confirmedAt + 60_000) {
-      // In an outage that all nodes share the peers are heard, and the grace period is the longest.
+      areRenewalsAnswered && (call.kind === "renewLease" || call.kind === "transaction")
+        ? null
+        : STORE_OUTAGE;
+    const lastConfirmedAt = harness.now;
+    // From now on another node may confirm a cancellation that this leader does not see.
+    let lastRenewedAt = lastConfirmedAt;
+    while (harness.now < lastConfirmedAt + 60_000) {
+      // If the outage affects all nodes, peer heartbeats still arrive, and the grace period has its maximum length.
       harness.handle({ kind: "peerMessage", from: "n1", message: PEER_IN_OUTAGE });
       const reply = harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
       if (reply?.kind === "commands") lastRenewedAt = harness.now;
@@ -35,19 +39,19 @@
     }
 
     assert.ok(
-      lastRenewedAt - confirmedAt + 12_000 < 40_000,
-      `a lease renewed ${lastRenewedAt - confirmedAt} ms after the confirmation`,
+      lastRenewedAt - lastConfirmedAt + 12_000 < 40_000,
+      `the last lease was renewed ${lastRenewedAt - lastConfirmedAt} ms after the confirmation`,
     );
     assert.ok(
-      lastRenewedAt - confirmedAt > 20_000,
-      `the last lease is renewed after ${lastRenewedAt - confirmedAt} ms already`,
+      lastRenewedAt - lastConfirmedAt > 20_000,
+      `no lease was renewed later than ${lastRenewedAt - lastConfirmedAt} ms after the confirmation`,
     );
   }
 });
 
-test("an idle leader keeps its leadership and renews agent leases, however short the cancellation deadline is against the lease", () => {
-  // Found in a run against real processes: between two responses of a watch the watermark of known cancellations grew
-  // older than the staleness bound allows.
+test("an idle leader remains leader and renews agent leases, however short the cancellation deadline is in relation to the lease", () => {
+  // Failure found in a run with real processes: between two watch responses, the leader's view of cancellations became
+  // older than the staleness bound.
   for (const cancelS of [40, 10, 8, 5]) {
     const harness = new ControllerHarness("n0", new FakeStore(), "n0-1", {
       leaseS: 4,
@@ -55,17 +59,17 @@
     }).becomeLeader();
     const token = harness.controller.election.lease?.firstFencingToken;
     for (let i = 0; i < 60; i++) {
-      assert.equal(harness.sendHeartbeat("A")?.kind, "commands", `${cancelS} s: ${i / 2} s`);
+      assert.equal(harness.sendHeartbeat("A")?.kind, "commands", `cancel_s ${cancelS}: after ${i / 2} s`);
       harness.advance(500);
     }
-    assert.equal(harness.controller.election.lease?.firstFencingToken, token, `${cancelS} s`);
+    assert.equal(harness.controller.election.lease?.firstFencingToken, token, `cancel_s ${cancelS}`);
   }
 });
 
-test("a leader resumed after a pause does not reply to queued heartbeats if its knowledge of cancellations is stale by then", () => {
+test("a leader that resumes after a pause does not reply to queued heartbeats if its view of cancellations has become stale", () => {
   const { harness, attempt } = leaderWithRunningTask();
-  // Keep-alives are answered to the last, the job watch is not; then the process is paused for 21 s, and finds a peer's
-  // heartbeat and an agent's in its queue (I1).
+  // Keep-alives succeed until the pause, but the job watch fails. The process is then paused for 21 s and afterwards
+  // finds the heartbeats of a peer and of an agent in its queue (I1).
   harness.storeRule = (call) => (call.kind === "watch" ? STORE_OUTAGE : null);
   harness.advance(6000);
   harness.now += 21_000;
@@ -75,7 +79,7 @@
   assert.notEqual(reply?.kind, "commands");
 });
 
-test("a leader cut off from store and peers stops renewing agent leases after two lease periods, and is not ready", () => {
+test("a leader partitioned from the store and its peers stops renewing agent leases after two lease periods, and is not ready", () => {
   for (const isIsolated of [true, false]) {
     const { harness } = leaderWithRunningTask();
     const advanceSeconds = (seconds: number) => {
@@ -90,18 +94,22 @@
       }
     };
     advanceSeconds(1);
-    harness.storeRule = () => ({ kind: "unavailable", reason: "cut off" });
+    harness.storeRule = () => ({ kind: "unavailable", reason: "network partition" });
     advanceSeconds(6);
 
     assert.equal(harness.sendHeartbeat("A")?.kind, "commands", "within the grace period");
 
     advanceSeconds(6);
-    assert.equal(harness.sendHeartbeat("A")?.kind === "commands", !isIsolated, `alone: ${isIsolated}`);
+    assert.equal(
+      harness.sendHeartbeat("A")?.kind === "commands",
+      !isIsolated,
+      `isolated from its peers: ${isIsolated}`,
+    );
     assert.equal(
       harness.controller.isReady,
       !isIsolated,
-      "a node stays ready in an outage that all nodes share",
+      "a node remains ready only if the store outage affects all nodes",
     );
-    assert.equal(harness.poll("j-1")?.kind, "unavailable", "users are answered at once");
+    assert.equal(harness.poll("j-1")?.kind, "unavailable", "a poll is answered at once");
   }
 });
