--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -120,7 +120,7 @@
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
-  // Without the dependency, it would use the whole guaranteed quota of its team, and it fits on no machine.
+  // Without the dependency, it would use the whole guaranteed quota of its team, and no machine has capacity for it.
   harness.submit(
     jobSpec("j-2", { awaits: ["j-1"], shape: "gang", tasks: 6, need: { cpu: 4000, gpu: 0, ram: 1000 } }),
   );
--- a/test/fleet-size.test.ts
+++ b/test/fleet-size.test.ts
@@ -15,7 +15,10 @@
 const JOBS = 10;
 const RED_SHARE = 0.6;
 const LEASE_MS = 12_000;
-/** Outlasts an agent lease, but ends early enough for every agent to send a heartbeat before its next lease expires. */
+/**
+ * Outlasts an agent lease, but ends early enough for every agent to send a heartbeat before the lease of its next
+ * incarnation expires.
+ */
 const PARTITION_MS = 1.2 * LEASE_MS;
 const STORE_RPS = 250;
 const CLOUD_RPS = 5;
