--- a/test/admission-world.test.ts
+++ b/test/admission-world.test.ts
@@ -13,7 +13,7 @@
 /** Each team submits one job per interval; during the burst, one team submits this many more per second. */
 const SUBMISSION_INTERVAL_S = 2;
 const BURST_JOBS_PER_S = 10;
-/** Upper bounds for the other team: the retry-after of throttled submissions, and the wait until its next task starts. */
+/** Upper bounds for the other team: its retry-after when throttled, and the wait until its next task starts. */
 const MAX_RETRY_AFTER_S = 3;
 const MAX_START_DELAY_S = 60;
 
