--- a/test/machine-reaper.test.ts
+++ b/test/machine-reaper.test.ts
@@ -1,10 +1,10 @@
-/** Silent machines: terminated one by one, but not a zone at once. */
+/** Termination of silent machines: a single one is terminated, a whole silent zone is not. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
 
-test("machines of a partitioned zone are kept, also while they return one by one, and a single silent machine is terminated", () => {
+test("machines of a partitioned zone are not terminated, even while they reconnect one by one; a single silent machine is", () => {
   const harness = new ControllerHarness().becomeLeader();
   const terminatedMachines: string[] = [];
   const defaultCloudRule = harness.cloudRule;
@@ -15,7 +15,7 @@
   const zoneB = ["B0", "B1", "B2", "B3"];
   const zoneA = ["A0", "A1", "A2", "A3", "A4", "A5", "A6", "A7", "A8"];
   const sendHeartbeats = (names: readonly string[], zone: string) => {
-    // GPU machines: plain ones would be terminated for being idle.
+    // GPU machines, because idle machines without GPUs would be terminated.
     for (const name of names) harness.sendHeartbeat(name, [], { zone, type: "gpu", spot: true });
   };
   for (let second = 0; second < 3; second++) {
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -1,4 +1,4 @@
-/** Machines are recorded many to a key, within the size limit of a value. */
+/** Machine records: several machines share one key, and each value stays within the store's size limit. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -7,7 +7,7 @@
 import { MachineRecords } from "../src/core/store/machine-records.js";
 import { SMALL_LIMITS } from "./support/small-limits.js";
 
-test("a machine record that exceeds the value limit is split, the moved part written first", () => {
+test("a machine record that exceeds the value limit is split, and the part moved to another record is written first", () => {
   const cluster = new ClusterState(new NameRegistry());
   let valueBytes = 8192;
   const records = new MachineRecords(cluster, () => valueBytes);
@@ -22,7 +22,7 @@
   valueBytes = SMALL_LIMITS.valueBytes;
   const [removed, other] = machines;
   assert.ok(removed && other);
-  assert.deepEqual(records.dirtyBucketsFor(other), [], "nothing has changed");
+  assert.deepEqual(records.dirtyBucketsFor(other), [], "an unchanged record is not dirty");
 
   records.onMachineTerminated(removed);
   const changedRecords = records.dirtyBuckets();
@@ -42,7 +42,7 @@
   );
 });
 
-test("machine records fit the value limit however long the machine names are", () => {
+test("machine records stay within the value limit for machine names of any length", () => {
   const cluster = new ClusterState(new NameRegistry());
   const records = new MachineRecords(cluster, () => SMALL_LIMITS.valueBytes);
   for (let i = 0; i < 30; i++) {
--- a/test/many-machines.test.ts
+++ b/test/many-machines.test.ts
@@ -1,4 +1,4 @@
-/** A fleet of 6,000 machines: fencing within a lease, the cloud's list in pages, chunks in two layouts. */
+/** 6,000 machines: fencing within one agent lease, the paginated cloud list, and chunks in two layouts. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -9,12 +9,12 @@
 const MACHINES = 6000;
 const PAGE = 500;
 const LEASE_MS = 12_000;
-/** For so long a new leader waits for the agents' own heartbeats. */
+/** How long a new leader waits for heartbeats before it contacts agents itself. */
 const GRACE_MS = 3000;
 const TICK_MS = 100;
 const NAMES = Array.from({ length: MACHINES }, (_, i) => `i-${String(i).padStart(6, "0")}`);
 
-/** A cloud whose list has a dozen pages; `refuses` says which calls, counted from 1, get no page. */
+/** Serves the cloud list in twelve pages; a list call, counted from 1, fails if `isRefused` is true for it. */
 function serveCloudList(harness: ControllerHarness, isRefused: (call: number) => boolean): { calls: number } {
   const counter = { calls: 0 };
   const defaultCloudRule = harness.cloudRule;
@@ -22,8 +22,8 @@
     if (call.kind !== "list") return defaultCloudRule(call);
     counter.calls++;
     if (isRefused(counter.calls)) return { kind: "unavailable", reason: "status 429" };
-    const from = call.after === null ? 0 : NAMES.indexOf(call.after) + 1;
-    const machines = NAMES.slice(from, from + PAGE).map(
+    const offset = call.after === null ? 0 : NAMES.indexOf(call.after) + 1;
+    const machines = NAMES.slice(offset, offset + PAGE).map(
       (name): CloudMachine => ({
         name,
         address: `${name}:1`,
@@ -34,13 +34,13 @@
         ageS: 1,
       }),
     );
-    return { kind: "page", machines, more: from + PAGE < NAMES.length };
+    return { kind: "page", machines, more: offset + PAGE < NAMES.length };
   };
   return counter;
 }
 
-// Guarded against: with four machines fenced in each tick, 6,000 took 150 s, longer than every lease.
-test("a new leader of 6,000 silent machines sends its fencing token to all of them within an agent lease, at an even rate", () => {
+// Guards against fencing a fixed four machines per tick: 6,000 machines took 150 s, longer than any agent lease.
+test("a new leader of 6,000 silent machines sends its fencing token to all of them within one agent lease, at an even rate", () => {
   const harness = new ControllerHarness();
   const machinesFrom = (from: number) =>
     NAMES.slice(from, from + 40).map((name) => [name, `${name}:1`, "small", "a", false]);
@@ -53,20 +53,21 @@
   assert.equal(harness.controller.leaderTerm?.cluster.machines.size, MACHINES);
 
   const fenced = new Set<string>();
-  let mostPerTick = 0;
+  let maxPerTick = 0;
   for (let ms = 0; ms < GRACE_MS + LEASE_MS; ms += TICK_MS) {
     harness.advance(TICK_MS);
-    mostPerTick = Math.max(mostPerTick, harness.sentCommands.length);
+    maxPerTick = Math.max(maxPerTick, harness.sentCommands.length);
     for (const { machine } of harness.sentCommands.splice(0)) fenced.add(machine);
     harness.timeOutCommands();
   }
 
   assert.equal(fenced.size, MACHINES);
-  assert.ok(mostPerTick <= MACHINES / (LEASE_MS / TICK_MS) + 1, `${mostPerTick} in one tick`);
+  assert.ok(maxPerTick <= MACHINES / (LEASE_MS / TICK_MS) + 1, `${maxPerTick} commands in one tick`);
 });
 
-// Guarded against: a refused page restarted the list, and nothing is provisioned before a term's first complete list.
-test("a cloud list of a dozen pages completes though every third call is refused", () => {
+// Guards against restarting the list after a refused page: no machine is provisioned before a term's first complete
+// list.
+test("a cloud list of twelve pages completes even if every third call is refused", () => {
   const harness = new ControllerHarness();
   const counter = serveCloudList(harness, (call) => call % 3 === 0);
   harness.becomeLeader();
@@ -82,7 +83,7 @@
   assert.ok(perSecond <= 5 * 0.6, `${perSecond} list calls a second`);
 });
 
-test("with more machines than max_machines all stay in cluster state, none is provisioned, and a warning is logged", () => {
+test("if more machines exist than max_machines allows, all stay in cluster state, none is provisioned and a warning is logged", () => {
   const harness = new ControllerHarness();
   serveCloudList(harness, () => false);
   harness.store.run(
@@ -101,7 +102,7 @@
   );
 });
 
-test("of the chunks of a job with 100,000 tasks in two layouts the smaller ones take precedence, whatever their version", () => {
+test("for a job of 100,000 tasks with chunks in two layouts, the smaller chunks take precedence regardless of version", () => {
   const items = [];
   for (let i = 0; i < 782; i++)
     items.push({ key: `p/j-1/${i}`, version: 3, value: { held: [[i * 128, "M0", 1, 1]], done: [] } });
@@ -117,7 +118,7 @@
 
   assert.equal(placedOn("M1").length, Math.ceil(50_000 / 32));
 
-  // The other larger chunks stay valid, from the first one that no smaller chunk overlaps.
+  // Larger chunks remain valid from the first one that no smaller chunk overlaps.
   const remaining = placedOn("M0").map(({ task }) => task);
   assert.ok(remaining.length > 0 && remaining.every((task) => task >= 50_000 - 32));
 });
--- a/test/negative-fit-cache.test.ts
+++ b/test/negative-fit-cache.test.ts
@@ -1,4 +1,4 @@
-/** What did not fit is not tried again until something changes. */
+/** Negative fit cache: a request that found no feasible machines is not retried until something changes. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -6,7 +6,7 @@
 import { NegativeFitCache } from "../src/core/scheduling/negative-fit-cache.js";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 
-test("a gang as large as one that found no feasible machines is not tried again, unless it has a reservation or failed machines of its own", () => {
+test("a gang at least as large as one without feasible machines is skipped, unless it has a reservation or failed machines of its own", () => {
   const { ctx } = new ControllerHarness().controller;
   const cache = new NegativeFitCache(ctx);
   const gangOf = (uid: string, cpu: number, tasks = 1) =>
@@ -23,7 +23,7 @@
 
   const failedBefore = gangOf("j-6", 3000, 2);
   failedBefore.failedMachines.add(1);
-  assert.equal(cache.has(failedBefore, 2), false, "it has other feasible machines");
+  assert.equal(cache.has(failedBefore, 2), false, "its feasible machines differ");
 
   cache.clear();
   assert.equal(cache.has(gangOf("j-2", 3000, 2), 2), false);
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -1,4 +1,4 @@
-/** Links between nodes, over real sockets. */
+/** Peer connections between nodes, over real sockets. */
 
 import assert from "node:assert/strict";
 import { once } from "node:events";
@@ -13,12 +13,12 @@
 
 const LOOPBACK = "127.0.0.1";
 
-/** A port that was free a moment ago. */
+/** Returns a port that was free when checked. */
 async function freePort(): Promise<number> {
   const server = net.createServer();
-  await new Promise<void>((listening) => server.listen(0, LOOPBACK, listening));
+  await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   const { port } = server.address() as AddressInfo;
-  await new Promise((closed) => server.close(closed));
+  await new Promise((resolve) => server.close(resolve));
   return port;
 }
 
@@ -39,21 +39,21 @@
   replies: [{ id: 2, status: 200, body: { baton: 5 } }],
 };
 
-/** Two nodes, in a thread of their own, as links stay up for as long as a node runs. Returns what both received. */
+/** Connects two nodes and returns the messages that both received. Runs in a worker, as links never close. */
 async function exchangeMessages(): Promise<[string, PeerMessage][]> {
   const [portA, portB] = [await freePort(), await freePort()];
   const received: [string, PeerMessage][] = [];
   let linksUp = 0;
-  let changed = () => {};
+  let onChange = () => {};
   const node = (name: string, listen: number, peer: string, peerPort: number) => {
     const peers = new Peers(settingsOf(name, listen, peer, peerPort), {
       linkChanged: (_to, isUp) => {
         if (isUp) linksUp++;
-        changed();
+        onChange();
       },
       messageReceived: (from, message) => {
         received.push([from, message]);
-        changed();
+        onChange();
       },
     });
     peers.listen((error) => {
@@ -61,25 +61,25 @@
     });
     return peers;
   };
-  const waitUntil = (done: () => boolean) =>
-    new Promise<void>((then) => {
-      changed = () => {
-        if (done()) then();
+  const waitUntil = (isDone: () => boolean) =>
+    new Promise<void>((resolve) => {
+      onChange = () => {
+        if (isDone()) resolve();
       };
-      changed();
+      onChange();
     });
-  const first = node("n0", portA, "n1", portB);
-  const second = node("n1", portB, "n0", portA);
+  const nodeA = node("n0", portA, "n1", portB);
+  const nodeB = node("n1", portB, "n0", portA);
   await waitUntil(() => linksUp === 2);
-  first.send("n1", HEARTBEATS);
+  nodeA.send("n1", HEARTBEATS);
   await waitUntil(() => received.length === 1);
-  second.send("n0", REPLIES);
+  nodeB.send("n0", REPLIES);
   await waitUntil(() => received.length === 2);
   return received;
 }
 
 if (isMainThread) {
-  test("nodes forward heartbeats to the leader and its replies back, many in one peer message", async () => {
+  test("nodes forward heartbeats to the leader and its replies back, several in one peer message", async () => {
     const nodes = new Worker(fileURLToPath(import.meta.url));
     try {
       const [received] = await once(nodes, "message");
--- a/test/permit-leases.test.ts
+++ b/test/permit-leases.test.ts
@@ -1,4 +1,4 @@
-/** Permit leases: what one node may accept of each team, issued by the leader. */
+/** Permit leases: how many submissions of each team a node may accept, as issued by the leader. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -7,40 +7,50 @@
 import { AdmissionCluster, availablePermits, RED_ONLY } from "./support/admission-cluster.js";
 import { deployment, NODES } from "./support/deployment.js";
 
-test("two nodes that accept at the same moment never exceed the limit of open jobs", () => {
-  for (const room of [1, 2, 5, 20]) {
-    const cluster = new AdmissionCluster({ admission_open_jobs: room, admission_rate: 1000 }, RED_ONLY);
+test("nodes that accept submissions at the same moment never exceed the limit of open jobs", () => {
+  for (const openJobLimit of [1, 2, 5, 20]) {
+    const cluster = new AdmissionCluster(
+      { admission_open_jobs: openJobLimit, admission_rate: 1000 },
+      RED_ONLY,
+    );
     cluster.heartbeatRounds(3);
     for (let i = 0; i < 30; i++) {
       cluster.heartbeatRound();
       for (const { name } of cluster.nodes) cluster.submit(name, "red", 50);
     }
-    assert.equal(cluster.openJobs.get("red"), room, "and the limit is used in full");
+    assert.equal(cluster.openJobs.get("red"), openJobLimit, "the limit is used in full");
   }
 });
 
-test("a flood of one team's submissions through one node or all leaves the other team all that it asks for", () => {
-  for (const through of [["n1"], NODES]) {
+test("a flood of one team's submissions through one node or all nodes does not throttle the other team", () => {
+  for (const floodedNodes of [["n1"], NODES]) {
     const cluster = new AdmissionCluster({ admission_rate: 30 });
     cluster.heartbeatRounds(5);
-    let [asked, taken, flooded] = [0, 0, 0];
+    let [submitted, admitted, floodAdmitted] = [0, 0, 0];
     for (let i = 0; i < 60; i++) {
       cluster.heartbeatRound();
-      for (const name of through) flooded += cluster.submit(name, "red", 300 / through.length);
+      for (const name of floodedNodes)
+        floodAdmitted += cluster.submit(name, "red", 300 / floodedNodes.length);
       for (const { name } of cluster.nodes) {
-        asked += 1;
-        taken += cluster.submit(name, "blue", 1);
+        submitted += 1;
+        admitted += cluster.submit(name, "blue", 1);
       }
     }
 
-    assert.equal(taken, asked);
-    assert.ok(flooded > 60 * 15, `the rest of the rate is used: ${flooded} in 60 s`);
-    assert.ok(flooded + taken <= 30 * 75, `${flooded + taken} in 60 s at 30 a second, with 10 s of burst`);
+    assert.equal(admitted, submitted);
+    assert.ok(
+      floodAdmitted > 60 * 15,
+      `the flooding team uses the rest of the rate: ${floodAdmitted} in 60 s`,
+    );
+    assert.ok(
+      floodAdmitted + admitted <= 30 * 75,
+      `${floodAdmitted + admitted} in 60 s at 30 a second, with 10 s of burst`,
+    );
   }
 });
 
-// Found in a run over loopback: teams within their shares were refused, as their few permits were held by other nodes.
-test("teams that ask for less than their shares are hardly ever throttled under a flood, at whatever nodes they ask", () => {
+// Guards against refusing teams within their shares because their few permits are held by other nodes.
+test("at most 2% of the submissions of teams below their shares are throttled during a flood, at any node", () => {
   const [red] = deployment("n0").teams;
   assert.ok(red);
 
@@ -49,22 +59,22 @@
   const cluster = new AdmissionCluster({ admission_rate: 4 }, teams);
   cluster.heartbeatRounds(20);
   const random = seededRandom(7);
-  let [asked, refused] = [0, 0];
+  let [submitted, refused] = [0, 0];
   for (let second = 0; second < 120; second++) {
     cluster.heartbeatRound();
     for (const { name } of cluster.nodes) cluster.submit(name, "red", 15);
     for (const team of quiet) {
       const node = cluster.nodes[randomInt(random, 0, NODES.length - 1)];
       if (!node) continue;
-      asked++;
+      submitted++;
       if (cluster.submit(node.name, team, 1) === 0) refused++;
     }
   }
 
-  assert.ok(refused * 50 <= asked, `${refused} of ${asked}`);
+  assert.ok(refused * 50 <= submitted, `${refused} of ${submitted} refused`);
 });
 
-test("the permits of a lost node are reissued, but only once its permit lease has expired by every clock", () => {
+test("the permits of a lost node are reissued, but only after its permit lease has expired on every node's clock", () => {
   const cluster = new AdmissionCluster({ admission_open_jobs: 12, admission_rate: 1000 }, RED_ONLY);
   cluster.heartbeatRounds(4);
   const lostNode = cluster.node("n1");
@@ -72,23 +82,23 @@
   assert.ok(availablePermits(lostNode, "red") > 0);
 
   cluster.partitioned.add("n1");
-  // It may hold two permits; while they are valid no other node may spend them.
+  // The lost node may hold two permits; while they are valid no other node may use them.
   cluster.heartbeatRounds(2);
   for (const name of ["n0", "n2"]) cluster.submit(name, "red", 50);
   cluster.heartbeatRounds(1);
   for (const name of ["n0", "n2"]) cluster.submit(name, "red", 50);
   const heldPermits = lostNode.admission.mode === "slice" ? availablePermits(lostNode, "red") : 0;
 
-  assert.ok((cluster.openJobs.get("red") ?? 0) + heldPermits <= 12, "no permit is spent twice");
+  assert.ok((cluster.openJobs.get("red") ?? 0) + heldPermits <= 12, "no permit is used twice");
 
   for (let i = 0; i < 45; i++) {
     cluster.heartbeatRound();
     for (const name of ["n0", "n2"]) cluster.submit(name, "red", 50);
   }
-  assert.equal(cluster.openJobs.get("red"), 12, "its permits are issued again");
+  assert.equal(cluster.openJobs.get("red"), 12, "its permits are reissued");
 });
 
-test("a partitioned node can't spend its unused permits after its permit lease has expired", () => {
+test("a partitioned node cannot use its remaining permits after its permit lease has expired", () => {
   const cluster = new AdmissionCluster({ admission_open_jobs: 6, admission_rate: 1000 }, RED_ONLY);
   cluster.heartbeatRounds(4);
   const { admission } = cluster.node("n1");
@@ -111,19 +121,19 @@
   assert.equal(cluster.submit("n1", "red", 50), 0, "the limit of open jobs is reached");
 });
 
-test("a permit lease counts from its request, so that a late one is void, and one from an older leader is ignored", () => {
+test("a permit lease runs from its request, so that one received too late is void, and one from an older leader is ignored", () => {
   const cluster = new AdmissionCluster();
   cluster.heartbeatRounds(3);
   const { admission } = cluster.node("n1");
-  const lateNote = cluster.node("n0").admission.messageFor("n1");
+  const lateMessage = cluster.node("n0").admission.messageFor("n1");
 
-  assert.ok(lateNote.lease);
+  assert.ok(lateMessage.lease);
 
   cluster.partitioned.add("n1");
   cluster.heartbeatRounds(5);
-  admission.onPeerHeartbeat("n0", lateNote);
+  admission.onPeerHeartbeat("n0", lateMessage);
 
-  assert.equal(admission.mode, "floor", "the permit lease has expired already");
+  assert.equal(admission.mode, "floor", "the permit lease has already expired");
 
   cluster.partitioned.delete("n1");
   cluster.leader = "n2";
@@ -133,13 +143,13 @@
   assert.equal(admission.mode, "slice");
 
   const before = admission.report();
-  const answers = admission.messageFor("n0").report.sequence;
+  const reportSequence = admission.messageFor("n0").report.sequence;
   admission.onPeerHeartbeat("n0", {
-    ...lateNote,
+    ...lateMessage,
     lease: {
-      ...lateNote.lease,
+      ...lateMessage.lease,
       id: 10_000,
-      reportSequence: answers,
+      reportSequence,
       permits: [{ team: "red", count: 99, ratePerS: 1 }],
     },
   });
@@ -148,32 +158,38 @@
 });
 
 test("permits in flight count as issued and are not issued again when they arrive late", () => {
-  for (const room of [4, 10, 25]) {
-    const cluster = new AdmissionCluster({ admission_open_jobs: room, admission_rate: 1000 }, RED_ONLY);
+  for (const openJobLimit of [4, 10, 25]) {
+    const cluster = new AdmissionCluster(
+      { admission_open_jobs: openJobLimit, admission_rate: 1000 },
+      RED_ONLY,
+    );
     for (let i = 0; i < 40; i++) {
       cluster.heartbeatRound((from) => (from === "n0" ? 2500 : 5));
       for (const node of cluster.nodes) {
-        // The first submission shows the demand; then all permits are spent.
+        // The extra submission reports demand; the others use up all permits.
         cluster.submit(
           node.name,
           "red",
           node.admission.mode === "slice" ? availablePermits(node, "red") + 1 : 0,
         );
       }
-      assert.ok((cluster.openJobs.get("red") ?? 0) <= room, `${cluster.openJobs.get("red")} of ${room}`);
+      assert.ok(
+        (cluster.openJobs.get("red") ?? 0) <= openJobLimit,
+        `${cluster.openJobs.get("red")} of ${openJobLimit}`,
+      );
     }
   }
 });
 
-test("a restarted node has none of its previous process's permits, and jobs accepted by that process count", () => {
+test("a restarted node has none of its previous process's permits, and jobs accepted by that process count towards the limit", () => {
   const cluster = new AdmissionCluster({ admission_open_jobs: 6, admission_rate: 1000 }, RED_ONLY);
   cluster.heartbeatRounds(4);
-  const formerProcess = cluster.node("n1").admission;
-  const heldPermits = formerProcess.report().teams[0]?.available ?? 0;
+  const previousProcess = cluster.node("n1").admission;
+  const heldPermits = previousProcess.report().teams[0]?.available ?? 0;
 
   assert.ok(heldPermits > 0);
 
-  // The former process spends its permits in its last moment.
+  // The previous process uses its permits just before it ends.
   cluster.restart("n1");
   cluster.openJobs.set("red", heldPermits);
   cluster.heartbeatRounds(1);
@@ -187,7 +203,7 @@
   const rate = 30;
   const cluster = new AdmissionCluster({ admission_rate: rate });
   cluster.heartbeatRounds(20);
-  let taken = 0;
+  let admitted = 0;
   const seconds = 40;
   for (let i = 0; i < seconds; i++) {
     if (i === 10 || i === 12 || i === 25) {
@@ -195,31 +211,31 @@
       cluster.fencingToken++;
     }
     cluster.heartbeatRound();
-    for (const { name } of cluster.nodes) taken += cluster.submit(name, "red", 200);
+    for (const { name } of cluster.nodes) admitted += cluster.submit(name, "red", 200);
   }
 
-  assert.ok(taken <= rate * (seconds + 10 + 3 * 2), `${taken}`);
-  assert.ok(taken >= rate * seconds * 0.6, `${taken}`);
+  assert.ok(admitted <= rate * (seconds + 10 + 3 * 2), `${admitted} admitted`);
+  assert.ok(admitted >= rate * seconds * 0.6, `${admitted} admitted`);
 });
 
-test("without a leader each node admits at a floor rate, with some permits for every team and no more than the total rate", () => {
+test("without a leader each node admits at a floor rate that serves every team and stays within the total rate", () => {
   const cluster = new AdmissionCluster({ admission_rate: 30 });
   cluster.heartbeatRounds(5);
   cluster.leader = null;
   cluster.heartbeatRounds(6);
-  const taken = { red: 0, blue: 0 };
+  const admitted = { red: 0, blue: 0 };
   for (let i = 0; i < 30; i++) {
     cluster.heartbeatRound();
     for (const { name } of cluster.nodes)
-      for (const team of ["red", "blue"] as const) taken[team] += cluster.submit(name, team, 100);
+      for (const team of ["red", "blue"] as const) admitted[team] += cluster.submit(name, team, 100);
   }
 
-  assert.ok(taken.red + taken.blue <= 30 * 45, JSON.stringify(taken));
-  assert.ok(taken.blue >= 30 * 8, JSON.stringify(taken));
-  assert.ok(taken.red > taken.blue * 1.5, "by weight");
+  assert.ok(admitted.red + admitted.blue <= 30 * 45, JSON.stringify(admitted));
+  assert.ok(admitted.blue >= 30 * 8, JSON.stringify(admitted));
+  assert.ok(admitted.red > admitted.blue * 1.5, "permits are shared by weight");
 });
 
-test("a team of weight 0 gets what the others leave over, and a team removed from the settings reduces no other team's share", () => {
+test("a team of weight 0 gets the permits that others leave unused, and a team removed from the settings reduces no other team's share", () => {
   const cluster = new AdmissionCluster({
     admission_rate: 30,
     admission_weights: { blue: 0 },
@@ -233,8 +249,8 @@
     for (const { name } of cluster.nodes) blue += cluster.submit(name, "blue", 1);
   }
 
-  // Red keeps two permits at each node for its first submissions; the rest of what the removed team leaves is lent.
-  assert.ok(blue >= 20 - 6 && blue <= 20, `${blue} of the 20 left over`);
+  // Red keeps two permits at each node for its first submissions; the other permits that remain are lent to blue.
+  assert.ok(blue >= 20 - 6 && blue <= 20, `${blue} of the 20 remaining permits`);
 
   cluster.openJobs.clear();
   for (let i = 0; i < 20; i++) {
@@ -247,7 +263,7 @@
   assert.ok((cluster.openJobs.get("red") ?? 0) > 40, JSON.stringify([...cluster.openJobs]));
 });
 
-test("under a leader of the previous version all is admitted, and the share of a node of the previous version is left unissued", () => {
+test("under a leader of the previous version every submission is admitted, and the share of a node of the previous version is not issued", () => {
   const cluster = new AdmissionCluster({ admission_rate: 30 });
   cluster.previousVersion.add("n0");
   cluster.heartbeatRounds(3);
@@ -255,7 +271,7 @@
   assert.equal(cluster.node("n1").admission.mode, "open");
   assert.equal(cluster.submit("n1", "red", 500), 500);
 
-  // What was accepted then is not held against the node once there is no leader.
+  // Submissions accepted in that mode do not reduce the node's floor rate once there is no leader.
   cluster.leader = null;
   cluster.heartbeatRounds(6);
   assert.equal(cluster.node("n1").admission.mode, "floor");
@@ -268,21 +284,26 @@
 
   assert.equal(cluster.node("n1").admission.mode, "slice");
 
-  let taken = 0;
+  let admitted = 0;
   for (let i = 0; i < 60; i++) {
     cluster.heartbeatRound();
-    for (const name of ["n1", "n2"]) taken += cluster.submit(name, "red", 200);
+    for (const name of ["n1", "n2"]) admitted += cluster.submit(name, "red", 200);
   }
-  assert.ok(taken <= 20 * 60 + 300, `two thirds of the rate: ${taken}`);
+  assert.ok(admitted <= 20 * 60 + 300, `${admitted} admitted, at most two thirds of the rate`);
 });
 
-test("property: lost and late heartbeats, restarts, partitions and clock differences never let open jobs exceed their limit", () => {
+test("property: open jobs never exceed their limit under lost and late heartbeats, restarts, partitions and clock differences", () => {
   const event = fc.oneof(
-    { weight: 8, arbitrary: fc.constant("beat" as const) },
+    { weight: 8, arbitrary: fc.constant("on time" as const) },
     { weight: 2, arbitrary: fc.constantFrom("lost" as const, "late" as const) },
     {
       weight: 1,
-      arbitrary: fc.constantFrom("cut n1" as const, "cut n2" as const, "heal" as const, "restart" as const),
+      arbitrary: fc.constantFrom(
+        "partition n1" as const,
+        "partition n2" as const,
+        "heal" as const,
+        "restart" as const,
+      ),
     },
   );
   const step = fc.record({ event, node: fc.constantFrom(...NODES), count: fc.nat({ max: 12 }) });
@@ -290,25 +311,25 @@
     fc.property(
       fc.array(step, { minLength: 20, maxLength: 80 }),
       fc.integer({ min: 1, max: 40 }),
-      (steps, room) => {
-        const cluster = new AdmissionCluster({ admission_open_jobs: room, admission_rate: 1000 });
+      (steps, openJobLimit) => {
+        const cluster = new AdmissionCluster({ admission_open_jobs: openJobLimit, admission_rate: 1000 });
         cluster.heartbeatRounds(2);
         for (const { event: kind, node, count } of steps) {
-          if (kind === "cut n1") cluster.partitioned.add("n1");
-          else if (kind === "cut n2") cluster.partitioned.add("n2");
+          if (kind === "partition n1") cluster.partitioned.add("n1");
+          else if (kind === "partition n2") cluster.partitioned.add("n2");
           else if (kind === "heal") cluster.partitioned.clear();
           else if (kind === "restart") cluster.restart(node);
           else
             cluster.heartbeatRound((from) =>
-              kind === "beat" || from !== node ? 5 : kind === "lost" ? null : 2500,
+              kind === "on time" || from !== node ? 5 : kind === "lost" ? null : 2500,
             );
           const { admission } = cluster.node(node);
-          // What is accepted under the floor, or by a retry reservation, is outside of the limit.
+          // Submissions accepted at the floor rate or by a retry reservation do not count towards the limit.
           if (admission.mode === "slice") {
             const { available = 0 } = admission.report().teams.find(({ name }) => name === "red") ?? {};
             cluster.submit(node, "red", Math.min(count, available));
           }
-          assert.ok((cluster.openJobs.get("red") ?? 0) <= room);
+          assert.ok((cluster.openJobs.get("red") ?? 0) <= openJobLimit);
         }
       },
     ),
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -1,4 +1,4 @@
-/** Preemption: which work is stopped for which, when, and with how much time to save a checkpoint. */
+/** Preemption: which tasks are stopped in favour of which, when, and with what grace period for a checkpoint. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -8,7 +8,7 @@
 
 const GUARANTEE_OBJECTIVE = { kind: "guarantee", jobClass: null, withinS: 10, share: 0.9 } as const;
 
-test("production preempts lower-priority work, with time for a checkpoint where supported, and equal priorities do not preempt", () => {
+test("production work preempts lower priorities, with time for a checkpoint where supported; equal priorities do not preempt", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -30,7 +30,7 @@
   assert.ok(stop?.kind === "stop" && stop.graceS >= 2);
 });
 
-test("work that started because of ageing is preemption-protected for a while, except from production work", () => {
+test("tasks started because their job was starving are protected from preemption for a while, except by production work", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -43,11 +43,7 @@
   Object.assign(firstTask, { state: "ended", exitReason: "done" });
   sendHeartbeatsFor(harness, tasksByMachine, {}, 3);
 
-  assert.equal(
-    liveTasks(tasksByMachine, "A", "j-2").length,
-    1,
-    "it is starving, and goes before higher priority",
-  );
+  assert.equal(liveTasks(tasksByMachine, "A", "j-2").length, 1, "a starving job precedes higher priorities");
 
   sendHeartbeatsFor(harness, tasksByMachine, {}, 5);
   assert.equal(liveTasks(tasksByMachine, "A", "j-2").length, 1);
@@ -57,7 +53,7 @@
   assert.equal(liveTasks(tasksByMachine, "A", "j-4").length, 1);
 });
 
-test("preemption for an array within quota is deferred briefly for capacity that may become free", () => {
+test("preemption for an array within quota is deferred briefly, in case capacity becomes free", () => {
   const harness = ControllerHarness.withObjectives([GUARANTEE_OBJECTIVE]);
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -82,7 +78,7 @@
   assert.equal(harness.commandedTasks("stop", "j-1").length, 1);
 });
 
-test("preemption prefers tasks whose start objective is already met over those that would have to meet it again", () => {
+test("preemption stops tasks whose start objective is already met rather than tasks that would have to meet it again", () => {
   const harness = ControllerHarness.withObjectives([{ ...WAIT_OBJECTIVE, jobClass: "counted" }]);
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -115,9 +111,8 @@
   assert.deepEqual(harness.commandedTasks("stop", "j-2"), []);
 });
 
-// Found on a simulated day with faults: work that can't save a checkpoint was preempted late in its run, to avoid
-// restarts that no objective counts.
-test("where no objective counts starts, work with checkpoints is preempted before work that would be lost", () => {
+// Guards against preempting tasks without checkpoints late in their run to avoid restarts that no objective counts.
+test("if no objective counts starts, tasks with checkpoints are preempted before tasks whose progress would be lost", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
@@ -140,7 +135,7 @@
   assert.deepEqual(harness.commandedTasks("stop", "j-1"), []);
 });
 
-test("work that could not save a checkpoint before the objective is missed is preempted without a grace period", () => {
+test("tasks that cannot save a checkpoint before an objective would be missed are preempted without a grace period", () => {
   for (const [saveS, graceful] of [
     [2, true],
     [4.5, false],
@@ -157,6 +152,6 @@
       .find((command) => command.kind === "stop");
 
     assert.ok(stop?.kind === "stop");
-    assert.equal(stop.graceS > 0, graceful, `saving takes ${saveS} s of 5`);
+    assert.equal(stop.graceS > 0, graceful, `saving a checkpoint takes ${saveS} s of 5 s`);
   }
 });
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -3,36 +3,44 @@
 import { play, TROUBLES, troubleNamed } from "./model/days.js";
 import type { ModelCluster } from "./model/model-cluster.js";
 
-/** A start sent before the cancellation may begin when its image is there; with a hanging agent, later still. */
+/** A start sent before a cancellation may take effect once its image is fetched, or later if the agent hangs. */
 const MAX_LATE_START_MS = 12_000;
 
-/** Troubles that only a large fleet shows in full: played with some three hundred machines. */
-const LARGE = new Set(["mass failures of machines", "store outages and rolling restarts", "all faults"]);
+/** Scenarios that need a large cluster to take full effect: every third seed runs them with about 300. */
+const LARGE_SCENARIOS = new Set([
+  "mass failures of machines",
+  "store outages and rolling restarts",
+  "all faults",
+]);
 const LARGE_SCALE = 20;
 
-/** The rules, and the users' checks at the end of a day. */
-function check(cluster: ModelCluster, seed: number): void {
+/** Asserts that a scenario violated no rule, and that users were served by its end. */
+function assertScenarioOutcome(cluster: ModelCluster, seed: number): void {
   assert.deepEqual(cluster.violations, [], `seed ${seed}`);
-  assert.ok(cluster.agents.tasks.starts > 0, `seed ${seed}: nothing ran`);
+  assert.ok(cluster.agents.tasks.starts > 0, `seed ${seed}: no task started`);
   for (const job of cluster.jobs.values()) {
     if (job.acceptedAt === null) continue;
     const unansweredS = (cluster.now - job.answeredAt) / 1000;
-    assert.ok(unansweredS < 75, `seed ${seed}: ${job.spec.uid} is forgotten: ${unansweredS} s`);
+    assert.ok(unansweredS < 75, `seed ${seed}: ${job.spec.uid} has had no response for ${unansweredS} s`);
   }
   const late = cluster.rules.lateStartsMs.filter((lateMs) => lateMs > MAX_LATE_START_MS);
-  assert.deepEqual(late, [], `seed ${seed}: starts long after a confirmed cancellation`);
+  assert.deepEqual(late, [], `seed ${seed}: tasks started long after a confirmed cancellation`);
   const finishable = [...cluster.jobs.values()].filter(
     (job) => job.spec.shape !== "service" && job.acceptedAt !== null && !cluster.jobs.isCancelRequested(job),
   );
-  // Of each class, team and the largest jobs at least half is served; on few jobs that says nothing.
+  // At least half of each class, of each team and of the largest jobs must finish; groups under three jobs are ignored.
   const largest = finishable.filter(({ spec }) => spec.tasks >= (spec.shape === "gang" ? 2 : 9));
-  const kinds = new Map([["the largest", largest]]);
+  const groups = new Map([["the largest", largest]]);
   for (const job of finishable)
-    for (const kind of [job.spec.jobClass, job.spec.team]) kinds.set(kind, [...(kinds.get(kind) ?? []), job]);
-  for (const [kind, jobs] of kinds) {
+    for (const group of [job.spec.jobClass, job.spec.team])
+      groups.set(group, [...(groups.get(group) ?? []), job]);
+  for (const [group, jobs] of groups) {
     const served = jobs.filter((job) => job.finishedAt !== null).length;
     if (jobs.length >= 3)
-      assert.ok(served * 2 >= jobs.length, `seed ${seed}: ${kind}: ${served} of ${jobs.length}`);
+      assert.ok(
+        served * 2 >= jobs.length,
+        `seed ${seed}: ${group}: ${served} of ${jobs.length} jobs finished`,
+      );
   }
   const finished = finishable.filter((job) => job.confirmedDone).length;
   assert.ok(
@@ -42,15 +50,18 @@
 }
 
 for (const [name, trouble] of Object.entries(TROUBLES)) {
-  test(`no rule is broken: ${name}`, () => {
+  test(`no rule violation: ${name}`, () => {
     const seeds = Number(process.env.WORLD_SEEDS ?? 3);
     const first = Number(process.env.WORLD_FIRST ?? 1);
     for (let seed = first; seed < first + seeds; seed++)
-      check(play({ seed, trouble, scale: LARGE.has(name) && seed % 3 === 0 ? LARGE_SCALE : 1 }), seed);
+      assertScenarioOutcome(
+        play({ seed, trouble, scale: LARGE_SCENARIOS.has(name) && seed % 3 === 0 ? LARGE_SCALE : 1 }),
+        seed,
+      );
   });
 }
 
-/** The days on which leaders change most, played again with a standby. */
+/** The scenarios with the most leader changes, run again with a standby. */
 const WITH_STANDBY = [
   "crashing controllers",
   "isolated controllers",
@@ -61,21 +72,21 @@
 ];
 
 for (const name of WITH_STANDBY) {
-  test(`no rule is broken with a warm standby: ${name}`, () => {
+  test(`no rule violation with a warm standby: ${name}`, () => {
     const seeds = Number(process.env.WORLD_SEEDS ?? 2);
     const first = Number(process.env.WORLD_FIRST ?? 1);
     const takeovers: string[] = [];
     for (let seed = first; seed < first + seeds; seed++) {
       const cluster = play({ seed, trouble: troubleNamed(name), standby: true });
       takeovers.push(...cluster.log.takeoverSources);
-      check(cluster, seed);
+      assertScenarioOutcome(cluster, seed);
     }
     const warm = takeovers.filter((source) => source === "warm").length;
     assert.ok(warm > 0, `${warm} of ${takeovers.length} takeovers were warm`);
   });
 }
 
-/** Days on which leaders and versions change, played again with submissions admitted by shares. */
+/** Scenarios in which leaders and versions change, run again with fair admission. */
 const WITH_ADMISSION = [
   "crashing controllers",
   "partitions and store outages",
@@ -84,10 +95,10 @@
 ];
 
 for (const name of WITH_ADMISSION) {
-  test(`no rule is broken with fair admission: ${name}`, () => {
+  test(`no rule violation with fair admission: ${name}`, () => {
     const seeds = Number(process.env.WORLD_SEEDS ?? 2);
     const first = Number(process.env.WORLD_FIRST ?? 1);
     for (let seed = first; seed < first + seeds; seed++)
-      check(play({ seed, trouble: troubleNamed(name), admission: true }), seed);
+      assertScenarioOutcome(play({ seed, trouble: troubleNamed(name), admission: true }), seed);
   });
 }
--- a/test/provisioner.test.ts
+++ b/test/provisioner.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness, jobSpec } from "./support/controller-harness.js";
 
-test("machines are provisioned for unplaced tasks under unique request ids, and terminated when idle", () => {
+test("machines are provisioned for unplaced tasks with unique request ids, and terminated when idle", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { tasks: 12, estimateS: 200 }));
@@ -24,7 +24,7 @@
   assert.ok(idleLeader.cloudCalls.some((call) => call.kind === "delete" && call.machines.includes("A")));
 });
 
-test("a create call without a response is retried under the same request id, and no other is made for it meanwhile", () => {
+test("a create call without a response is retried with the same request id, and no other create call replaces it meanwhile", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   const defaultCloudRule = harness.cloudRule;
--- a/test/quarantined-keys.test.ts
+++ b/test/quarantined-keys.test.ts
@@ -1,11 +1,11 @@
-/** Records that can't be decoded are quarantined. */
+/** Quarantine of records that cannot be decoded. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { electNextLeader, leaderWithRunningTask } from "./support/leaders.js";
 
-test("records that can't be decoded are logged and kept, and no task they may concern is started", () => {
+test("records that cannot be decoded are logged and kept, and no task that they may concern is started", () => {
   const { harness: previousLeader, attempt } = leaderWithRunningTask();
   previousLeader.submit(jobSpec("j-2"));
   const put = (key: string, value: unknown) =>
@@ -39,8 +39,8 @@
   newLeader.sendHeartbeat("B", [], { zone: "b" });
   newLeader.advance(500);
 
-  assert.deepEqual(newLeader.startCommands("j-1"), [], "it may be running");
-  assert.deepEqual(previousLeader.store.entries.get("p/j-1/0")?.value, { held: "?" }, "kept");
+  assert.deepEqual(newLeader.startCommands("j-1"), [], "the task may be running");
+  assert.deepEqual(previousLeader.store.entries.get("p/j-1/0")?.value, { held: "?" }, "the record is kept");
   assert.equal(newLeader.poll("j-3")?.kind, "unavailable");
 
   const queue = newLeader.controller.status().queue as { job: string; why: string }[];
--- a/test/queue-order.test.ts
+++ b/test/queue-order.test.ts
@@ -1,4 +1,4 @@
-/** Queue order: objectives that can still be met, and starvation. */
+/** Queue order: jobs that can still meet their objective, and starving jobs. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -9,7 +9,7 @@
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
-test("tasks of an array that have missed their start objective are queued behind those that can still meet it", () => {
+test("array tasks that have missed their start objective are queued behind tasks that can still meet it", () => {
   const noGuarantee = { cpu: 0, gpu: 0, ram: 0 };
   const limit = { cpu: 20_000, gpu: 0, ram: 0 };
   const harness = ControllerHarness.withObjectives([{ ...WAIT_OBJECTIVE, withinS: 100 }], {
@@ -40,7 +40,7 @@
   );
 });
 
-test("under a new leader a job that has started is not starving, and one that never started ages from its acceptance", () => {
+test("under a new leader a job that has started is not starving, and one that never started has waited since its acceptance", () => {
   const leader = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   leader.sendHeartbeat("A");
@@ -68,11 +68,11 @@
   assert.deepEqual([isStarvingUnplaced("j-1"), isStarvingUnplaced("j-2")], [false, true]);
 });
 
-test("starving gangs that can still start within four minutes go before those that can't, which go first again some minutes later", () => {
+test("starving gangs that can still start within four minutes precede those that cannot, which regain precedence some minutes later", () => {
   const gang = { shape: "gang", priority: 2, types: ["gpu"], tasks: 2, oneZone: true } as const;
   const gangSpec = { ...gang, need: { cpu: 6000, gpu: 2000, ram: 8000 }, team: "red" };
-  // The other gang can't meet the four minutes any more when machines become free; after 440 s it goes first again,
-  // whatever was submitted since.
+  // When machines become free, j-1 can no longer start within four minutes; from 440 s on it precedes all jobs that
+  // were submitted later.
   for (const [waitedS, expected] of [
     [230, "j-2"],
     [440, "j-1"],
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -24,7 +24,7 @@
   assert.equal(running, 16, "blue may use 16 CPUs of the 28");
 });
 
-test("work within one team's guaranteed quota is not preempted for another team's, so that two gangs never preempt each other in turn", () => {
+test("work within a team's guaranteed quota is not preempted for another team's, so that two gangs never preempt each other in turn", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["G", []]]);
   harness.sendHeartbeat("G", [], GPU_MACHINE);
@@ -42,7 +42,7 @@
 
   assert.equal(liveTasks(tasksByMachine, "G", "j-1").length, 1);
 
-  // Red uses CPUs beyond its guaranteed quota elsewhere; its first gang counts as within that quota all the same.
+  // Red exceeds its guaranteed quota with CPUs on other machines; its first gang still counts as within the quota.
   for (const name of ["A", "B", "C", "D"]) tasksByMachine.set(name, []);
   for (const name of ["A", "B", "C", "D"]) harness.sendHeartbeat(name);
   harness.submit(jobSpec("j-2", { tasks: 16, team: "red", estimateS: 600 }));
--- a/test/reachability.test.ts
+++ b/test/reachability.test.ts
@@ -1,11 +1,11 @@
-/** Agents that a leader hears but that don't hear it, and the other way round (I7). */
+/** Reachability: one-way network partitions between a leader and agents, in either direction (I7). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { leaderWithRunningTask, onlyElement } from "./support/leaders.js";
 
-test("a leader that hears no agent while a peer hears some resigns and does not campaign for a while", () => {
+test("a leader that receives no agent heartbeats while a peer receives some resigns and does not campaign for a while", () => {
   const harness = new ControllerHarness().becomeLeader();
   for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name);
   const receivePeerHeartbeat = (agentsHeard: number) =>
@@ -25,7 +25,7 @@
     harness.advance(1000);
   }
 
-  assert.ok(harness.controller.election.lease, "no peer hears any agent: resigning would not help");
+  assert.ok(harness.controller.election.lease, "no peer receives agent heartbeats: resigning would not help");
 
   for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name);
   for (let second = 0; second < 8; second++) {
@@ -39,7 +39,7 @@
   assert.equal(harness.controller.election.lease, null);
 });
 
-test("an agent in a one-way partition gets no more tasks, its machine is replaced if that persists and used again if it ends", () => {
+test("an agent behind a one-way partition gets no new tasks; its machine is terminated if the partition persists and reused if it ends", () => {
   for (const persists of [true, false]) {
     const harness = new ControllerHarness().becomeLeader();
     const terminatedMachines: string[] = [];
@@ -48,7 +48,7 @@
       if (call.kind === "delete") terminatedMachines.push(...call.machines);
       return defaultCloudRule(call);
     };
-    const heartbeatsOfOthers = (fencingToken?: number) => {
+    const sendOtherHeartbeats = (fencingToken?: number) => {
       for (const name of ["B", "C", "D"])
         harness.sendHeartbeat(name, [], { zone: "b", ...(fencingToken && { fencingToken }) });
     };
@@ -59,10 +59,10 @@
     assert.equal(onlyElement(harness.startCommands("j-1")).machine, "A");
 
     harness.timeOutCommands();
-    // Its heartbeats go on arriving, and never show the start.
+    // Its heartbeats still arrive, but never report the started task.
     for (let second = 0; second < 8; second++) {
       harness.sendHeartbeat("A");
-      heartbeatsOfOthers();
+      sendOtherHeartbeats();
       harness.advance(1000);
       harness.timeOutCommands();
     }
@@ -78,7 +78,7 @@
     harness.submit(jobSpec("j-2", { zone: "a" }));
     for (let second = 0; second < 2; second++) {
       harness.sendHeartbeat("A");
-      heartbeatsOfOthers();
+      sendOtherHeartbeats();
       harness.advance(1000);
       harness.timeOutCommands();
     }
@@ -87,7 +87,7 @@
     if (persists) {
       for (let second = 0; second < 30; second++) {
         harness.sendHeartbeat("A");
-        heartbeatsOfOthers();
+        sendOtherHeartbeats();
         harness.advance(1000);
         harness.timeOutCommands();
       }
@@ -103,13 +103,13 @@
       assert.equal(
         harness.startCommands("j-2").length,
         1,
-        "a command carried out shows that it is reachable again",
+        "an executed command shows that the machine is reachable again",
       );
     }
   }
 });
 
-test("a lease that expires although replies are sent shows a one-way partition, and one that expires in silence does not", () => {
+test("an agent lease that expires despite replies indicates a one-way partition; one that expires without heartbeats does not", () => {
   for (const silentMs of [0, 13_000]) {
     const { harness } = leaderWithRunningTask();
     harness.cloudRule = () => ({ kind: "unavailable", reason: "" });
@@ -126,7 +126,7 @@
   }
 });
 
-test("a leader that most agents don't hear resigns", () => {
+test("a leader whose replies do not reach most agents resigns", () => {
   const harness = new ControllerHarness().becomeLeader();
   for (let second = 0; second < 8; second++) {
     for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name, [], { fencingToken: 0 });
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -6,7 +6,7 @@
 import { leaderWithRunningTask, successorOfSilentLeader } from "./support/leaders.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a leader that has not read the records yet renews no agent lease, as it knows of no cancellation", () => {
+test("a leader that has not loaded the records yet renews no agent lease, as it would miss cancellations", () => {
   const { harness: previousLeader, attempt } = leaderWithRunningTask();
   previousLeader.store.expire(previousLeader.now + 60_000);
   const newLeader = new ControllerHarness("n1", previousLeader.store);
@@ -16,16 +16,16 @@
   const running = [{ uid: "j-1", task: 0, attempt, state: "running" }] as const;
 
   assert.equal(newLeader.controller.leaderTerm?.agents.areRecordsLoaded, false);
-  assert.equal(newLeader.sendHeartbeat("A", running), undefined, "delayed until the records are read");
+  assert.equal(newLeader.sendHeartbeat("A", running), undefined, "delayed until the records are loaded");
 
   newLeader.storeRule = null;
   newLeader.advance(1000);
   assert.equal(newLeader.sendHeartbeat("A", running)?.kind, "commands");
 });
 
-test("a new leader restarts a recorded task only after its machine reports without it under the new fencing token", () => {
+test("a new leader restarts a recorded task only after a heartbeat of its machine omits it under the new fencing token", () => {
   const { harness, attempt } = successorOfSilentLeader();
-  assert.deepEqual(harness.startCommands("j-1"), [], "nothing is known of A yet");
+  assert.deepEqual(harness.startCommands("j-1"), [], "A has not sent a heartbeat yet");
 
   harness.sendHeartbeat("A", [], { fencingToken: 1 });
   harness.advance(300);
@@ -43,7 +43,7 @@
   assert.equal(harness.startCommands("j-1").length, 1);
 });
 
-test("a new leader adopts the tasks that it finds running", () => {
+test("a new leader adopts the tasks that agents report as running", () => {
   const { harness, attempt } = successorOfSilentLeader();
   harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "running" }]);
   harness.advance(2000);
--- a/test/record-cache.test.ts
+++ b/test/record-cache.test.ts
@@ -1,4 +1,4 @@
-/** The standby's copy of the records against any history of writes, and any way in which watches deliver it. */
+/** The standby cache matches the stored records for any write history and any delivery of watch events. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -14,26 +14,26 @@
 import { deployment } from "./support/deployment.js";
 import { FakeStore } from "./support/fake-store.js";
 
-/** Few keys, so that they are often written, removed and written again. */
+/** Few keys, so that the same key is often written, removed and written again. */
 const KEYS = ["m/0", "m/1", "m/10", "p/j-1/0", "p/j-1/1", "p/j-2/0.32", "j/j-1", "j/j-2", "j/j-3", "f/j-1"];
 const TICK_MS = 500;
 
 type Step =
   | { readonly kind: "put"; readonly key: string; readonly value: number }
   | { readonly kind: "remove"; readonly key: string }
-  /** Time passes; the pending requests are answered in this way. */
+  /** Advances the time and answers the pending requests in the given manner. */
   | { readonly kind: "tick"; readonly delivery: Delivery }
   | { readonly kind: "compact" };
 
-type Delivery = "right" | "lost" | "hangs" | "twice" | "shuffled" | "pages of one";
+type Delivery = "in order" | "lost" | "hangs" | "duplicated" | "shuffled" | "pages of one";
 
 const delivery = fc.constantFrom<Delivery>(
-  "right",
-  "right",
-  "right",
+  "in order",
+  "in order",
+  "in order",
   "lost",
   "hangs",
-  "twice",
+  "duplicated",
   "shuffled",
   "pages of one",
 );
@@ -45,7 +45,7 @@
   { weight: 1, arbitrary: fc.record({ kind: fc.constant("compact" as const) }) },
 );
 
-/** A node's requests to a store, answered as the steps of a history say. */
+/** Answers a node's store requests as the steps of a generated history prescribe. */
 class StoreReplay {
   readonly store = new FakeStore();
   readonly ctx = new Context(deployment("n1"), new NameRegistry(), seededRandom(1), 0);
@@ -55,7 +55,7 @@
     this.store.run({ kind: "transaction", conditions: [], changes: [change] }, 0);
   }
 
-  /** Answers pending requests until there are no more; the retry of a request that was answered by a timeout waits. */
+  /** Answers requests until none is pending; the retry of a request that timed out is left for the next call. */
   answerAll(delivery: Delivery): void {
     const calls = this.#hanging.splice(0);
     this.#collect(calls);
@@ -87,28 +87,28 @@
   }
 }
 
-/** Delivers changes twice or out of order. */
+/** Duplicates or reorders the events of a watch response. */
 function distort(response: StoreResponse, delivery: Delivery): StoreResponse {
   if (response.kind !== "events") return response;
   const events: readonly WatchEvent[] = response.events;
-  if (delivery === "twice") return { ...response, events: [...events, ...events] };
+  if (delivery === "duplicated") return { ...response, events: [...events, ...events] };
   if (delivery === "shuffled") return { ...response, events: [...events].reverse() };
   return response;
 }
 
-/** The records as a leader without a standby copy reads them. */
+/** Reads the records as a leader without a standby cache does. */
 function readCold(store: FakeStore): StoredRecords {
   const replay = new StoreReplay();
   for (const [name, item] of store.entries) replay.store.entries.set(name, item);
   replay.store.revision = store.revision;
   const results: LoadedRecords[] = [];
   new RecordReader(replay.ctx).load((loaded) => results.push(loaded));
-  replay.answerAll("right");
+  replay.answerAll("in order");
   assert.ok(results[0]);
   return results[0].records;
 }
 
-test("property: whatever the history and its delivery, the record cache equals a cold read or is refused", () => {
+test("property: for any write history and any delivery, the record cache equals a cold read or is refused", () => {
   let warmStarts = 0;
   fc.assert(
     fc.property(
@@ -128,7 +128,7 @@
             replay.answerAll(nextStep.delivery);
           }
         }
-        // Writes up to the election that the feed has not seen.
+        // Writes before the election that the feed has not received.
         for (const name of lastKeys) replay.write({ put: name, value: -1 });
         feed.stop();
         if (!feed.isComplete) return;
@@ -139,7 +139,7 @@
         new WarmStart(replay.ctx, cache, replay.store.revision, coldReader, events).load((records) =>
           loaded.push(records),
         );
-        replay.answerAll("right");
+        replay.answerAll("in order");
 
         assert.equal(loaded.length, 1);
 
--- a/test/record-writer.test.ts
+++ b/test/record-writer.test.ts
@@ -1,4 +1,4 @@
-/** Writes of the leader's records: each depends on the versions of what it replaces (I5). */
+/** Record writes of a leader: each is conditional on the versions that it replaces (I5). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -7,7 +7,7 @@
 import { FakeStore } from "./support/fake-store.js";
 import { electNextLeader, leaderWithRunningTask, onlyElement } from "./support/leaders.js";
 
-test("a transaction of a previous leader that is applied late changes nothing", () => {
+test("a previous leader's transaction that reaches the store late changes nothing", () => {
   const store = new FakeStore();
   const leader = new ControllerHarness("n0", store).becomeLeader();
   leader.sendHeartbeat("A");
@@ -37,14 +37,14 @@
   );
 });
 
-test("every write of a leader is conditional on the version it replaces, so that a late one undoes no newer one", () => {
+test("every write of a leader is conditional on the version it replaces, so that a late write never overwrites a newer one", () => {
   const harness = new ControllerHarness().becomeLeader();
   const transactions: StoreRequest[] = [];
   harness.storeRule = (call) => {
     if (call.kind === "transaction" && call.changes.length > 0) transactions.push(call);
     return null;
   };
-  // Tasks that start and end, a machine that is terminated, machine types that change, a fencing token that is raised.
+  // Covers task starts and ends, a terminated machine, changed machine types and a raised fencing token.
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
   harness.submit(jobSpec("j-2", { shape: "service", priority: 3, estimateS: 0 }));
--- a/test/replica-migration.test.ts
+++ b/test/replica-migration.test.ts
@@ -1,4 +1,4 @@
-/** The one pending replica migration, its record, and its completion by a later leader. */
+/** Replica migration: at most one is pending; it is recorded, and a later leader completes it. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -7,7 +7,7 @@
 import { carryOutCommands, liveTasks, sendHeartbeatsFor } from "./support/scripted-agents.js";
 
 /**
- * A leader that has decided and recorded a migration: A is underused with one replica of j-11, B with two of j-10 is not.
+ * Returns a leader with a recorded migration: A, with one replica of j-11, is underused; B, with two of j-10, is not.
  */
 function leaderWithPendingMigration(): {
   harness: ControllerHarness;
@@ -33,10 +33,10 @@
   return { harness, tasksByMachine };
 }
 
-test("migration: a replica drains on an underused machine and starts elsewhere on proof that the old copy has ended", () => {
+test("migration: a replica drains on an underused machine and starts elsewhere once the old replica is known to have ended", () => {
   const { harness, tasksByMachine } = leaderWithPendingMigration();
   assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 1, "the old replica drains");
-  assert.equal(liveTasks(tasksByMachine, "B", "j-11").length, 0, "and no second replica runs meanwhile");
+  assert.equal(liveTasks(tasksByMachine, "B", "j-11").length, 0, "no second replica runs meanwhile");
 
   sendHeartbeatsFor(harness, tasksByMachine, {}, 25);
   assert.equal(liveTasks(tasksByMachine, "A", "j-11").length, 0);
@@ -44,7 +44,7 @@
   assert.deepEqual(harness.store.entries.get("c/move")?.value, {}, "the record is cleared");
 });
 
-test("migration: none starts while every target machine is underused", () => {
+test("migration: none starts while every target machine is underused as well", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([
     ["A", []],
@@ -74,6 +74,6 @@
   assert.equal(
     nextLeader.controller.leaderTerm.migrator.startedMigrations,
     0,
-    "it started none of its own before",
+    "it starts none of its own before",
   );
 });
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -9,7 +9,7 @@
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
-test("a starving gang has machines in a zone and the rest of its team's quota limit reserved for it", () => {
+test("machines in one zone and the rest of its team's quota limit are reserved for a starving gang", () => {
   const gangSpec = {
     shape: "gang",
     priority: 2,
@@ -17,7 +17,7 @@
     need: { cpu: 6000, gpu: 2000, ram: 8000 },
   } as const;
   for (const [reserved, machines, teams] of [
-    ["places", ["G0", "G1"], ["red", "red"]],
+    ["machines", ["G0", "G1"], ["red", "red"]],
     ["limit", ["G0"], ["blue", "blue"]],
   ] as const) {
     const harness = new ControllerHarness().becomeLeader();
@@ -31,12 +31,12 @@
     harness.submit(jobSpec("j-2", { ...gangSpec, tasks: 2, team: "blue", oneZone: true }));
     sendHeartbeatsFor(harness, tasksByMachine, machineFields, 75);
     if (reserved === "limit") {
-      // Enough free capacity appears, in a zone other than the one reserved for the gang.
+      // Enough capacity becomes free, but in a zone other than the one reserved for the gang.
       machineFields.G4 = { ...GPU_MACHINE, zone: "b" };
       tasksByMachine.set("G4", []);
       harness.sendHeartbeat("G4", [], machineFields.G4);
     }
-    // Smaller and just submitted: it would take the one free machine, or the rest of the team's limit.
+    // A smaller, newer gang that would otherwise take the one free machine, or the rest of the team's limit.
     harness.submit(jobSpec("j-3", { ...gangSpec, tasks: 1, team: teams[1] }));
     sendHeartbeatsFor(harness, tasksByMachine, machineFields, 10);
     const isRunning = (uid: string) =>
@@ -47,7 +47,7 @@
   }
 });
 
-test("a starving array is not placed on machines that gangs wait for, where it would be preemption-protected", () => {
+test("a starving array, which would be protected from preemption, is not placed on machines that gangs wait for", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineFields = { G: GPU_MACHINE };
   const tasksByMachine = new Map<string, TaskStatus[]>([
@@ -86,11 +86,11 @@
   assert.equal(liveTasks(tasksByMachine, "G", "j-4").length, 1);
   assert.ok(
     !tasksByMachine.get("G")?.some((status) => status.uid === "j-3"),
-    "nor did it start there, to be preempted at once",
+    "j-3 did not start there only to be preempted",
   );
 });
 
-test("a reservation for a starving gang that is too late passes to one that can still meet its time", () => {
+test("the reservation of a starving gang that can no longer start in time passes to one that still can", () => {
   const gangSpec = {
     shape: "gang",
     priority: 2,
@@ -101,7 +101,7 @@
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>(["G0", "G1"].map((name) => [name, []]));
   const machineFields = { G0: GPU_MACHINE, G1: GPU_MACHINE, G2: GPU_MACHINE };
-  // One machine of two stays occupied; the other is reserved for the first gang until that gang is too late.
+  // One machine of two stays occupied; the other is reserved for the first gang until it can't start in time.
   harness.sendHeartbeat("G0", [], GPU_MACHINE);
   harness.submit(jobSpec("j-0", { ...gangSpec, tasks: 1, team: "red" }));
   carryOutCommands(harness, tasksByMachine, machineFields);
--- a/test/retry-reservations.test.ts
+++ b/test/retry-reservations.test.ts
@@ -1,16 +1,16 @@
-/** Retry reservations: the time that a refused submission is given is kept. */
+/** Retry reservations: a throttled submission is accepted when it is retried after its retry-after. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { AdmissionCluster } from "./support/admission-cluster.js";
 import { NODES } from "./support/deployment.js";
 
-test("a throttled submission that is retried after its retry-after is accepted at any node, before newcomers", () => {
+test("a throttled submission that is retried after its retry-after is accepted at any node, before new submissions", () => {
   const cluster = new AdmissionCluster({ admission_rate: 12 });
   cluster.heartbeatRounds(5);
-  const returningAt = new Map<number, string[]>();
+  const retriesDueAt = new Map<number, string[]>();
   let uid = 0;
-  let [acceptedOnReturn, refusedAgain, acceptedEarly] = [0, 0, 0];
+  let [acceptedOnRetry, refusedAgain, acceptedEarly] = [0, 0, 0];
   for (let second = 0; second < 60; second++) {
     cluster.heartbeatRound();
     for (const [nodeIndex, { name }] of cluster.nodes.entries()) {
@@ -30,13 +30,13 @@
         else acceptedEarly++;
         if (decision.retryAfterS < 30) {
           const due = second + decision.retryAfterS + 1;
-          returningAt.set(due, [...(returningAt.get(due) ?? []), id]);
+          retriesDueAt.set(due, [...(retriesDueAt.get(due) ?? []), id]);
         }
       }
-      // Each retry goes to another node than the one that refused it.
-      const due = returningAt.get(second)?.filter((_, i) => i % NODES.length === nodeIndex) ?? [];
+      // Each retry goes to a node other than the one that refused it.
+      const due = retriesDueAt.get(second)?.filter((_, i) => i % NODES.length === nodeIndex) ?? [];
       for (const id of due) {
-        if (cluster.node(name).admission.decide(id, "red").kind === "admit") acceptedOnReturn++;
+        if (cluster.node(name).admission.decide(id, "red").kind === "admit") acceptedOnRetry++;
         else refusedAgain++;
       }
     }
@@ -44,8 +44,8 @@
 
   assert.equal(acceptedEarly, 0);
   assert.ok(
-    acceptedOnReturn > 100,
-    `${acceptedOnReturn} were accepted on their retry, ${refusedAgain} were refused again`,
+    acceptedOnRetry > 100,
+    `${acceptedOnRetry} were accepted on their retry, ${refusedAgain} were refused again`,
   );
   assert.equal(refusedAgain, 0);
 });
--- a/test/round-robin-turns.test.ts
+++ b/test/round-robin-turns.test.ts
@@ -21,7 +21,7 @@
   return { uid, spec: { team, jobClass }, queuedSince };
 }
 
-test("property: at most one job of each other line precedes a line's oldest job that is due, whatever the lines contain", () => {
+test("property: at most one job of each other line precedes the oldest job of a line that is due, for any contents of the lines", () => {
   const line = fc.record({
     team: fc.constantFrom("a", "b", "c"),
     jobClass: fc.constantFrom("x", "y"),
@@ -66,7 +66,7 @@
   );
 });
 
-test("a line is due for a round-robin turn once no job of it has started for the turn period, until one does", () => {
+test("a line is due for a round-robin turn once none of its jobs has started for the turn period, until one starts", () => {
   const turns = new RoundRobinTurns();
   const smallJobs = Array.from({ length: 1000 }, (_, i) => waitingJob(i, "a", "x", i));
   const hugeJob = waitingJob(9999, "b", "y", 500);
@@ -80,15 +80,15 @@
   assert.equal(turns.longestWaitMs("b", [hugeJob], 100_000), 39_000);
 });
 
-test("under a flood of small jobs a huge array of another team gets its round-robin turn, also under a new leader", () => {
+test("during a flood of small jobs another team's huge array gets its round-robin turn, also under a new leader", () => {
   const store = new FakeStore();
   const settings = { admission_rate: 10_000, admission_turn_s: 30 };
   store.run({ kind: "transaction", conditions: [], changes: [{ put: "c/settings", value: settings }] }, 0);
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   let uid = 100;
   const startedTasks = () => liveTasks(tasksByMachine, "A", "j-7").length;
-  /** Lets seconds pass until j-7 starts, while small jobs are submitted that each end within a second. */
-  const playUntilStarted = (leader: ControllerHarness, seconds: number) => {
+  /** Advances up to `seconds` until j-7 starts, and submits small jobs that each end within a second. */
+  const runUntilStarted = (leader: ControllerHarness, seconds: number) => {
     for (let second = 0; second < seconds && startedTasks() === 0; second++) {
       const jobs = [...(leader.controller.leaderTerm?.cluster.jobs.values() ?? [])];
       for (let missing = 12 - jobs.filter((job) => job.pendingCount > 0).length; missing > 0; missing--)
@@ -102,17 +102,17 @@
   };
   const firstLeader = leaderWithFairAdmission(store);
   firstLeader.sendHeartbeat("A");
-  playUntilStarted(firstLeader, 6);
+  runUntilStarted(firstLeader, 6);
   firstLeader.submit(jobSpec("j-7", { tasks: 5000, estimateS: 50, team: "blue", jobClass: "bulk" }));
-  playUntilStarted(firstLeader, 6);
+  runUntilStarted(firstLeader, 6);
 
-  assert.equal(startedTasks(), 0, "the small jobs go first for a while");
+  assert.equal(startedTasks(), 0, "the small jobs are placed first for a while");
 
   const nextLeader = new ControllerHarness("n1", store, "n1-1", {}, 0, true);
   nextLeader.now = firstLeader.now + 5000;
   store.expire(nextLeader.now);
   nextLeader.becomeLeader();
-  playUntilStarted(nextLeader, 20);
+  runUntilStarted(nextLeader, 20);
 
   assert.ok(startedTasks() > 0, "its queue time counts from its acceptance");
 });
--- a/test/runtime-estimates.test.ts
+++ b/test/runtime-estimates.test.ts
@@ -15,10 +15,10 @@
   assert.ok(Math.abs(estimates.estimateS(spec) - 200) < 10, `${estimates.estimateS(spec)}`);
 
   estimates.observe(spec, 1e9);
-  assert.ok(estimates.estimateS(spec) < 240, "a single outlier counts little");
+  assert.ok(estimates.estimateS(spec) < 240, "a single outlier has little effect");
   assert.equal(estimates.estimateS(jobSpec("j-2", { estimateS: 100, jobClass: "other" })), 100);
 
-  // Queue order follows the corrected estimates: the slow class is no longer taken for the shorter one.
+  // Queue order follows the corrected estimates: the job of the slow class no longer counts as the shorter one.
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -1,11 +1,11 @@
-/** Rounds of the scheduler and pending reasons. */
+/** Scheduling rounds and pending reasons. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("a queued job shows its pending reason, which is logged once", () => {
+test("a queued job shows its pending reason, which is logged only once", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { types: ["gpu"], need: { cpu: 1000, gpu: 1000, ram: 1000 } }));
@@ -14,7 +14,7 @@
 
   assert.equal(queue.find((entry) => entry.job === "j-1")?.why, "no machine has room");
 
-  // It is logged once, not in every round: six thousand such lines on one day of a fleet were most of its log.
+  // Guards against logging it in every round: 6,000 such lines made up most of the log of one simulated day.
   for (let i = 0; i < 200; i++) {
     harness.sendHeartbeat("A");
     harness.advance(1000);
@@ -30,7 +30,7 @@
   ]);
   harness.sendHeartbeat("A");
   harness.sendHeartbeat("B");
-  // The time budget of each round is spent after one job.
+  // Every round has used up its time budget after one job.
   harness.isBudgetSpent = () => true;
   for (let i = 1; i <= 5; i++) harness.submit(jobSpec(`j-${i}`));
   carryOutCommands(harness, tasksByMachine);
--- a/test/server-bundle.test.ts
+++ b/test/server-bundle.test.ts
@@ -1,4 +1,4 @@
-/** The server's code cache: used where it fits, and never a reason not to start. */
+/** The server's V8 code cache: used if it matches the bundle, and never an obstacle to a start. */
 
 import assert from "node:assert/strict";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
@@ -7,8 +7,8 @@
 import { test } from "node:test";
 import { loadServer } from "../src/cli/server-bundle.js";
 
-// Guarded against: a code cache that doesn't fit (another Node, other flags, a broken file) ends a start, or is used.
-test("the server starts with its code cache, and also when the cache is missing or does not match", (context) => {
+// Guards against using a mismatched code cache (other Node version or flags, corrupt file), and failing to start on it.
+test("the server starts with its code cache, and also if the cache is missing or does not match", (context) => {
   const folder = mkdtempSync(join(tmpdir(), "hillspindle-"));
   context.after(() => rmSync(folder, { recursive: true }));
   const source = 'module.exports = { serve: (path) => "serves " + path };';
@@ -27,7 +27,7 @@
   assertServes(null);
   const foreignCache = Buffer.from(cache);
   foreignCache.fill(0x5a, 0, 24);
-  for (const [index, broken] of [
+  for (const [index, invalidCache] of [
     foreignCache,
     cache.subarray(0, 40),
     Buffer.from("x"),
@@ -35,7 +35,7 @@
   ].entries()) {
     // V8 compiles the same source only once in a process, whatever cache it is given.
     writeFileSync(join(folder, "server.cjs"), `${source} //${index}`);
-    writeFileSync(join(folder, "server.cache"), broken);
+    writeFileSync(join(folder, "server.cache"), invalidCache);
     assertServes("made by another Node or flags");
   }
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,4 +1,4 @@
-/** The controller alone with a thousand machines: starvation under overload, and the cost of its rounds. */
+/** A single controller with 1,000 machines: starvation under overload, and the cost of scheduling rounds. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -6,10 +6,10 @@
 import { FakeStore } from "./support/fake-store.js";
 import { electNextLeader } from "./support/leaders.js";
 
-/** Agents that carry out commands at once and send heartbeats every half second; tasks end after about `runMs`. */
+/** Agents that execute commands at once and send heartbeats every half second; tasks end after about `runMs`. */
 class AgentFleet {
   readonly tasksByMachine = new Map<string, (TaskStatus & { until: number })[]>();
-  /** When the first task of each job started. */
+  /** The time at which the first task of each job started. */
   readonly firstStartAt = new Map<string, number>();
   done = 0;
   readonly #harness: ControllerHarness;
@@ -26,13 +26,13 @@
     this.sendHeartbeats();
   }
 
-  /** Every agent sends a heartbeat. */
+  /** Sends a heartbeat from every agent. */
   sendHeartbeats(): void {
     for (const [name, tasks] of this.tasksByMachine)
       this.#harness.sendHeartbeat(name, tasks, this.#machineFields[name] ?? {});
   }
 
-  /** One step of half a second. */
+  /** Advances by half a second: executes commands, ends tasks that are due and sends heartbeats. */
   step(runMs: number): void {
     const harness = this.#harness;
     harness.advance(500);
@@ -44,7 +44,7 @@
             task.uid === command.uid && task.task === command.task && task.attempt === command.attempt,
         );
         if (command.kind === "start" && !running) {
-          // Run times differ, so that capacity becomes free bit by bit.
+          // Runtimes vary, so that capacity becomes free gradually.
           const until = harness.now + runMs + (command.attempt % 7) * 900;
           tasks.push({
             uid: command.uid,
@@ -79,8 +79,8 @@
 /** A new leader sends its fencing token to four machines in each tick of 100 ms. */
 const FENCES_IN_500_MS = 20;
 
-/** A leader with a thousand machines and a hundred tasks on each. */
-function leaderOfHugeFleet(): { harness: ControllerHarness; fleet: AgentFleet } {
+/** Returns a leader of 1,000 machines with 100 tasks each. */
+function leaderOfLargeFleet(): { harness: ControllerHarness; fleet: AgentFleet } {
   const teams = [{ name: "red", guarantee: UNLIMITED, limit: UNLIMITED }];
   const harness = new ControllerHarness("n0", new FakeStore(), "n0-1", { teams }).becomeLeader();
   const names = Array.from({ length: MACHINE_COUNT }, (_, i) => `M${i}`);
@@ -110,7 +110,7 @@
   return count;
 }
 
-test("under constant overload the largest and lowest-priority job of every kind starts within four minutes", () => {
+test("under constant overload the largest and the lowest-priority jobs of each kind start within four minutes", () => {
   const harness = new ControllerHarness().becomeLeader();
   const machineFields: Record<string, object> = {};
   const names: string[] = [];
@@ -128,7 +128,7 @@
   } as const;
   const smallGang = { ...gang, tasks: 1 };
   let round = 0;
-  // More of every kind than there is capacity for, shorter and of higher priority, is submitted all the time.
+  // Shorter jobs of higher priority are submitted continuously, more of each kind than capacity allows.
   let submittedAt = 0;
   for (let step = 0; step < 520; step++) {
     if (step === 40) {
@@ -164,7 +164,7 @@
   }
 });
 
-test("idle scheduling rounds and unchanged heartbeats of a thousand machines cost next to nothing with 100,000 tasks submitted", () => {
+test("with 100,000 tasks submitted, idle scheduling rounds and unchanged heartbeats of 1,000 machines cost almost nothing", () => {
   const harness = new ControllerHarness().becomeLeader();
   const names = Array.from({ length: 1000 }, (_, i) => `M${i}`);
   const fleet = new AgentFleet(harness, names);
@@ -186,7 +186,7 @@
   const revisionBefore = harness.store.revision;
   for (let i = 0; i < 20; i++) fleet.step(3_600_000);
 
-  // Ten seconds, at most ten rounds a second, ten jobs queued: far fewer machines are examined than machines x jobs.
+  // In 10 s, with up to 10 rounds a second and 10 jobs queued, far fewer machines are examined than machines x jobs.
   assert.ok(
     leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore <= 2 * 1000,
     `${leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore} machines examined`,
@@ -195,10 +195,10 @@
     leaderTerm.agents.reconciliations - reconciledBefore <= 1000,
     `${leaderTerm.agents.reconciliations - reconciledBefore} heartbeats reconciled`,
   );
-  assert.ok(harness.store.revision - revisionBefore <= 5, "and next to nothing is written");
+  assert.ok(harness.store.revision - revisionBefore <= 5, "almost nothing is written");
 });
 
-test("machines are stored many to a key, and a new leader of a thousand machines is soon ready", () => {
+test("machine records hold many machines each, and a new leader of 1,000 machines is ready soon after its election", () => {
   const leader = new ControllerHarness().becomeLeader();
   const names = Array.from({ length: 1000 }, (_, i) => `M${i}`);
   const fleet = new AgentFleet(leader, names);
@@ -221,18 +221,18 @@
   const recorded = nextLeader.controller.leaderTerm.cluster.machines.size;
   assert.ok(recorded > 0);
 
-  // It sends the fencing token to a few at a time, so that its own keep-alives are never late.
-  let mostPerTick = 0;
+  // The fencing token goes to a few machines at a time, so that the leader's own lease keep-alives are never late.
+  let maxPerTick = 0;
   for (let i = 0; i < 60; i++) {
     const before = nextLeader.sentCommands.length;
     nextLeader.advance(100);
-    mostPerTick = Math.max(mostPerTick, nextLeader.sentCommands.length - before);
+    maxPerTick = Math.max(maxPerTick, nextLeader.sentCommands.length - before);
   }
-  assert.ok(mostPerTick > 0 && mostPerTick <= 10, `${mostPerTick} at once`);
+  assert.ok(maxPerTick > 0 && maxPerTick <= 10, `${maxPerTick} commands in one tick`);
 });
 
-test("100,000 tasks on a thousand machines are placed, adopted after failover, and placed again when a third of the machines expire in one tick", () => {
-  const { harness: leader, fleet } = leaderOfHugeFleet();
+test("100,000 tasks on 1,000 machines are placed, adopted after failover, and placed again when the agent leases of a third of the machines expire in one tick", () => {
+  const { harness: leader, fleet } = leaderOfLargeFleet();
   assert.equal(countPlacements(leader), MACHINE_COUNT * TASKS_PER_MACHINE);
   assert.deepEqual(leader.errorLines, []);
 
@@ -266,23 +266,23 @@
   assert.deepEqual(nextLeader.commandedTasks("start", "j-0"), []);
   assert.deepEqual(nextLeader.commandedTasks("stop", "j-0"), []);
 
-  // A third of the machines falls silent for good: the effects of each tick stay bounded while their tasks are placed
-  // again.
+  // A third of the machines stops sending heartbeats for good: the effects of each tick stay bounded while their
+  // tasks are placed again.
   const alive = tasksByMachine.filter((_, i) => i % 3 !== 0);
   const examinedBefore = nextLeader.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined;
-  let mostSent = 0;
+  let maxSent = 0;
   for (let i = 0; i < 60; i++) {
     const sent = nextLeader.sentCommands.length;
     nextLeader.advance(500);
-    mostSent = Math.max(mostSent, nextLeader.sentCommands.length - sent);
+    maxSent = Math.max(maxSent, nextLeader.sentCommands.length - sent);
     if (i % 4 === 0) sendHeartbeats(alive, token);
   }
   const remaining = countPlacements(nextLeader);
 
   assert.ok(remaining <= Math.ceil(alive.length * TASKS_PER_MACHINE), `${remaining} placements`);
-  assert.ok(nextLeader.controller.leaderTerm, "it still leads");
+  assert.ok(nextLeader.controller.leaderTerm, "it is still leader");
   assert.deepEqual(nextLeader.errorLines, []);
-  assert.ok(mostSent <= 2 * FENCES_IN_500_MS, `${mostSent} direct commands in half a second`);
+  assert.ok(maxSent <= 2 * FENCES_IN_500_MS, `${maxSent} direct commands in half a second`);
 
   const examined =
     nextLeader.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore;
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -1,4 +1,4 @@
-/** How a node's connections are shared out between agents, users, probes and calls of its own. */
+/** Division of a node's connections among agents, users, probes and its own calls. */
 
 import assert from "node:assert/strict";
 import http from "node:http";
@@ -11,7 +11,7 @@
 const LOOPBACK = "127.0.0.1";
 
 async function listen(server: http.Server): Promise<number> {
-  await new Promise<void>((listening) => server.listen(0, LOOPBACK, listening));
+  await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   return (server.address() as AddressInfo).port;
 }
 
@@ -21,17 +21,17 @@
 }
 
 function call(client: HttpClient, port: number, path = "/"): Promise<HttpResult | null> {
-  return new Promise((then) =>
-    client.call({ host: LOOPBACK, port }, { method: "POST", path, body: {} }, 2000, then),
+  return new Promise((resolve) =>
+    client.call({ host: LOOPBACK, port }, { method: "POST", path, body: {} }, 2000, resolve),
   );
 }
 
-test("the socket shares of a node stay within its limit, and leave enough for the agents of a whole fleet", () => {
+test("the socket shares of a node stay within its limit, and suffice for the agents of a whole cluster", () => {
   for (const limit of [64, 400, 1200, 1282, 1936, 10_000]) {
     const { inbound, agentsInbound, agentsKeptOpen, agentsOutbound } = shareSockets(limit);
     assert.ok(
       agentsKeptOpen >= 1 && agentsKeptOpen < agentsInbound,
-      `${limit}: ${agentsKeptOpen} of ${agentsInbound} kept`,
+      `limit ${limit}: ${agentsKeptOpen} of ${agentsInbound} kept open`,
     );
     assert.ok(inbound + agentsOutbound < limit, `${limit}: ${inbound} + ${agentsOutbound}`);
     assert.ok(agentsInbound < inbound && agentsOutbound >= 1);
@@ -40,7 +40,7 @@
   assert.ok(shareSockets(1936).agentsInbound >= 940);
 });
 
-test("with more hosts than connections each call is answered, and the longest idle connection is closed for it", async () => {
+test("with more hosts than connections every call is answered, and the connection idle for longest is closed to make room", async () => {
   const servers = Array.from({ length: 6 }, () => http.createServer((_req, res) => res.end("{}")));
   const client = new HttpClient(1, 2);
   try {
@@ -57,42 +57,42 @@
   }
 });
 
-test("a call made while every connection is in use counts as unanswered at once, and no connection leaks", async () => {
+test("a call made while every connection is in use fails at once without a response, and no connection leaks", async () => {
   const pendingResponses: http.ServerResponse[] = [];
   const slow = http.createServer((_req, res) => pendingResponses.push(res));
-  const quick = http.createServer((_req, res) => res.end("{}"));
+  const fast = http.createServer((_req, res) => res.end("{}"));
   const client = new HttpClient(1, 1);
   try {
-    const [slowPort, quickPort] = [await listen(slow), await listen(quick)];
+    const [slowPort, fastPort] = [await listen(slow), await listen(fast)];
     const firstCall = call(client, slowPort);
-    assert.equal(await call(client, quickPort), null);
+    assert.equal(await call(client, fastPort), null);
 
-    while (pendingResponses.length === 0) await new Promise((later) => setImmediate(later));
+    while (pendingResponses.length === 0) await new Promise((resolve) => setImmediate(resolve));
     pendingResponses[0]?.end("{}");
     assert.equal((await firstCall)?.status, 200);
-    assert.equal((await call(client, quickPort))?.status, 200);
+    assert.equal((await call(client, fastPort))?.status, 200);
 
-    // A refused connection and one that is reset free their place.
-    stop(quick);
-    for (let i = 0; i < 3; i++) assert.equal(await call(client, quickPort), null);
+    // Refused and reset connections are released.
+    stop(fast);
+    for (let i = 0; i < 3; i++) assert.equal(await call(client, fastPort), null);
 
     for (let i = 0; i < 100 && client.openConnections > 0; i++)
-      await new Promise((later) => setImmediate(later));
+      await new Promise((resolve) => setImmediate(resolve));
     assert.equal(client.openConnections, 0);
   } finally {
     stop(slow);
   }
 });
 
-class AnyRequestHandler implements RequestHandler {
+class StubRequestHandler implements RequestHandler {
   ready = true;
   overloaded = false;
   submit(): void {}
   poll(): void {}
   cancel(): void {}
   administer(): void {}
-  takeHeartbeat(_body: unknown, then: (status: number, body: unknown) => void): boolean {
-    then(200, { baton: 1, orders: [] });
+  takeHeartbeat(_body: unknown, reply: (status: number, body: unknown) => void): boolean {
+    reply(200, { baton: 1, orders: [] });
     return true;
   }
   metrics(): Promise<{ type: string; text: string }> {
@@ -100,8 +100,8 @@
   }
 }
 
-test("connections of agents leave some for probes and users, an agent beyond their share is redirected, and a freed one is reused", async () => {
-  const server = createServer(new AnyRequestHandler(), {
+test("agents leave connections for probes and users, an agent beyond the agents' share is redirected, and a freed connection is reused", async () => {
+  const server = createServer(new StubRequestHandler(), {
     inbound: 8,
     agentsInbound: 3,
     agentsKeptOpen: 3,
@@ -117,58 +117,59 @@
       [await sendHeartbeat(0), await sendHeartbeat(1), await sendHeartbeat(2)],
       [200, 200, 200],
     );
-    assert.equal(await sendHeartbeat(0), 200, "the same agent uses no further connection");
+    assert.equal(await sendHeartbeat(0), 200, "the same agent reuses its connection");
     assert.equal(await sendHeartbeat(3), 421);
 
-    const ready = await new Promise<HttpResult | null>((then) =>
-      probes.call({ host: LOOPBACK, port }, { method: "GET", path: "/ready" }, 2000, then),
+    const ready = await new Promise<HttpResult | null>((resolve) =>
+      probes.call({ host: LOOPBACK, port }, { method: "GET", path: "/ready" }, 2000, resolve),
     );
     assert.equal(ready?.status, 200);
 
     server.closeIdleConnections();
-    while ((await sendHeartbeat(3)) !== 200) await new Promise((later) => setImmediate(later));
+    while ((await sendHeartbeat(3)) !== 200) await new Promise((resolve) => setImmediate(resolve));
   } finally {
     stop(server);
   }
 });
 
-// Guarded against: with more agents than connections, those beyond the bound were redirected at each heartbeat, and where
-// only one node was left their leases expired.
-test("a node with fewer sockets than agents replies to every heartbeat, and users get through", async () => {
+// Guards against redirecting agents beyond the connection limit at every heartbeat: where only one node was left, their
+// leases expired.
+test("a node with fewer sockets than agents replies to every heartbeat, and still serves users", async () => {
   const shares = { inbound: 12, agentsInbound: 8, agentsKeptOpen: 6, agentsOutbound: 1 };
-  const server = createServer(new AnyRequestHandler(), shares);
+  const server = createServer(new StubRequestHandler(), shares);
   const agents = Array.from({ length: 40 }, () => new HttpClient(1));
   const userClient = new HttpClient(1);
-  let mostOpen = 0;
+  let maxOpen = 0;
   server.on("connection", () => {
     server.getConnections((_error, count) => {
-      mostOpen = Math.max(mostOpen, count);
+      maxOpen = Math.max(maxOpen, count);
     });
   });
   try {
     const port = await listen(server);
-    const answeredOf = agents.map(() => 0);
+    const repliesByAgent = agents.map(() => 0);
     for (let round = 0; round < 3; round++) {
-      // Two at a time: as many as may wait for replies beside the connections that are kept alive.
+      // Two at a time: as many as may await replies in addition to the connections that are kept alive.
       for (let index = 0; index < agents.length; index += 2) {
         const twoAgents = [index, index + 1];
-        const answers = await Promise.all(
+        const responses = await Promise.all(
           twoAgents.map((agentIndex) => call(agents[agentIndex] ?? userClient, port, "/agent/beat")),
         );
         for (const [position, agentIndex] of twoAgents.entries())
-          if (answers[position]?.status === 200) answeredOf[agentIndex] = (answeredOf[agentIndex] ?? 0) + 1;
+          if (responses[position]?.status === 200)
+            repliesByAgent[agentIndex] = (repliesByAgent[agentIndex] ?? 0) + 1;
       }
-      const probe = await new Promise<HttpResult | null>((then) =>
-        userClient.call({ host: LOOPBACK, port }, { method: "GET", path: "/ready" }, 2000, then),
+      const probe = await new Promise<HttpResult | null>((resolve) =>
+        userClient.call({ host: LOOPBACK, port }, { method: "GET", path: "/ready" }, 2000, resolve),
       );
       assert.equal(probe?.status, 200);
     }
 
     assert.deepEqual(
-      answeredOf,
+      repliesByAgent,
       agents.map(() => 3),
     );
-    assert.ok(mostOpen <= shares.inbound, `${mostOpen} connections`);
+    assert.ok(maxOpen <= shares.inbound, `${maxOpen} connections`);
     assert.ok(agents.filter((agent) => agent.openConnections > 0).length <= shares.agentsKeptOpen);
   } finally {
     stop(server);
--- a/test/spot-interruption.test.ts
+++ b/test/spot-interruption.test.ts
@@ -1,11 +1,11 @@
-/** Interruption notices of spot instances. */
+/** Interruption notices of spot machines. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { carryOutCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("on an interruption notice tasks with checkpoints are stopped in time to save one, and the machine gets no new tasks", () => {
+test("after an interruption notice tasks with checkpoints are stopped in time to save one, and the machine gets no new tasks", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   const machineFields = { A: { spot: true } };
--- a/test/standby-world.test.ts
+++ b/test/standby-world.test.ts
@@ -5,7 +5,7 @@
 
 const STEP_MS = 10;
 
-/** Three nodes with a standby, and enough jobs that some task is always about to start. */
+/** Returns a cluster of three nodes with a standby, and enough jobs that some task start is always pending. */
 function busyCluster(seed: number): ModelCluster {
   const cluster = new ModelCluster({ seed, standby: true });
   cluster.run(3000);
@@ -17,7 +17,7 @@
 
 function leaderOf(cluster: ModelCluster): number {
   const { leader } = cluster.controllers;
-  assert.ok(leader, "a node leads");
+  assert.ok(leader, "a node is leader");
   return leader.index;
 }
 
@@ -25,22 +25,22 @@
   return cluster.nodes.filter((node) => node.core?.failover.standby?.warm).map(({ index }) => index);
 }
 
-/** The longest that a lease may outlive its leader. */
+/** The longest time for which a leader lease may outlive its holder. */
 const MAX_LEASE_MS = 5000;
 
-/** Plays until the key of the present leader is removed, or another's. */
-function runUntilVacant(cluster: ModelCluster, meanwhile: () => void = () => {}): void {
+/** Runs the simulation until the current leader's key is removed or replaced. */
+function runUntilVacant(cluster: ModelCluster, onStep: () => void = () => {}): void {
   const version = cluster.store.entries.get("c/leader")?.version;
-  const begin = cluster.now;
-  // Counted here: virtual time stands still while no event happens.
+  const startedAt = cluster.now;
+  // Counted separately, as the fake clock stands still while no event is due.
   for (let ms = 0; cluster.store.entries.get("c/leader")?.version === version; ms += STEP_MS) {
     assert.ok(ms < MAX_LEASE_MS, "the lease expires");
-    meanwhile();
-    cluster.run(begin + ms);
+    onStep();
+    cluster.run(startedAt + ms);
   }
 }
 
-/** Crashes the leader, and waits for the end of its lease. */
+/** Crashes the leader and runs the simulation until its lease has expired. */
 function crashLeader(cluster: ModelCluster, downMs: number): void {
   cluster.controllers.crash(leaderOf(cluster), downMs);
   runUntilVacant(cluster);
@@ -55,7 +55,7 @@
   );
 }
 
-test("the standby crashes at any step of its failover: the third node leads, and no task runs twice", () => {
+test("if the standby crashes at any step of its failover, the third node becomes leader, and no task runs twice", () => {
   for (const afterMs of [0, 20, 50, 100, 150, 200, 300, 500, 1000]) {
     const cluster = busyCluster(afterMs + 1);
     const [standby] = warmStandbys(cluster);
@@ -71,7 +71,7 @@
   }
 });
 
-test("two followers partitioned from each other are both warm standbys; one of them leads, and no task runs twice", () => {
+test("two followers partitioned from each other are both warm standbys; one of them becomes leader, and no task runs twice", () => {
   for (let seed = 1; seed <= 4; seed++) {
     const cluster = busyCluster(seed);
     const leader = leaderOf(cluster);
@@ -91,14 +91,14 @@
   }
 });
 
-test("a leader paused for 20 s resumes amid placing: the standby has led since, and nothing of the previous leader takes effect", () => {
+test("if a leader is paused for 20 s while it places tasks, the standby replaces it, and its late effects change nothing", () => {
   for (let seed = 1; seed <= 6; seed++) {
     const cluster = busyCluster(seed);
     const previous = leaderOf(cluster);
     for (let i = 20; i < 30; i++) cluster.users.submit(jobSpec(`j-${i}`, { tasks: 4, estimateS: 5 }));
-    // It freezes between deciding and writing: its effects leave it when it goes on.
+    // It is paused between a decision and its write, and sends the effects when it resumes.
     cluster.controllers.freeze(previous, 20_000);
-    // While its lease is valid nobody leads in its place.
+    // While its lease is valid no other node is leader.
     runUntilVacant(cluster, () => {
       assert.ok(cluster.nodes.every(({ index, core }) => index === previous || !core?.leaderTerm));
     });
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -1,4 +1,4 @@
-/** A warm standby: its copy of the records, when a new leader may use it, and which follower keeps one. */
+/** Warm standby: its record cache, when a new leader may use the cache, and which follower keeps one. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -12,7 +12,7 @@
 const MACHINES = ["M0", "M1"];
 const RECORDS = ["m/", "p/", "j/"];
 
-/** Every agent reports as running what it has been commanded to start. */
+/** Sends a heartbeat from every agent, with all tasks that it has been commanded to start running. */
 function reportAllRunning(leader: ControllerHarness): void {
   for (const name of MACHINES) {
     const started = leader.sentCommands
@@ -25,7 +25,7 @@
   }
 }
 
-/** A leader with tasks on its machines, and a follower that may keep a copy of the records. */
+/** Returns a leader with tasks on its machines, and a follower that may keep a standby cache. */
 function leaderAndStandby(standbyBytes = MAX_STANDBY_BYTES): {
   leader: ControllerHarness;
   follower: ControllerHarness;
@@ -52,7 +52,7 @@
   return { leader, follower, advanceBoth };
 }
 
-/** The leader stops without resigning; its lease expires, and the follower is elected. */
+/** Lets the leader's lease expire without a resignation, so that the follower is elected. */
 function failOverTo(follower: ControllerHarness): void {
   follower.listedPrefixes.length = 0;
   follower.now += 4000;
@@ -60,15 +60,15 @@
   follower.advance(2000);
 }
 
-/** The standby's part of a node's status. */
+/** The standby section of a node's status. */
 function standbyStatusOf(harness: ControllerHarness): Record<string, unknown> {
   return harness.controller.status().standby as Record<string, unknown>;
 }
 
-/** The cluster state that a leader begins with, in a form that can be compared. */
+/** The cluster state with which a leader starts, in a form that can be compared. */
 function clusterStateOf(harness: ControllerHarness): unknown {
   const { leaderTerm } = harness.controller;
-  assert.ok(leaderTerm?.agents.areRecordsLoaded, "it leads and has its records");
+  assert.ok(leaderTerm?.agents.areRecordsLoaded, "it is leader and has loaded its records");
   const { jobs, machines } = leaderTerm.cluster;
   return {
     jobs: [...jobs.values()].map(({ uid, state, version, doneCount, placements }) => ({
@@ -93,7 +93,7 @@
   };
 }
 
-test("a warm standby leads without reading the records again, with the same cluster state as a cold one", () => {
+test("a warm standby becomes leader without reading the records again, with the same cluster state as a cold one", () => {
   const { follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   assert.equal(standbyStatusOf(follower).state, "warm");
@@ -112,7 +112,7 @@
   assert.deepEqual(clusterStateOf(follower), clusterStateOf(coldNode));
 });
 
-/** A store with the same records and the same history, in which no node is leader. */
+/** Copies a store with its records and history, but without a leader. */
 function copyOfStore(store: FakeStore): FakeStore {
   const copy = new FakeStore();
   for (const [key, item] of store.entries)
@@ -122,7 +122,7 @@
   return copy;
 }
 
-test("a cancellation and a placement written between the last watch response and the election are in the cluster state", () => {
+test("a cancellation and a placement written between the last watch response and the election are in the new leader's cluster state", () => {
   const { leader, follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   // From here on the follower's watches hang, while a third node confirms a cancellation and the leader places a job.
@@ -145,7 +145,7 @@
   assert.equal(cluster.jobByUid("j-3")?.placements.size, 1, "its placement is restored");
 });
 
-test("records of both layouts are in the cluster state if the feature gate opens between the last watch response and the election", () => {
+test("records of both layouts are in the new leader's cluster state if the feature gate opens between the last watch response and the election", () => {
   const { leader, follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   const keysBefore = [...leader.store.entries.keys()].filter((key) => key.startsWith("p/"));
@@ -174,24 +174,24 @@
   assert.deepEqual(clusterStateOf(follower), clusterStateOf(coldNode));
 });
 
-// Guarded against: a leader that acts on a copy of the records that it can't prove to be the latest (I1).
-for (const [what, answer, why] of [
+// Guards against a leader that acts on a record cache that it can't prove to be current (I1).
+for (const [condition, response, why] of [
   ["the store has compacted the changes since", { kind: "compacted" }, "changes no longer kept"],
   [
-    "the store's revision has gone back",
+    "the store's revision has decreased",
     { kind: "events", events: [], revision: 1 },
     "the state service went back",
   ],
   ["the store does not respond", { kind: "timeout" }, "no answer"],
 ] as readonly [string, StoreResponse, string][]) {
-  test(`the record cache is refused, and the records are read, if ${what}`, () => {
+  test(`the record cache is refused and the records are read if ${condition}`, () => {
     const { leader, follower, advanceBoth } = leaderAndStandby();
     advanceBoth(6000);
     assert.equal(standbyStatusOf(follower).state, "warm");
 
     leader.submit(jobSpec("j-9", { tasks: 1, estimateS: 600 }));
     leader.advance(500);
-    follower.storeRule = (call) => (call.kind === "watch" && call.waitMs === 0 ? answer : null);
+    follower.storeRule = (call) => (call.kind === "watch" && call.waitMs === 0 ? response : null);
     failOverTo(follower);
 
     assert.equal(follower.controller.failover.takeover.source, "cold");
@@ -205,7 +205,7 @@
 test("a watch that times out makes the standby cold with a reason, and the standby catches up without a new range read", () => {
   const { leader, follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
-  // The open watches respond with the next change; those after them time out.
+  // The open watches respond with the next change; later watches time out.
   leader.submit(jobSpec("j-4", { tasks: 1, estimateS: 600 }));
   advanceBoth(200);
   follower.storeRule = (call) => (call.kind === "watch" ? { kind: "timeout" } : null);
@@ -225,7 +225,7 @@
   );
 });
 
-test("compacted changes make the standby cold until all records are read again", () => {
+test("a standby whose next changes were compacted is cold until all records are read again", () => {
   const { leader, follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   follower.listedPrefixes.length = 0;
@@ -240,7 +240,7 @@
   assert.ok(follower.listedPrefixes.includes("j/"));
 });
 
-test("records beyond the memory bound make the standby cold, free the cache, and do not prevent a cold failover", () => {
+test("records beyond the memory limit make the standby cold, free its cache, and do not prevent a cold failover", () => {
   const { follower, advanceBoth } = leaderAndStandby(500);
   advanceBoth(6000);
   const { state, why, bytes } = standbyStatusOf(follower);
@@ -254,8 +254,8 @@
   assert.ok(follower.controller.leaderTerm?.agents.areRecordsLoaded);
 });
 
-// Guarded against: the bound was checked only once a list was complete, so the first read of a large store exceeded it.
-test("a range read stops at the page that exceeds the memory bound", () => {
+// Guards against checking the limit only once a list is complete: the first read of a large store exceeded it.
+test("a range read stops at the page that exceeds the memory limit", () => {
   const store = new FakeStore();
   store.pageSize = 5;
   for (let i = 0; i < 50; i++)
@@ -281,7 +281,7 @@
   assert.ok(pages >= 1 && pages <= 4, `${pages} of 10 pages`);
 });
 
-test("a record that can't be decoded is logged by a warm standby as in a cold read, and kept", () => {
+test("a record that cannot be decoded is logged by a warm standby, as by a cold read, and kept", () => {
   const { follower, advanceBoth } = leaderAndStandby();
   follower.store.run(
     { kind: "transaction", conditions: [], changes: [{ put: "m/7", value: { machines: "?" } }] },
@@ -295,7 +295,7 @@
   assert.ok(follower.store.entries.has("m/7"));
 });
 
-test("a standby on a node that falls behind with its work gives that as its reason in the status", () => {
+test("the status of a standby whose node falls behind gives that as the reason", () => {
   const { follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   follower.now += 5000;
@@ -304,7 +304,7 @@
   assert.equal(standbyStatusOf(follower).why, "this node is behind with its work");
 });
 
-test("the standby is the first node by name that is heard and does not lead, nodes of the previous version excepted", () => {
+test("the standby is the first reachable node by name that is not leader, except for nodes of the previous version", () => {
   const peer = (node: string, isAlive: boolean, warmth: "cold" | "warm" | undefined) => ({
     node,
     isAlive,
@@ -312,12 +312,16 @@
   });
   assert.equal(isStandby("n1", "n0", [peer("n0", true, "cold"), peer("n2", true, "cold")]), true);
   assert.equal(isStandby("n2", "n0", [peer("n0", true, "cold"), peer("n1", true, "cold")]), false);
-  assert.equal(isStandby("n2", "n0", [peer("n0", true, "cold"), peer("n1", false, "warm")]), true, "gone");
-  assert.equal(isStandby("n2", "n0", [peer("n1", true, undefined)]), true, "of the previous version");
-  assert.equal(isStandby("n0", "n0", []), false, "it leads");
+  assert.equal(
+    isStandby("n2", "n0", [peer("n0", true, "cold"), peer("n1", false, "warm")]),
+    true,
+    "n1 is unreachable",
+  );
+  assert.equal(isStandby("n2", "n0", [peer("n1", true, undefined)]), true, "n1 is of the previous version");
+  assert.equal(isStandby("n0", "n0", []), false, "n0 is leader");
 });
 
-test("while a peer is a warm standby the others defer their campaign for a moment, and no longer", () => {
+test("while a peer is a warm standby, other nodes defer their campaign, but only briefly", () => {
   const store = new FakeStore();
   const leader = new ControllerHarness("n0", store).becomeLeader();
   const otherNode = new ControllerHarness("n2", store, "n2-1", {}, MAX_STANDBY_BYTES);
--- a/test/starvation-check.test.ts
+++ b/test/starvation-check.test.ts
@@ -6,7 +6,7 @@
 import { deployment, TYPES } from "./support/deployment.js";
 import { jobSpec } from "./support/job-spec.js";
 
-/** The jobs found starving, by the time of the check, with one waiting job and one machine. */
+/** Runs the check with one waiting job and one machine; returns the starving jobs and when they were reported. */
 function findStarving(team: string, needCpu: number): { at: number; uid: string }[] {
   const [type] = TYPES;
   assert.ok(type);
@@ -33,8 +33,8 @@
   return found;
 }
 
-test("the model cluster's check reports a job that waits beside free capacity, and none that does not fit", () => {
+test("the simulation's starvation check reports a job that waits despite free capacity, and none that does not fit", () => {
   assert.deepEqual(findStarving("red", 1000), [{ at: MAX_STARVATION_MS, uid: "j-1" }]);
   assert.deepEqual(findStarving("red", 1_000_000), [], "larger than any machine");
-  assert.deepEqual(findStarving("nobody", 1000), [], "a team without a limit of its own");
+  assert.deepEqual(findStarving("nobody", 1000), [], "a team without a quota limit");
 });
--- a/test/store-limits.test.ts
+++ b/test/store-limits.test.ts
@@ -1,4 +1,4 @@
-/** The store's limits fall while the scheduler runs: value size, operations a transaction, writes a second. */
+/** Lowered store limits at run time: value size, operations per transaction and writes per second. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -18,13 +18,13 @@
   return [...store.entries].map(([key, { value }]) => [key, Buffer.byteLength(JSON.stringify(value))]);
 }
 
-/** A leader that has heard no peer, with 60 machines; `refused` collects each transaction that the store calls invalid. */
-function leaderWithoutPeers(knowsNextLimits: boolean): { harness: ControllerHarness; refused: string[] } {
+/** Returns a leader of 60 machines without peers; `refused` collects transactions that the store rejects as invalid. */
+function leaderWithoutPeers(hasNextLimits: boolean): { harness: ControllerHarness; refused: string[] } {
   const harness = new ControllerHarness(
     "n0",
     new FakeStore(),
     "n0-1",
-    knowsNextLimits ? {} : { nextStoreLimits: null },
+    hasNextLimits ? {} : { nextStoreLimits: null },
   ).becomeLeader();
   const refused: string[] = [];
   harness.storeRule = (call: StoreRequest) => {
@@ -37,7 +37,7 @@
   return { harness, refused };
 }
 
-test("after the store limits are lowered, with production's large records stored, all operations go on within them", () => {
+test("after the store limits are lowered, with production's large records stored, all operations continue within them", () => {
   const store = productionStore();
   const leader = new ControllerHarness("n0", store).becomeLeader();
   receiveFromBothPeers(leader);
@@ -45,8 +45,9 @@
   leader.advance(500);
   store.limits = SMALL_LIMITS;
   reportAllRunning(leader);
-  // Tasks of both of production's chunks end; other tasks are placed.
-  const job = leader.controller.leaderTerm?.cluster.jobByUid("j-000001") ?? assert.fail("not read");
+  // Tasks in both of production's chunks end, and other tasks are placed.
+  const job =
+    leader.controller.leaderTerm?.cluster.jobByUid("j-000001") ?? assert.fail("the job was not restored");
   const endedPlacements = [...job.placements.values()].filter(({ task }) => task % 50 === 7);
   for (const { machine, task, attempt } of endedPlacements) {
     const otherTasks = [...machine.placements]
@@ -80,7 +81,7 @@
   // The next leader restores the newest state from records of both sizes.
   const nextLeader = electNextLeader(leader);
   const restoredJob =
-    nextLeader.controller.leaderTerm?.cluster.jobByUid("j-000001") ?? assert.fail("not read");
+    nextLeader.controller.leaderTerm?.cluster.jobByUid("j-000001") ?? assert.fail("the job was not restored");
 
   assert.equal(restoredJob.doneCount, endedPlacements.length);
   assert.equal(restoredJob.placements.size, 150 - endedPlacements.length);
@@ -94,7 +95,7 @@
       .every((machine) => machine.address !== "" || machine.recordIndex === null),
   );
 
-  // A job with chunks of both sizes completes, and leaves none of them.
+  // A job with chunks of both sizes ends, and all its chunks are removed.
   nextLeader.cancel("j-000001");
   for (const machine of machines) nextLeader.sendHeartbeat(machine.name, [], { incarnation: 2 });
   nextLeader.advance(15_000);
@@ -107,7 +108,7 @@
   );
 });
 
-test("if the store limits are lowered before all nodes are heard, a 400 opens the feature gate and its write is never repeated unchanged", () => {
+test("if the store limits are lowered before every node has sent a heartbeat, a 400 opens the feature gate, and its write is never repeated unchanged", () => {
   const { harness, refused } = leaderWithoutPeers(true);
   harness.store.limits = SMALL_LIMITS;
   harness.submit(jobSpec("j-1", { tasks: 150, need: { cpu: 100, gpu: 0, ram: 100 } }));
@@ -120,7 +121,7 @@
   assert.equal(harness.controller.election.hasValidLease, true);
 });
 
-test("a record that can't be written delays neither other records nor lease keep-alives", () => {
+test("a record that cannot be written delays neither other records nor lease keep-alives", () => {
   const { harness, refused } = leaderWithoutPeers(true);
   const name = `i-${"x".repeat(290)}`;
   harness.sendHeartbeat(name, [], { zone: "b" });
@@ -137,7 +138,7 @@
   assert.ok(harness.errorLines.includes("record rejected by the store"));
 });
 
-test("a 429 of the store lowers the write rate and is not retried at once", () => {
+test("a 429 from the store lowers the write rate and is not retried at once", () => {
   const { harness } = leaderWithoutPeers(true);
   receiveFromBothPeers(harness);
   harness.advance(1000);
@@ -160,7 +161,7 @@
   assert.equal(started, accepted, "every accepted job is started");
 });
 
-test("a job with long lists is refused under the smaller value limit, and one stored before can be cancelled and completed", () => {
+test("a job with long lists is refused under the smaller value limit, and one stored earlier can be cancelled and completed", () => {
   const types = ["small", ...Array.from({ length: 300 }, (_, i) => `another-type-${i}`)];
   const store = new FakeStore();
   const previousLeader = new ControllerHarness("n0", store, "n0-1", { nextStoreLimits: null }).becomeLeader();
@@ -174,7 +175,7 @@
   const newLeader = electNextLeader(previousLeader);
 
   assert.match(JSON.stringify(newLeader.submit(jobSpec("j-3", { types }))), /invalid.*too large/);
-  assert.equal(newLeader.submit(jobSpec("j-1", { types }))?.kind, "accepted", "a repeat");
+  assert.equal(newLeader.submit(jobSpec("j-1", { types }))?.kind, "accepted", "a repeated submission");
   assert.equal(newLeader.cancel("j-1")?.kind, "status");
   assert.equal(store.invalid, 0);
 
@@ -190,7 +191,7 @@
   for (const uid of ["j-1", "j-2"]) assert.ok(store.entries.has(`f/${uid}`), uid);
 });
 
-test("operator changes that would exceed the value limit of their record are refused", () => {
+test("operator changes whose record would exceed the value limit are refused", () => {
   const harness = new ControllerHarness().becomeLeader();
   let refused = 0;
   for (let i = 0; i < 120; i++) {
@@ -202,7 +203,7 @@
   assert.ok(valueSizes(harness.store).every(([, bytes]) => bytes <= SMALL_LIMITS.valueBytes));
 });
 
-test("settings: the upcoming store limits are optional, and invalid ones name their field", () => {
+test("settings: the upcoming store limits are optional, and an error names the invalid field", () => {
   const settingsWithNext = (nextLimits: string) =>
     SETTINGS.replace("[deployment.cloud]", `[deployment.state.next]\n${nextLimits}\n[deployment.cloud]`);
   assert.equal(parseSettings(SETTINGS).deployment.nextStoreLimits, null);
--- a/test/stored-chunks.test.ts
+++ b/test/stored-chunks.test.ts
@@ -1,4 +1,4 @@
-/** Chunks of placements under several keys: which of overlapping ones is valid. */
+/** Precedence among overlapping chunks of placements under different keys. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -9,7 +9,7 @@
 import { receiveFromBothPeers } from "./support/peer-versions.js";
 import { runFor } from "./support/running-agents.js";
 
-/** Reads the chunks in both orders: the result is the same. */
+/** Asserts that the chunks yield the same placements when read in either order. */
 function assertReadInAnyOrder(items: readonly StoreEntry[]): void {
   for (const order of [items, [...items].reverse()]) {
     const { byJob: found, unreadable } = readChunks(order);
@@ -23,7 +23,7 @@
   }
 }
 
-test("of chunks that cover the same task a smaller one takes precedence, and of smaller ones the newest", () => {
+test("among chunks that cover the same task the smaller takes precedence, and among smaller ones the newest", () => {
   const items: StoreEntry[] = [
     {
       key: "p/j-1/0",
@@ -39,7 +39,7 @@
     { key: "p/j-1/0.32", version: 9, value: { held: [], done: [[0, 3]] } },
     { key: "p/j-1/x", version: 9, value: {} },
   ];
-  // The transaction that wrote the larger chunk may have been carried out late.
+  // The transaction that wrote the larger chunk may have been applied late.
   for (const version of [5, 12])
     assertReadInAnyOrder(items.map((item) => (item.key === "p/j-1/0" ? { ...item, version } : item)));
   const smallerChunks: StoreEntry[] = [
@@ -54,7 +54,7 @@
   assert.equal(chunk?.placements[0]?.machine, "B");
 });
 
-test("chunks never grow back, whatever limits a later leader finds", () => {
+test("the chunks of a job never become larger again, whatever limits a later leader has", () => {
   const store = new FakeStore();
   const leaderWithLimit = (valueBytes: number, node: string, now: number) => {
     const harness = new ControllerHarness(node, store, `${node}-1`, { valueBytes, nextStoreLimits: null });
--- a/test/submissions.test.ts
+++ b/test/submissions.test.ts
@@ -1,4 +1,4 @@
-/** Submissions: idempotent requests, unsatisfiable jobs, and which dependencies a job may name. */
+/** Submissions: idempotence, unsatisfiable jobs, and valid dependencies. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -33,7 +33,7 @@
   assert.equal(
     harness.submit(jobSpec("j-6", { tasks: 25 }))?.kind,
     "accepted",
-    "an array needs capacity for one task",
+    "an array needs capacity for only one task",
   );
 });
 
@@ -68,7 +68,7 @@
   assert.equal(
     otherNode.submit(jobSpec("j-8", { awaits: ["j-1"] }))?.kind,
     "unavailable",
-    "not known without the store",
+    "cannot be checked without the store",
   );
 
   otherNode.storeRule = null;
@@ -78,11 +78,11 @@
   assert.deepEqual(
     [repeatedSubmission?.kind, phaseOf(repeatedSubmission)],
     ["accepted", "queued"],
-    "known, whatever its dependencies",
+    "the job is known, whatever its dependencies",
   );
 });
 
-test("awaits: null, absent or empty means no dependencies, and anything but a list of at most a hundred well-formed ids is refused", () => {
+test("awaits: null, absent or empty means no dependencies, and anything but a list of at most 100 well-formed ids is refused", () => {
   const body = {
     uid: "j-1",
     jobclass: "work",
@@ -121,7 +121,7 @@
   }
 });
 
-test("while a node of the previous version is heard, a job with dependencies is refused as unavailable", () => {
+test("while a node of the previous version sends heartbeats, a job with dependencies is refused as unavailable", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   const receive = (message: PeerMessage) => harness.handle({ kind: "peerMessage", from: "n1", message });
@@ -140,7 +140,7 @@
     "a repeated submission is never refused",
   );
 
-  // A node that is down or partitioned does not block dependent jobs for ever.
+  // A node that is down or partitioned does not block jobs with dependencies forever.
   harness.advance(16_000);
   assert.equal(harness.submit(jobSpec("j-4", { awaits: ["j-1"] }))?.kind, "accepted");
 });
--- a/test/task-outcome.test.ts
+++ b/test/task-outcome.test.ts
@@ -1,4 +1,4 @@
-/** Outcomes of attempts: done marks (I6) and the one decision between cancelled and done (I8). */
+/** Outcomes of attempts: done marks (I6), and a single decision between cancelled and done (I8). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -39,7 +39,7 @@
   assert.deepEqual(acknowledged, []);
 });
 
-test("an ended attempt is acknowledged only when its agent carries a higher fencing token than it was started under", () => {
+test("an ended attempt is acknowledged only once its agent has a higher fencing token than the attempt was started under", () => {
   const { harness, attempt } = leaderWithRunningTask();
   const ended = { uid: "j-1", task: 0, attempt, state: "ended", exitReason: "done" } as const;
   const early = harness.sendHeartbeat("A", [ended]);
@@ -56,7 +56,7 @@
   assert.ok(late?.kind === "commands" && late.commands.some((command) => command.kind === "acknowledge"));
 });
 
-test("of a cancellation and a completion exactly one wins, and the outcome is final", () => {
+test("exactly one of a cancellation and a completion takes effect, and the outcome is final", () => {
   const { harness, attempt } = leaderWithRunningTask();
   harness.sendHeartbeat("A", [{ uid: "j-1", task: 0, attempt, state: "ended", exitReason: "done" }]);
   harness.advance(500);
--- a/test/trace-digest.test.ts
+++ b/test/trace-digest.test.ts
@@ -6,21 +6,21 @@
 import { TraceDigest } from "./support/trace-digest.js";
 
 /**
- * Days of the model cluster, played from fixed seeds, send exactly the bytes that they sent when the fixture was
- * written. A change of behaviour that is meant writes it anew: `TRACE_DIGESTS=write npm test`, and says so in its commit.
+ * Simulated scenarios with fixed seeds send exactly the bytes whose digests the fixture holds. After an intended
+ * change of behaviour, regenerate it with `TRACE_DIGESTS=write npm test` and say so in the commit message.
  */
 const FIXTURE = "test/fixtures/trace-digests.json";
 const SEED = 101;
 const LARGE_SCALE = 20;
 
-interface Day {
+interface Scenario {
   readonly trouble: string;
   readonly scale?: number;
   readonly standby?: boolean;
   readonly admission?: boolean;
 }
 
-const DAYS: readonly Day[] = [
+const SCENARIOS: readonly Scenario[] = [
   ...Object.keys(TROUBLES).map((trouble) => ({ trouble })),
   ...["mass failures of machines", "store outages and rolling restarts", "all faults"].map((trouble) => ({
     trouble,
@@ -35,13 +35,13 @@
   ),
 ];
 
-function nameOf({ trouble, scale, standby, admission }: Day): string {
+function nameOf({ trouble, scale, standby, admission }: Scenario): string {
   return [trouble, scale && `x${scale}`, standby && "standby", admission && "admission"]
     .filter(Boolean)
     .join(", ");
 }
 
-function digestOf({ trouble, ...options }: Day): {
+function digestOf({ trouble, ...options }: Scenario): {
   digest: string;
   effects: number;
   cluster: ModelCluster;
@@ -57,35 +57,35 @@
   return { digest: trace.digest(), effects: trace.effects, cluster };
 }
 
-const known = JSON.parse(readFileSync(FIXTURE, "utf8")) as Record<string, string>;
-const written: Record<string, string> = {};
+const expectedDigests = JSON.parse(readFileSync(FIXTURE, "utf8")) as Record<string, string>;
+const writtenDigests: Record<string, string> = {};
 
-for (const day of DAYS) {
-  const name = nameOf(day);
-  test(`a day sends the recorded bytes: ${name}`, () => {
-    const { digest, effects, cluster } = digestOf(day);
+for (const scenario of SCENARIOS) {
+  const name = nameOf(scenario);
+  test(`a scenario sends the recorded bytes: ${name}`, () => {
+    const { digest, effects, cluster } = digestOf(scenario);
     assert.deepEqual(cluster.violations, []);
     assert.ok(effects > 1000, `${effects} effects`);
     if (process.env.TRACE_DIGESTS === "write") {
-      written[name] = digest;
-      writeFileSync(FIXTURE, `${JSON.stringify(written, null, 2)}\n`);
-    } else assert.equal(digest, known[name]);
+      writtenDigests[name] = digest;
+      writeFileSync(FIXTURE, `${JSON.stringify(writtenDigests, null, 2)}\n`);
+    } else assert.equal(digest, expectedDigests[name]);
   });
 }
 
-test("the digest notices a byte that differs", () => {
+test("the digest changes if a single byte differs", () => {
   const [first, second] = [new TraceDigest(), new TraceDigest()];
-  const day = (seed: number, trace: TraceDigest) =>
+  const runTraced = (seed: number, trace: TraceDigest) =>
     play({
       seed,
       observer: (core, node, now, effect) => {
-        // One call to the store, a millisecond more patient.
+        // One store call has a timeout that is 1 ms longer.
         const changed = trace === second && trace.effects === 500 && effect.kind === "callStore";
         trace.observe(core, node, now, changed ? { ...effect, timeoutMs: effect.timeoutMs + 1 } : effect);
       },
     });
-  day(SEED, first);
-  day(SEED, second);
+  runTraced(SEED, first);
+  runTraced(SEED, second);
   assert.equal(first.effects, second.effects);
   assert.notEqual(first.digest(), second.digest());
 });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,4 +1,4 @@
-/** Both versions side by side: records and peer messages of production, and the feature gate of the record layout. */
+/** Mixed versions: records and peer messages of production, and the feature gate of the record layout. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -52,7 +52,7 @@
   assert.ok(store.entries.has("p/j-7/0"));
 });
 
-test("failover from production in the middle of a placement, a migration and a cancellation continues all three", () => {
+test("a failover from production during a placement, a migration and a cancellation continues all three", () => {
   const store = productionStore();
   const put = (key: string, value: unknown) => {
     store.revision++;
@@ -90,7 +90,7 @@
   );
   assert.equal(stops.length, 1, "the cancellation that production confirmed is carried out");
 
-  // A task that is not known to have been started is started nowhere else before its machine is reconciled (I3).
+  // A task that may have been started is not started elsewhere before its machine is reconciled (I3).
   harness.advance(2000);
   assert.deepEqual(harness.startCommands("j-000001"), []);
   assert.notEqual(readRecordInProduction("c/move", store.entries.get("c/move")?.value), null);
@@ -113,7 +113,7 @@
   );
 });
 
-test("production does not read a job with dependencies, and so never starts it, but reads its cancellation", () => {
+test("production cannot decode a job with dependencies, and so never starts it, but decodes its cancellation", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   harness.submit(jobSpec("j-2", { awaits: ["j-1"] }));
@@ -125,7 +125,7 @@
   assert.notEqual(readRecordInProduction("j/j-2", harness.store.entries.get("j/j-2")?.value), null);
 });
 
-test("the feature gate opens once every node has announced the new version, stays open, and never opens for a leader that heard an old node", () => {
+test("the feature gate stays closed while a node is of the previous version, opens once all have announced the new one, and stays open", () => {
   const leader = new ControllerHarness().becomeLeader();
   receiveFromBothPeers(leader, OLD_HEARTBEAT);
   leader.advance(2000);
@@ -138,8 +138,8 @@
   leader.advance(500);
   assert.equal(leader.controller.config.layout, 2);
 
-  // Another node knows the gate from its record, even a new leader that has heard no peer; an old heartbeat does not
-  // close it.
+  // Other nodes read the gate from its record, even a new leader without heartbeats from peers; a heartbeat of the
+  // previous version does not close it.
   const nextLeader = electNextLeader(leader);
   nextLeader.handle({ kind: "peerMessage", from: "n0", message: OLD_HEARTBEAT });
   nextLeader.advance(3000);
@@ -147,8 +147,9 @@
   assert.equal(nextLeader.controller.config.layout, 2);
 });
 
-test("a transaction from before the feature gate that is applied late, after newer chunks, restores nothing", () => {
-  // Found on the bench (rule ran_twice): the late chunk, newest by its version, placed tasks where they no longer ran.
+test("a transaction sent before the feature gate opened and applied after newer chunks restores nothing", () => {
+  // Guards against a violation of rule ran_twice: the late chunk, newest by its version, restored placements of tasks
+  // that no longer ran there.
   const leader = new ControllerHarness().becomeLeader();
   for (const name of ["A", "B"]) leader.sendHeartbeat(name);
   leader.submit(jobSpec("j-0", { tasks: 8 }));
@@ -161,7 +162,7 @@
       !call.changes.some((change) => "put" in change && change.put === "p/j-1/0")
     )
       return null;
-    // Its retries time out, too, until the gate opens.
+    // Its retries also time out until the gate opens.
     if (lateTransactions.length === 0) lateTransactions.push(call);
     return { kind: "timeout" };
   };
@@ -199,7 +200,7 @@
 
   assert.notEqual(secondPlacement.machine.name, firstPlacement.machine.name);
   for (const call of lateTransactions)
-    assert.equal(leader.store.run(call, leader.now).kind, "ok", "nothing that it depends on has changed");
+    assert.equal(leader.store.run(call, leader.now).kind, "ok", "its conditions still hold");
 
   const nextLeader = electNextLeader(leader);
   const restoredPlacement = nextLeader.controller.leaderTerm?.cluster.jobByUid("j-1")?.placements.get(0);
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -1,4 +1,4 @@
-/** What comes in from outside, checked field by field: settings, submissions, heartbeats, responses, requests. */
+/** Validation of external input, field by field: settings, submissions, heartbeats, responses, requests. */
 
 import assert from "node:assert/strict";
 import type { AddressInfo } from "node:net";
@@ -44,7 +44,7 @@
   due_s: null,
 };
 
-test("settings: unknown fields are ignored, and a missing, mistyped or invalid one is named", () => {
+test("settings: unknown fields are ignored, and an error names the missing, mistyped or invalid field", () => {
   assert.equal(parseSettings(SETTINGS).deployment.leaseS, 14);
   const cases: [string, string, RegExp][] = [
     ['site = "a"\n', "", /^site: /],
@@ -73,30 +73,30 @@
     `Limit  Soft Limit\nMax open files            ${soft}      524288     files\n`;
   assert.equal(openFilesProblem(1200, limits(1264)), null);
   assert.match(openFilesProblem(1200, limits(1024)) ?? "", /allows 1024 open files, max_connections is 1200/);
-  assert.equal(openFilesProblem(1200, ""), null, "where the system reports no limit");
+  assert.equal(openFilesProblem(1200, ""), null, "the system reports no limit");
 });
 
-// Guarded against: stored settings of the version before are complete, and must not follow a raised default.
+// Guards against a raised default replacing a stored value: the previous version stores every setting, changed or not.
 test("a stored max_machines keeps the value that the operator set", () => {
   assert.equal(readOperatorSettings({ max_machines: 2000 }).max_machines, 2000);
   assert.equal(defaultOperatorSettings.max_machines, 10_000);
 });
 
-test("operator settings stored by another version fall back to defaults one by one", () => {
+test("invalid operator settings stored by another version fall back to their defaults one by one", () => {
   const read = readOperatorSettings({ move_low: 0.2, idle_s: -5, unheard_of: true });
   assert.deepEqual(read, { ...defaultOperatorSettings, move_low: 0.2 });
-  const crossed = changeOperatorSettings(defaultOperatorSettings, { move_low: 0.9 });
-  assert.ok(!crossed.ok && crossed.error.startsWith("move_low"));
+  const inconsistent = changeOperatorSettings(defaultOperatorSettings, { move_low: 0.9 });
+  assert.ok(!inconsistent.ok && inconsistent.error.startsWith("move_low"));
 });
 
 test("jobs: a well-formed submission is decoded, and each error names its field", () => {
-  const good = decodeJobSubmission(JOB);
-  assert.ok(good.submitted.ok);
-  assert.deepEqual(good.submitted.spec.need, { cpu: 1100, gpu: 0, ram: 2000 });
+  const decoded = decodeJobSubmission(JOB);
+  assert.ok(decoded.submitted.ok);
+  assert.deepEqual(decoded.submitted.spec.need, { cpu: 1100, gpu: 0, ram: 2000 });
 
   const { racks, due_s, yard, ...sparse } = JOB;
   assert.deepEqual([racks, due_s, yard], [null, null, null]);
-  assert.ok(decodeJobSubmission(sparse).submitted.ok, "a field that may be null may be missing");
+  assert.ok(decodeJobSubmission(sparse).submitted.ok, "a nullable field may be absent");
 
   for (const [field, value] of Object.entries({
     uid: "x-1",
@@ -115,7 +115,7 @@
   for (const body of [null, 5, "j-1", [JOB], undefined]) assert.equal(decodeJobSubmission(body).uid, null);
 });
 
-test("heartbeats: malformed ones are refused, and integers beyond the safe range do no harm", () => {
+test("heartbeats: malformed ones are rejected, and integers beyond the safe range are accepted", () => {
   const names = new NameRegistry();
   const heartbeat = {
     host: "i-1",
@@ -150,7 +150,7 @@
   for (const body of malformed) assert.equal(decodeHeartbeat(body, names), null, JSON.stringify(body));
 });
 
-test("malformed responses from store and cloud count as timeouts", () => {
+test("malformed responses of the store and the cloud count as timeouts", () => {
   const transaction = { kind: "transaction", conditions: [], changes: [] } as const;
   assert.equal(decodeStoreResponse(transaction, 200, { ledger: "x" }).kind, "timeout");
   assert.equal(decodeStoreResponse(transaction, 409, {}).kind, "timeout");
@@ -171,8 +171,8 @@
   assert.equal(decodeCloudResponse({ kind: "list", after: null }, 200, { hosts: [{}] }).kind, "timeout");
 });
 
-/** A submission whose body has this many bytes. */
-function padded(bytes: number): string {
+/** Returns a submission body of exactly `bytes` bytes. */
+function paddedSubmission(bytes: number): string {
   const empty = JSON.stringify({ ...JOB, note: "" });
   return JSON.stringify({ ...JOB, note: "x".repeat(bytes - empty.length) });
 }
@@ -180,23 +180,23 @@
 class FakeRequestHandler implements RequestHandler {
   ready = true;
   overloaded = false;
-  asked: unknown[] = [];
-  submit(uid: string, submitted: SubmittedSpec, then: Parameters<RequestHandler["submit"]>[2]): void {
-    this.asked.push(uid);
-    if (!submitted.ok) then({ kind: "invalid", error: submitted.error });
+  submittedUids: unknown[] = [];
+  submit(uid: string, submitted: SubmittedSpec, respond: Parameters<RequestHandler["submit"]>[2]): void {
+    this.submittedUids.push(uid);
+    if (!submitted.ok) respond({ kind: "invalid", error: submitted.error });
     else if (uid === "j-77")
-      then({ kind: "throttled", error: "its team's share is used up", retryAfterS: 12 });
-    else then({ kind: "accepted", known: false, status: { uid, phase: "queued", done: 0, running: 0 } });
+      respond({ kind: "throttled", error: "its team's share is used up", retryAfterS: 12 });
+    else respond({ kind: "accepted", known: false, status: { uid, phase: "queued", done: 0, running: 0 } });
   }
-  poll(_uid: string, then: Parameters<RequestHandler["poll"]>[1]): void {
-    then({ kind: "unavailable", error: "no answer", retryAfterS: 2 });
+  poll(_uid: string, respond: Parameters<RequestHandler["poll"]>[1]): void {
+    respond({ kind: "unavailable", error: "no answer", retryAfterS: 2 });
   }
-  cancel(_uid: string, then: Parameters<RequestHandler["cancel"]>[1]): void {
-    then({ kind: "notFound" });
+  cancel(_uid: string, respond: Parameters<RequestHandler["cancel"]>[1]): void {
+    respond({ kind: "notFound" });
   }
-  administer(ask: AdminRequest, then: Parameters<RequestHandler["administer"]>[1]): void {
-    then(
-      ask.kind === "changeSettings"
+  administer(request: AdminRequest, respond: Parameters<RequestHandler["administer"]>[1]): void {
+    respond(
+      request.kind === "changeSettings"
         ? { kind: "invalid", error: "move_low: wrong" }
         : { kind: "ok", body: {} },
     );
@@ -209,10 +209,10 @@
   }
 }
 
-test("the API answers invalid input with 4xx at no cost, and sheds load beyond its capacity at once", async () => {
+test("the API answers invalid input with 4xx at little cost, and sheds load beyond its capacity immediately", async () => {
   const handler = new FakeRequestHandler();
   const server = createServer(handler, shareSockets(100));
-  await new Promise<void>((listening) => server.listen(0, "127.0.0.1", listening));
+  await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as AddressInfo;
   const request = async (method: string, path: string, body?: string) => {
     const response = await fetch(`http://127.0.0.1:${port}${path}`, { method, body: body ?? null });
@@ -231,11 +231,11 @@
       ["POST", "/api/jobs", undefined, 400],
       ["POST", "/api/jobs", JSON.stringify({ ...JOB, pieces: "two" }), 400],
       ["POST", "/api/jobs", `"${"x".repeat(70_000)}"`, 400],
-      ["POST", "/api/jobs", padded(64 * 1024), 201],
-      ["POST", "/api/jobs", padded(64 * 1024 + 1), 400],
+      ["POST", "/api/jobs", paddedSubmission(64 * 1024), 201],
+      ["POST", "/api/jobs", paddedSubmission(64 * 1024 + 1), 400],
       ["POST", "/api/jobs", JSON.stringify({ ...JOB, pieces: 100_000 }), 201],
       ["POST", "/api/jobs", JSON.stringify({ ...JOB, pieces: 100_001 }), 400],
-      ["POST", "/agent/beat", padded(64 * 1024 + 1), 400],
+      ["POST", "/agent/beat", paddedSubmission(64 * 1024 + 1), 400],
       ["GET", "/api/jobs/%E0%A4%A", undefined, 400],
       ["GET", "/api/jobs/nonsense", undefined, 404],
       ["POST", "/api/jobs/j-5/cancel", undefined, 404],
@@ -246,9 +246,9 @@
       ["PUT", "/admin/machines/i-1", '{"mode":"explode"}', 400],
     ];
     for (const [method, path, body, status] of cases) {
-      const answer = await request(method, path, body);
-      assert.equal(answer.status, status, `${method} ${path} ${body?.slice(0, 40)}`);
-      assert.equal("error" in JSON.parse(answer.body), status >= 400);
+      const response = await request(method, path, body);
+      assert.equal(response.status, status, `${method} ${path} ${body?.slice(0, 40)}`);
+      assert.equal("error" in JSON.parse(response.body), status >= 400);
     }
     const unavailable = await request("GET", "/api/jobs/j-1");
 
@@ -258,12 +258,12 @@
     assert.deepEqual([throttled.status, throttled.after], [429, "12"]);
 
     handler.overloaded = true;
-    const submittedBefore = handler.asked.length;
+    const submittedBefore = handler.submittedUids.length;
     const shed = await request("POST", "/api/jobs", JSON.stringify(JOB));
 
     assert.equal(shed.status, 503);
     assert.ok(Number(shed.after) > 0);
-    assert.equal(handler.asked.length, submittedBefore);
+    assert.equal(handler.submittedUids.length, submittedBefore);
 
     handler.ready = false;
     assert.equal((await request("GET", "/ready")).status, 503);
