--- a/test/machine-reaper.test.ts
+++ b/test/machine-reaper.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
 
-test("machines of a partitioned zone are not terminated, even while they reconnect one by one; a single silent machine is", () => {
+test("machines of a partitioned zone are kept, even while they reconnect one by one, and a single silent machine is terminated", () => {
   const harness = new ControllerHarness().becomeLeader();
   const terminatedMachines: string[] = [];
   const defaultCloudRule = harness.cloudRule;
--- a/test/permit-leases.test.ts
+++ b/test/permit-leases.test.ts
@@ -49,13 +49,13 @@
   }
 });
 
-// Guards against refusing teams within their shares because their few permits are held by other nodes.
+// Guards against refusing teams within their shares because other nodes hold their few permits.
 test("at most 2% of the submissions of teams below their shares are throttled during a flood, at any node", () => {
   const [red] = deployment("n0").teams;
   assert.ok(red);
 
-  const quiet = ["web", "bills", "maps"];
-  const teams = ["red", ...quiet].map((name) => ({ ...red, name }));
+  const quietTeams = ["web", "bills", "maps"];
+  const teams = ["red", ...quietTeams].map((name) => ({ ...red, name }));
   const cluster = new AdmissionCluster({ admission_rate: 4 }, teams);
   cluster.heartbeatRounds(20);
   const random = seededRandom(7);
@@ -63,7 +63,7 @@
   for (let second = 0; second < 120; second++) {
     cluster.heartbeatRound();
     for (const { name } of cluster.nodes) cluster.submit(name, "red", 15);
-    for (const team of quiet) {
+    for (const team of quietTeams) {
       const node = cluster.nodes[randomInt(random, 0, NODES.length - 1)];
       if (!node) continue;
       submitted++;
--- a/test/queue-order.test.ts
+++ b/test/queue-order.test.ts
@@ -40,7 +40,7 @@
   );
 });
 
-test("under a new leader a job that has started is not starving, and one that never started has waited since its acceptance", () => {
+test("under a new leader a job that has started is not starving, and the wait of one that never started counts from its acceptance", () => {
   const leader = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   leader.sendHeartbeat("A");
--- a/test/reachability.test.ts
+++ b/test/reachability.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { leaderWithRunningTask, onlyElement } from "./support/leaders.js";
 
-test("a leader that receives no agent heartbeats while a peer receives some resigns and does not campaign for a while", () => {
+test("a leader without agent heartbeats resigns if a peer receives some, and does not campaign for a while", () => {
   const harness = new ControllerHarness().becomeLeader();
   for (const name of ["A", "B", "C"]) harness.sendHeartbeat(name);
   const receivePeerHeartbeat = (agentsHeard: number) =>
--- a/test/server-bundle.test.ts
+++ b/test/server-bundle.test.ts
@@ -7,7 +7,7 @@
 import { test } from "node:test";
 import { loadServer } from "../src/cli/server-bundle.js";
 
-// Guards against using a mismatched code cache (other Node version or flags, corrupt file), and failing to start on it.
+// Guards against a mismatched code cache (other Node version or flags, corrupt file) being used or preventing a start.
 test("the server starts with its code cache, and also if the cache is missing or does not match", (context) => {
   const folder = mkdtempSync(join(tmpdir(), "hillspindle-"));
   context.after(() => rmSync(folder, { recursive: true }));
--- a/test/standby-world.test.ts
+++ b/test/standby-world.test.ts
@@ -91,12 +91,12 @@
   }
 });
 
-test("if a leader is paused for 20 s while it places tasks, the standby replaces it, and its late effects change nothing", () => {
+test("if a leader is paused for 20 s while it places tasks, the standby replaces it, and the previous leader's late effects change nothing", () => {
   for (let seed = 1; seed <= 6; seed++) {
     const cluster = busyCluster(seed);
     const previous = leaderOf(cluster);
     for (let i = 20; i < 30; i++) cluster.users.submit(jobSpec(`j-${i}`, { tasks: 4, estimateS: 5 }));
-    // It is paused between a decision and its write, and sends the effects when it resumes.
+    // The leader is paused between a decision and its write, and sends the effects when it resumes.
     cluster.controllers.freeze(previous, 20_000);
     // While its lease is valid no other node is leader.
     runUntilVacant(cluster, () => {
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -225,7 +225,7 @@
   );
 });
 
-test("a standby whose next changes were compacted is cold until all records are read again", () => {
+test("compacted changes make the standby cold until it has read all records again", () => {
   const { leader, follower, advanceBoth } = leaderAndStandby();
   advanceBoth(6000);
   follower.listedPrefixes.length = 0;
@@ -304,7 +304,7 @@
   assert.equal(standbyStatusOf(follower).why, "this node is behind with its work");
 });
 
-test("the standby is the first reachable node by name that is not leader, except for nodes of the previous version", () => {
+test("the standby is the first reachable node by name that is not the leader, excluding nodes of the previous version", () => {
   const peer = (node: string, isAlive: boolean, warmth: "cold" | "warm" | undefined) => ({
     node,
     isAlive,
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,4 +1,4 @@
-/** Mixed versions: records and peer messages of production, and the feature gate of the record layout. */
+/** Mixed-version operation: records and peer messages of production, and the feature gate of the record layout. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
