--- a/test/admission-world.test.ts
+++ b/test/admission-world.test.ts
@@ -19,7 +19,7 @@
 
 /** Faults that occur in addition to the burst. */
 interface Scenario {
-  readonly trouble?: FaultRates;
+  readonly faultRates?: FaultRates;
   readonly injectFaults?: (cluster: ModelCluster, second: number) => void;
 }
 
@@ -30,8 +30,8 @@
 }
 
 /** During the burst, one team submits jobs at ten times the normal rate of both teams together. */
-function simulateBurst(seed: number, { trouble, injectFaults }: Scenario): BurstResult {
-  const cluster = new ModelCluster({ seed, faultRates: trouble, admission: true });
+function simulateBurst(seed: number, { faultRates, injectFaults }: Scenario): BurstResult {
+  const cluster = new ModelCluster({ seed, faultRates, admission: true });
   const otherTeamJobs: SubmittedJob[] = [];
   let nextJobNumber = 1;
   const submit = (team: string) => {
@@ -71,7 +71,7 @@
       if (second === 40 && node) node.peersPartitionedUntil = cluster.now + 15_000;
     },
   },
-  "during a rolling upgrade": { trouble: { ...NO_FAULTS, upgrade: true } },
+  "during a rolling upgrade": { faultRates: { ...NO_FAULTS, upgrade: true } },
 };
 
 for (const [condition, scenario] of Object.entries(SCENARIOS)) {
