--- a/src/shell/metrics.ts
+++ b/src/shell/metrics.ts
@@ -65,36 +65,32 @@
 }
 
 function setNodeGauges(gauges: GaugeSet, controller: Controller, loop: LoopMetrics): void {
-  gauges.set("ready", "1 if this node is ready for requests", controller.isReady ? 1 : 0);
-  gauges.set("leading", "1 if this node is the leader", controller.leaderTerm ? 1 : 0);
-  gauges.set("batches_total", "Command batches handled since startup", loop.batches);
-  gauges.set("lag_ms", "Delay of the last tick in milliseconds", loop.lagMs);
-  gauges.set("users_waiting", "User requests that have not been answered yet", loop.pendingUsers);
+  gauges.set("ready", "1 if this node takes requests", controller.isReady ? 1 : 0);
+  gauges.set("leading", "1 if this node leads", controller.leaderTerm ? 1 : 0);
+  gauges.set("batches_total", "Batches of commands worked off", loop.batches);
+  gauges.set("lag_ms", "How late the last tick came", loop.lagMs);
+  gauges.set("users_waiting", "Requests of users that await their answer", loop.pendingUsers);
 }
 
 function setFailoverGauges(gauges: GaugeSet, controller: Controller): void {
   const { standby, takeover } = controller.failover;
   if (standby) {
-    gauges.set("standby_warm", "1 if this node could take over with its standby cache", standby.warm ? 1 : 0);
-    gauges.set("standby_records", "Records in the standby cache", standby.records);
-    gauges.set("standby_bytes", "Approximate size of the standby cache in bytes", standby.bytes);
+    gauges.set(
+      "standby_warm",
+      "1 if this node could lead from its cache of the records",
+      standby.warm ? 1 : 0,
+    );
+    gauges.set("standby_records", "Records in the cache", standby.records);
+    gauges.set("standby_bytes", "Bytes that the cache takes, about", standby.bytes);
     if (standby.lagRevisions !== null)
-      gauges.set(
-        "standby_lag_revisions",
-        "Store revisions by which the standby cache lags",
-        standby.lagRevisions,
-      );
+      gauges.set("standby_lag_revisions", "Revisions that the cache is behind", standby.lagRevisions);
     if (standby.lagS !== null)
-      gauges.set(
-        "standby_lag_seconds",
-        "Seconds since the standby cache was last known to be complete",
-        standby.lagS,
-      );
+      gauges.set("standby_lag_seconds", "Seconds since the cache was last proved complete", standby.lagS);
   }
   for (const [phase, sinceLeaderGoneMs] of takeover.phases())
     gauges.set(
       `takeover_${toSnakeCase(phase)}_ms`,
-      "Milliseconds from the removal of the previous leader's key to this step of the last failover to this node",
+      "Last takeover of this node: from the end of the former leader's key to this step",
       sinceLeaderGoneMs,
     );
 }
@@ -105,85 +101,73 @@
   leaderTerm: LeaderTerm | null,
 ): void {
   const { teams } = admission;
-  gauges.set(
-    "admission_by_slice",
-    "1 if admission uses permits granted by the leader",
-    admission.mode === "slice" ? 1 : 0,
-  );
+  gauges.set("admission_by_slice", "1 while the leader's permits decide", admission.mode === "slice" ? 1 : 0);
   const setPerTeam = (name: string, help: string, toValue: (team: TeamStatus) => number) => {
     gauges.setPerTeam(`admission_${name}`, help, teams, toValue);
   };
   setPerTeam("admitted_total", "Submissions accepted by this node", ({ admitted }) => admitted);
   setPerTeam("refused_total", "Submissions answered 429", ({ refused }) => refused);
-  setPerTeam("available", "Submissions this node could accept now", ({ available }) => available);
-  setPerTeam("told_to_wait", "Outstanding retry reservations", ({ waiting }) => waiting);
+  setPerTeam("available", "Submissions that could be accepted now", ({ available }) => available);
+  setPerTeam("told_to_wait", "Submissions that were told when to come back", ({ waiting }) => waiting);
   setPerTeam(
     "retry_after_seconds",
-    "Retry-After of the last rejected submission in seconds",
+    "What the last one that was refused was told",
     ({ lastRetryAfterS }) => lastRetryAfterS,
   );
   const longestWaitsMs = leaderTerm?.longestWaits();
   if (longestWaitsMs)
     setPerTeam(
       "longest_wait_seconds",
-      "Longest time that a queue of the team has waited without a task start",
+      "How long nothing has begun of a line that waits",
       ({ name }) => (longestWaitsMs.get(name) ?? 0) / 1000,
     );
 }
 
 function setClusterGauges(gauges: GaugeSet, { lease, cluster }: LeaderTerm): void {
   const machines = [...cluster.machines.values()];
-  gauges.set("token", "Fencing token of the current term", lease.fencingToken);
-  gauges.set("jobs", "Unfinished jobs", cluster.jobs.size);
+  gauges.set("token", "The token that everything sent carries", lease.fencingToken);
+  gauges.set("jobs", "Jobs that are not over", cluster.jobs.size);
   gauges.set(
     "machines_up",
-    "Machines that are up and send heartbeats",
+    "Machines that report",
     machines.filter(({ phase, isLeaseExpired }) => phase === "up" && !isLeaseExpired).length,
   );
   gauges.set(
     "machines_booting",
-    "Machines provisioned but not up yet",
+    "Machines hired but not up",
     machines.filter(({ phase }) => phase === "booting").length,
   );
   gauges.set(
     "placements",
-    "Tasks placed on machines",
+    "Tasks on machines",
     machines.reduce((sum, { placements }) => sum + placements.size, 0),
   );
 }
 
 function setSchedulingGauges(gauges: GaugeSet, { scheduler }: LeaderTerm): void {
-  gauges.set(
-    "blocked_jobs",
-    "Jobs that could not be placed in the last scheduling round",
-    scheduler.blocked.length,
-  );
+  gauges.set("blocked_jobs", "Jobs that found no place in the last round", scheduler.blocked.length);
   gauges.set(
     "rounds_cut_total",
-    "Times that a scheduling round exceeded its time budget and was resumed later",
+    "Rounds that went over their time and were gone on with",
     scheduler.interruptedRounds,
   );
   gauges.set(
     "machines_looked_at_total",
-    "Machines examined for placements",
+    "Machines looked at in search of places",
     scheduler.feasibleMachines.machinesExamined,
   );
 }
 
 function setAgentGauges(gauges: GaugeSet, term: LeaderTerm): void {
   const machines = [...term.cluster.machines.values()];
-  gauges.set(
-    "reports_compared_total",
-    "Heartbeats compared with the placements because they reported something new",
-    term.agents.reconciliations,
-  );
+  gauges.set("reports_compared_total", "Reports that said something new", term.agents.reconciliations);
   gauges.set(
     "machines_unreachable",
-    "Machines whose agents send heartbeats but do not receive commands",
+    "Machines that report but do not hear",
     machines.filter(({ unreachableSince }) => unreachableSince !== null).length,
   );
-  gauges.set("moves_total", "Replica migrations started in this term", term.migrator.startedMigrations);
-  gauges.set("unwritten", "Records waiting to be written to the store", term.recordWriter.backlog);
+  gauges.set("moves_total", "Moves begun in this term", term.migrator.startedMigrations);
+  gauges.set("unwritten", "Records that wait to be written", term.recordWriter.backlog);
 }
 
 function toSnakeCase(name: string): string {
