--- a/src/cli/errors.ts
+++ b/src/cli/errors.ts
@@ -1,7 +1,7 @@
 /** Why a command failed. */
 export type CliErrorCode = "unreachable" | "refused" | "badArgument";
 
-/** Thrown if a command fails for a reason to show to its user; the message states that reason. */
+/** Thrown if a command fails. The message states the reason and is shown to the user. */
 export class CliError extends Error {
   readonly code: CliErrorCode;
 
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -14,12 +14,15 @@
 /** Schema of the stored settings. Unknown names are errors, so that misspelt ones are not ignored. */
 export const operatorSchema = v.strictObject({
   /**
-   * A machine is underutilized while its booked CPU share is below `move_low`. The target of a replica migration must
-   * stay below `move_high`.
+   * A machine is underutilized while its booked CPU share is below `move_low`. Replicas migrate only to machines whose
+   * share stays below `move_high`.
    */
   move_low: v.optional(number(0, 1), 0.3),
   move_high: v.optional(number(0, 1), 0.8),
-  /** Interval between replica migrations, minimum time underutilized before one, and drain time of the old replica. */
+  /**
+   * Minimum interval between replica migrations, how long a machine must have been underutilized before one, and how
+   * long the old replica drains.
+   */
   move_round_s: v.optional(number(1, 3600), 30),
   move_window_s: v.optional(number(0, 600), 10),
   move_drain_s: v.optional(number(0, 600), 30),
@@ -33,10 +36,13 @@
   max_machines: v.optional(integer(0, MAX_MACHINES), MAX_MACHINES),
   /** Time after which an empty machine is terminated. */
   idle_s: v.optional(number(5, 86_400), 40),
-  /** Time window over which GPU demand is measured, and the headroom in standard deviations of that demand. */
+  /**
+   * Time window over which GPU jobs are counted, and the headroom in standard deviations of the number of machines that
+   * jobs arriving during the startup of a machine are expected to need.
+   */
   spare_window_s: v.optional(number(1, 3600), 120),
   spare_factor: v.optional(number(0, 10), 1.5),
-  /** Jobs without GPUs may provision GPU machines up to this multiple of their lowest cost on other machines. */
+  /** Jobs without GPUs may provision GPU machines at up to this multiple of their cost on machines without GPUs. */
   dear_factor: v.optional(number(1, 1000), 6),
   /** A machine that is not up after this multiple of its type's boot time is terminated. */
   boot_factor: v.optional(number(1.5, 100), 4),
@@ -46,9 +52,9 @@
   admission_rate: v.optional(number(0, 10_000), 0),
   /** Limit on unfinished jobs of all teams; at the limit no new jobs are accepted. */
   admission_open_jobs: v.optional(integer(1, 1_000_000), 20_000),
-  /** By team; defaults to the guaranteed CPUs of the team. */
+  /** Weight of each team in admission, by team name; defaults to the guaranteed CPUs of the team. */
   admission_weights: v.optional(v.record(v.string(), number(0, 1_000_000)), {}),
-  /** After this time without a task start, the oldest waiting job of a team's class is scheduled first. */
+  /** After this time without a task start in a queue (the jobs of one class of one team), its oldest job goes first. */
   admission_turn_s: v.optional(number(5, 160), 60),
 });
 
@@ -79,7 +85,7 @@
   return { ok: true, settings: result.output };
 }
 
-/** Reads stored settings. Those that are unknown or out of bounds, written by another version, get their defaults. */
+/** Reads stored settings, ignoring any that are unknown or out of bounds, as another version may have written them. */
 export function readOperatorSettings(stored: unknown): OperatorSettings {
   if (typeof stored !== "object" || stored === null) return defaultOperatorSettings;
   let settings = defaultOperatorSettings;
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -12,9 +12,9 @@
 const txnOps = v.pipe(v.number(), v.integer(), v.minValue(4));
 /** The store allows bursts of one second's writes, and a transaction of minimum size must fit in one burst. */
 const writeRps = v.pipe(v.number(), v.finite(), v.minValue(4));
-/** Minimum for the lease renewals, watches and heartbeats of three nodes. */
+/** The lease renewals, watches and heartbeats of three nodes alone take this many requests per second. */
 const storeRps = v.pipe(v.number(), v.finite(), v.minValue(10));
-/** Minimum for the records of typical jobs. */
+/** The records of typical jobs need values of this size. */
 const MIN_VALUE_KB = 1;
 
 const schema = v.object({
--- a/src/protocol/agents.ts
+++ b/src/protocol/agents.ts
@@ -4,7 +4,7 @@
 import type { ExitReason, TaskState } from "../core/model/job-spec.js";
 import type { HttpRequest } from "./http.js";
 
-/** Decodes agents' heartbeats and encodes commands to them. Maps wire terms to internal ones, and names to indices. */
+/** Decodes heartbeats of agents and encodes commands to them. Maps wire terms to internal ones and names to indices. */
 
 /** Path to which agents post heartbeats. */
 export const HEARTBEAT_PATH = "/agent/beat";
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -115,7 +115,7 @@
     cacheGb: wire.cache_gb,
     fetchGbPerS: wire.fetch_gb_per_s,
     price: wire.hourly,
-    // Without a market price, spot machines cost the hourly price.
+    // Without a market price, spot machines cost as much as on-demand machines.
     spotPrice: wire.market_price ?? wire.hourly,
     bootS: wire.startup_s,
     zones: wire.yards,
--- a/src/protocol/responses.ts
+++ b/src/protocol/responses.ts
@@ -72,8 +72,8 @@
 export const leaderDisconnected: HttpResponse = respond(503, { error: "the leader is gone" });
 
 /**
- * Encodes the response if handling a request threw an error. Every client error becomes a 400, since clients retry on
- * any other status for a minute.
+ * Encodes the response to a request whose handling threw an error. Every client error becomes a 400, since clients
+ * retry on any other status for a minute.
  */
 export function encodeFailure(error: unknown): HttpResponse {
   const status = typeof error === "object" && error !== null && "status" in error ? error.status : undefined;
--- a/src/shell/clients.ts
+++ b/src/shell/clients.ts
@@ -13,7 +13,7 @@
 const AGENT_TIMEOUT_MS = 1500;
 
 const STORE_CALL_CONNECTIONS = 24;
-/** Watches of the common keys and of jobs (on a standby, three record prefixes), plus connections that are closing. */
+/** For watches of the common keys and of jobs (on a standby, three record prefixes), and connections being closed. */
 const STORE_WATCH_CONNECTIONS = 6;
 const CLOUD_CONNECTIONS = 8;
 
@@ -30,9 +30,9 @@
   /** Sends a request. If no response arrives within `timeoutMs`, the outcome is unknown. */
   call(request: StoreRequest, timeoutMs: number, respond: (response: StoreResponse) => void): void {
     const client = request.kind === "watch" && request.waitMs > 0 ? this.#watches : this.#calls;
-    client.call(this.#endpoint, encodeStoreRequest(request), timeoutMs, (answer) => {
+    client.call(this.#endpoint, encodeStoreRequest(request), timeoutMs, (result) => {
       respond(
-        answer === null ? { kind: "timeout" } : decodeStoreResponse(request, answer.status, answer.body),
+        result === null ? { kind: "timeout" } : decodeStoreResponse(request, result.status, result.body),
       );
     });
   }
@@ -49,9 +49,9 @@
 
   /** Sends a request. If no response arrives in time, the outcome is unknown. */
   call(request: CloudRequest, respond: (response: CloudResponse) => void): void {
-    this.#client.call(this.#endpoint, encodeCloudRequest(request), CLOUD_TIMEOUT_MS, (answer) => {
+    this.#client.call(this.#endpoint, encodeCloudRequest(request), CLOUD_TIMEOUT_MS, (result) => {
       respond(
-        answer === null ? { kind: "timeout" } : decodeCloudResponse(request, answer.status, answer.body),
+        result === null ? { kind: "timeout" } : decodeCloudResponse(request, result.status, result.body),
       );
     });
   }
@@ -62,7 +62,7 @@
   readonly #client: HttpClient;
   readonly #names: NameRegistry;
 
-  /** While `maxConnections` are in use, another batch fails at once, as if unanswered. */
+  /** While `maxConnections` calls are in progress, a further batch fails at once, as if unanswered. */
   constructor(names: NameRegistry, maxConnections: number) {
     this.#client = new HttpClient(1, maxConnections);
     this.#names = names;
@@ -71,10 +71,10 @@
   /** Sends a command batch. Reports the heartbeat in the agent's reply, or null, and whether the batch was executed. */
   send(batch: SendAgentCommands, respond: (heartbeat: Heartbeat | null, executed: boolean) => void): void {
     const request = encodeCommandRequest(batch, this.#names);
-    this.#client.call(parseEndpoint(batch.address), request, AGENT_TIMEOUT_MS, (answer) => {
-      if (answer === null) respond(null, false);
+    this.#client.call(parseEndpoint(batch.address), request, AGENT_TIMEOUT_MS, (result) => {
+      if (result === null) respond(null, false);
       else {
-        const { heartbeat, executed } = decodeCommandReply(answer.status, answer.body, this.#names);
+        const { heartbeat, executed } = decodeCommandReply(result.status, result.body, this.#names);
         respond(heartbeat, executed);
       }
     });
--- a/src/shell/heartbeat-endpoint.ts
+++ b/src/shell/heartbeat-endpoint.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * Serves agents' heartbeats without Express. They are nine of ten requests, and Express with its body parser took a
- * sixth of a leader's CPU time for them (docs/RESULTS.md).
+ * Serves agents' heartbeats without Express. Nine in ten requests are heartbeats, and Express with its body parser took
+ * a sixth of a leader's CPU time for them (docs/RESULTS.md).
  */
 export class HeartbeatEndpoint {
   readonly #handler: RequestHandler;
@@ -34,7 +34,10 @@
     else this.#readHeartbeat(req, res);
   }
 
-  /** Reads an oversized body to its end without buffering it: the sender reads no response before it has sent all. */
+  /**
+   * Reads the body and passes it to the handler. An oversized body is not buffered, but is read to its end, because the
+   * sender reads no response before it has sent the whole body.
+   */
   #readHeartbeat(req: http.IncomingMessage, res: http.ServerResponse): void {
     const chunks: Buffer[] = [];
     let size = 0;
--- a/src/shell/heartbeat-forwarder.ts
+++ b/src/shell/heartbeat-forwarder.ts
@@ -5,8 +5,8 @@
 const REPLY_TIMEOUT_MS = 3000;
 /**
  * Heartbeats received within this time are forwarded together. Forwarded one by one, each took a packet, a command
- * batch and a reply packet at both ends (figures in docs/RESULTS.md). The delay is short: agents send one every few
- * seconds.
+ * batch and a reply packet at both ends (figures in docs/RESULTS.md). The delay is negligible, as an agent sends one
+ * heartbeat every few seconds.
  */
 const BATCHING_MS = 25;
 
@@ -76,8 +76,8 @@
     // After a stall some may have timed out, and their agents have tried another node.
     const batch = this.#batches.take(node).filter(({ id }) => this.#awaited.has(id));
     if (batch.length === 0) return;
-    // Waiting is safe: an agent has one heartbeat in flight, so the batch has at most one per agent, and none is
-    // older than the timeout.
+    // Waiting is safe: an agent has one heartbeat in flight, so the batch holds the newest of each agent, and none
+    // is older than the timeout.
     if (this.#peers.isCongested(node)) {
       this.#batches.restore(node, batch);
       this.#scheduleBatch(node);
--- a/src/shell/http-client.ts
+++ b/src/shell/http-client.ts
@@ -10,7 +10,7 @@
   readonly body: unknown;
 }
 
-type Respond = (answer: HttpResult | null) => void;
+type Respond = (result: HttpResult | null) => void;
 
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
@@ -53,13 +53,13 @@
     let socket: Socket | null = null;
     this.#connecting++;
     let isFinished = false;
-    const finish: Respond = (answer) => {
+    const finish: Respond = (result) => {
       if (isFinished) return;
       isFinished = true;
       clearTimeout(timer);
       if (!socket) this.#connecting--;
       else if (this.#sockets.has(socket)) this.#sockets.set(socket, false);
-      respond(answer);
+      respond(result);
     };
     const payload = call.body === undefined ? undefined : JSON.stringify(call.body);
     const request = http.request(this.#requestOptions(endpoint, call, payload), (response) =>
--- a/src/shell/peers.ts
+++ b/src/shell/peers.ts
@@ -7,13 +7,13 @@
 const RECONNECT_MS = 1000;
 const CONNECT_TIMEOUT_MS = 1500;
 /**
- * Limit of the send backlog to a peer, per connection that this node may have: after a restart the heartbeats of all
+ * Limit of the send backlog to a peer for each of this node's `max_connections`: after a restart the heartbeats of all
  * agents arrive at once.
  */
 const BACKLOG_BYTES_PER_CONNECTION = 2048;
 /** With a larger send backlog to a peer, messages that can wait are held back. */
 const CONGESTED_BYTES = 256 * 1024;
-/** Inbound connections per node: a restarted peer opens new connections before its old ones are closed. */
+/** Limit of inbound connections per node: a restarted peer opens new connections before its old ones are closed. */
 const INBOUND_PER_NODE = 8;
 
 /** Receives events of the peer connections. */
@@ -55,8 +55,9 @@
   }
 
   /**
-   * Sends a message to a peer, or drops it if the peer is not connected; nothing depends on any single message.
-   * Messages are encoded at once: a `PackrStream` would queue them as objects, which the limit in bytes does not count.
+   * Sends a message to a peer, or drops it if the peer is not connected; nothing depends on any single message. If the
+   * backlog exceeds its limit, the message is dropped and the connection closed. Messages are encoded at once: for a
+   * peer that does not read, a `PackrStream` would queue them as objects, which the limit in bytes does not count.
    */
   send(to: string, message: PeerMessage): void {
     const link = this.#links.get(to);
@@ -115,7 +116,7 @@
       socket.destroy();
       return null;
     }
-    // The peer has restarted: messages of its previous process must not be attributed to the new one.
+    // If the peer has restarted, messages of its previous process must not be attributed to the new one.
     this.#accepted.get(node)?.destroy();
     this.#accepted.set(node, socket);
     return node;
--- a/src/shell/serve.ts
+++ b/src/shell/serve.ts
@@ -59,7 +59,7 @@
   };
 }
 
-/** The whole fleet may connect at once, and Node.js's default backlog holds only 511 connections. */
+/** Listens with a large backlog: the whole fleet may connect at once, and Node.js's default holds 511 connections. */
 function listen(server: Server, { listen: { host, port } }: Settings, backlog: number, log: Log): void {
   server.listen({ host, port, backlog }, () => {
     log.info({ listen: { host, port }, started_ms: Math.round(performance.now()) }, "started");
--- a/src/shell/sockets.ts
+++ b/src/shell/sockets.ts
@@ -10,7 +10,7 @@
   readonly agentsOutbound: number;
 }
 
-/** For store, cloud and peers, with one more each for a connection that is closing, and for listeners and the like. */
+/** Connections to the store, cloud and peers, one more for each while it closes, and listeners and the like. */
 const FIXED_SOCKETS = 96;
 const AGENTS_OUTBOUND_FRACTION = 0.1;
 const OTHERS_INBOUND_FRACTION = 0.08;
