--- a/.ci/known-red.mjs
+++ b/.ci/known-red.mjs
@@ -1,36 +1,36 @@
-// Judges a run of the tests: node .ci/known-red.mjs LIST OUTPUT STATUS
-// LIST has a line for each test that may fail: its name, the cause and the issue, with " | " between them.
-// OUTPUT is what the run printed (TAP), STATUS its exit status. Fails on any failure that isn't listed, on more than
-// three lines, and on a listed test that passes or doesn't exist. Without the list nothing is passed over.
+// Decides whether a test run passes CI: node .ci/known-red.mjs LIST OUTPUT STATUS
+// LIST has one line per test that may fail: its name, the cause and the issue, separated by " | ".
+// OUTPUT is the TAP output of the run, STATUS its exit status. Fails if a test fails that isn't listed, if more than
+// three tests are listed, and if a listed test passes or doesn't exist. If LIST doesn't exist, no failure is tolerated.
 import { existsSync, readFileSync } from "node:fs";
 
-const MOST = 3;
+const MAX_LISTED = 3;
 const [list = "", output = "", status = ""] = process.argv.slice(2);
 
-const lines = existsSync(list) ? readFileSync(list, "utf8").split("\n").filter((line) => line.trim() !== "") : [];
+const entries = existsSync(list) ? readFileSync(list, "utf8").split("\n").filter((line) => line.trim() !== "") : [];
 const results = new Map();
 for (const line of readFileSync(output, "utf8").split("\n")) {
-  // Of the top level only: subtests are indented.
-  const found = /^(not )?ok \d+ - (.*)$/.exec(line);
-  if (found) results.set(found[2].replaceAll("\\#", "#").replaceAll("\\\\", "\\"), found[1] === undefined);
+  // Matches top-level tests only: subtests are indented.
+  const match = /^(not )?ok \d+ - (.*)$/.exec(line);
+  if (match) results.set(match[2].replaceAll("\\#", "#").replaceAll("\\\\", "\\"), match[1] === undefined);
 }
 
-const wrong = [];
-if (lines.length > MOST) wrong.push(`${lines.length} tests are listed, ${MOST} are the most`);
+const problems = [];
+if (entries.length > MAX_LISTED) problems.push(`${entries.length} tests are listed, at most ${MAX_LISTED} are allowed`);
 const listed = new Set();
-for (const line of lines) {
-  const [name = "", cause, issue] = line.split(" | ").map((part) => part.trim());
-  if (!cause || !issue) wrong.push(`a line must name test, cause and issue: ${line}`);
+for (const entry of entries) {
+  const [name = "", cause, issue] = entry.split(" | ").map((part) => part.trim());
+  if (!cause || !issue) problems.push(`an entry must have a test, a cause and an issue: ${entry}`);
   listed.add(name);
-  if (!results.has(name)) wrong.push(`listed, but there is no such test: ${name}`);
-  else if (results.get(name)) wrong.push(`listed, but it passes: ${name}`);
-  else console.log(`known red: ${line}`);
+  if (!results.has(name)) problems.push(`listed, but no such test exists: ${name}`);
+  else if (results.get(name)) problems.push(`listed, but it passes: ${name}`);
+  else console.log(`known red: ${entry}`);
 }
 const failed = [...results].filter(([, passed]) => !passed).map(([name]) => name);
-for (const name of failed) if (!listed.has(name)) wrong.push(`failed: ${name}`);
-if (results.size === 0) wrong.push("no test was run");
-// Whatever else ended the run with a failure is none that the list knows of.
-if (status !== "0" && failed.length === 0) wrong.push(`the run ended with status ${status}`);
+for (const name of failed) if (!listed.has(name)) problems.push(`failed: ${name}`);
+if (results.size === 0) problems.push("no tests were run");
+// The run failed for a reason other than a test, which the list can't cover.
+if (status !== "0" && failed.length === 0) problems.push(`the test run exited with status ${status}`);
 
-for (const text of wrong) console.log(text);
-process.exit(wrong.length === 0 ? 0 : 1);
+for (const problem of problems) console.log(problem);
+process.exit(problems.length === 0 ? 0 : 1);
--- a/build.mjs
+++ b/build.mjs
@@ -3,10 +3,10 @@
 import { build } from "esbuild";
 import { parse } from "smol-toml";
 
-// Two bundles: most of a start's processor time goes into finding, loading and compiling modules, and the controllers
-// have a sixth of a core or less. The command line starts without the server's.
+// Bundles the command line and the server separately: resolving, loading and compiling modules takes most of the CPU
+// time of a start, and a controller has a sixth of a core or less. The command line loads none of the server's modules.
 rmSync("target", { recursive: true, force: true });
-const common = {
+const commonOptions = {
   bundle: true,
   platform: "node",
   target: "node20",
@@ -15,27 +15,27 @@
   legalComments: "none",
 };
 await build({
-  ...common,
+  ...commonOptions,
   entryPoints: ["src/main.ts", "src/cli/make-code-cache.ts"],
   outdir: "target",
   entryNames: "[name]",
   splitting: true,
   format: "esm",
-  // commander is CommonJS and asks for Node's own modules through require.
+  // commander is a CommonJS package and loads Node's built-in modules with require.
   banner: { js: "import{createRequire as __cr}from'node:module';const require=__cr(import.meta.url);" },
 });
 await build({
-  ...common,
+  ...commonOptions,
   entryPoints: ["src/shell/serve.ts"],
   outfile: "target/server.cjs",
   format: "cjs",
-  // rxjs shows Node its CommonJS build, which can't be pruned: 50 ms of processor time to load.
+  // On Node, rxjs resolves to its CommonJS build, which can't be tree-shaken and takes 50 ms of CPU time to load.
   alias: { rxjs: "./node_modules/rxjs/dist/esm/index.js" },
-  // No native addon: it is optional, and our messages are small.
+  // Disables msgpackr's native addon, which is optional and not needed for small messages.
   define: { "process.env.MSGPACKR_NATIVE_ACCELERATION_DISABLED": '"true"' },
 });
 
-// V8 accepts a code cache only under the flags it was made with: those of the run line.
+// V8 accepts a code cache only under the flags it was created with, so the flags of the service's run command are used.
 const { run } = parse(readFileSync("deploy/service.toml", "utf8"));
-const flags = run.split(" ").filter((word) => word.startsWith("--max-"));
+const flags = run.split(" ").filter((argument) => argument.startsWith("--max-"));
 execFileSync("node", [...flags, "target/make-code-cache.js"], { stdio: "inherit" });
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -3,47 +3,49 @@
 import jsdoc from "eslint-plugin-jsdoc";
 import tseslint from "typescript-eslint";
 
-// Biome formats and lints what one file shows. ESLint adds only what needs types, names, limits of size, doc comments
-// and the borders between folders. An exception stands in the code, next to its reason: a disable comment that
-// disables nothing is an error.
+// Biome formats the code and applies lint rules that look at a single file. ESLint only adds rules that need types, and
+// rules on names, function size, doc comments and imports between folders. Exceptions are disable comments in the code,
+// next to their reason; an unused disable comment is an error.
 
 const SOURCES = ["src/**/*.ts"];
 const CORE = ["src/core/**/*.ts"];
-/** Where words of the wire and of settings stand as properties: as others write them. */
-const WIRE = ["src/config/**/*.ts", "src/protocol/**/*.ts", "test/**/*.ts", "tools/**/*.ts"];
+/** Files in which properties may have the names of fields on the wire and in settings. */
+const EXTERNAL_NAMES = ["src/config/**/*.ts", "src/protocol/**/*.ts", "test/**/*.ts", "tools/**/*.ts"];
 
-const camel = { format: ["camelCase"], leadingUnderscore: "allow" };
+const camelCase = { format: ["camelCase"], leadingUnderscore: "allow" };
 const constant = { format: ["camelCase", "UPPER_CASE"] };
 const properties = ["objectLiteralProperty", "typeProperty"];
 const noInterfacePrefix = { regex: "^I[A-Z]", match: false };
-const names = ({ wire }) => {
-  const given = { format: wire ? null : ["camelCase", "PascalCase"] };
+const namingRules = ({ allowExternalNames }) => {
+  const destructured = { format: allowExternalNames ? null : ["camelCase", "PascalCase"] };
   return [
-    { selector: "default", ...camel },
-    // Names that others gave: default and namespace imports, and classes out of `await import(...)`.
+    { selector: "default", ...camelCase },
+    // Names chosen by other packages: default and namespace imports, and classes destructured from `await import(...)`.
     { selector: "import", format: ["camelCase", "PascalCase"] },
-    { selector: "variable", modifiers: ["destructured"], ...given },
-    { selector: "variable", modifiers: ["const", "global", "destructured"], ...given },
+    { selector: "variable", modifiers: ["destructured"], ...destructured },
+    { selector: "variable", modifiers: ["const", "global", "destructured"], ...destructured },
     { selector: "variable", modifiers: ["const", "global"], ...constant },
     { selector: "classProperty", modifiers: ["static", "readonly"], ...constant },
     { selector: "typeLike", format: ["PascalCase"] },
     { selector: "interface", format: ["PascalCase"], custom: noInterfacePrefix },
     { selector: "enumMember", format: ["PascalCase"] },
-    // Headers, paths and the like can't be names.
+    // Headers, paths and other keys that are not valid identifiers.
     { selector: properties, modifiers: ["requiresQuotes"], format: null },
-    // Fields of log lines and of the status are an interface of operators, in snake_case.
-    ...(wire ? [] : [{ selector: "objectLiteralProperty", format: ["camelCase", "snake_case"] }]),
-    ...(wire ? [{ selector: properties, format: null }] : []),
-    ...(wire ? [{ selector: "parameter", modifiers: ["destructured"], format: null }] : []),
+    // Fields of log lines and of the status are an interface for operators and use snake_case.
+    ...(allowExternalNames
+      ? []
+      : [{ selector: "objectLiteralProperty", format: ["camelCase", "snake_case"] }]),
+    ...(allowExternalNames ? [{ selector: properties, format: null }] : []),
+    ...(allowExternalNames ? [{ selector: "parameter", modifiers: ["destructured"], format: null }] : []),
   ];
 };
 
-const exported = ["ExportNamedDeclaration", "ExportDefaultDeclaration"];
+const exportDeclarations = ["ExportNamedDeclaration", "ExportDefaultDeclaration"];
 const publicMethod =
   ":matches(MethodDefinition, TSAbstractMethodDefinition)[kind=/^(method|get)$/]" +
   "[key.type!='PrivateIdentifier']:not([accessibility=/^(private|protected)$/])";
 
-const exact = (word) => word.replaceAll(/[$.*+?^()[\]{}|\\]/g, "\\$&");
+const escapeRegExp = (text) => text.replaceAll(/[$.*+?^()[\]{}|\\]/g, "\\$&");
 const impureModules = [
   ...builtinModules.filter((name) => !name.startsWith("node:")),
   "rxjs",
@@ -51,18 +53,18 @@
   "pino",
 ];
 const impureGlobals = {
-  Date: "Time comes in with each command.",
-  performance: "Time comes in with each command.",
-  setTimeout: "Ask for a wake-up by an effect.",
-  setInterval: "Ask for a wake-up by an effect.",
-  setImmediate: "Ask for a wake-up by an effect.",
+  Date: "Use the time passed in with each command.",
+  performance: "Use the time passed in with each command.",
+  setTimeout: "Request a wake-up with an effect.",
+  setInterval: "Request a wake-up with an effect.",
+  setImmediate: "Request a wake-up with an effect.",
   queueMicrotask: "Return effects.",
-  process: "Settings come in by the constructor.",
-  console: "Log by an effect.",
-  fetch: "Ask outside systems by an effect.",
-  crypto: "Random numbers come from the seeded generator.",
+  process: "Settings are passed to the constructor.",
+  console: "Log with an effect.",
+  fetch: "Call external systems with an effect.",
+  crypto: "Use the seeded random number generator.",
 };
-const pure = "src/core is pure: commands and time in, effects out.";
+const pureCore = "src/core is pure: its input is commands and the time, its output is effects.";
 
 export default defineConfig(
   globalIgnores(["target/", "journal/", "node_modules/"]),
@@ -71,7 +73,7 @@
     files: ["**/*.ts"],
     languageOptions: {
       parser: tseslint.parser,
-      // Not projectService: one program is built anyway, and this is no slower.
+      // projectService would be no faster, since a single program is built in either case.
       parserOptions: { project: "./tsconfig.json", tsconfigRootDir: import.meta.dirname },
     },
     linterOptions: { reportUnusedDisableDirectives: "error" },
@@ -80,19 +82,20 @@
       "@typescript-eslint/no-floating-promises": [
         "error",
         {
-          // The runner waits for these itself.
+          // The test runner awaits these itself.
           allowForKnownSafeCalls: [
             { from: "package", package: "node:test", name: ["describe", "it", "suite", "test"] },
           ],
         },
       ],
-      // Express 5 takes a handler's promise and passes its rejection on; its types say so, and need no exemption.
+      // Express 5 forwards rejections of asynchronous handlers, and its types allow them, so no exemption is needed.
       "@typescript-eslint/no-misused-promises": "error",
       "@typescript-eslint/only-throw-error": "error",
       "@typescript-eslint/prefer-promise-reject-errors": "error",
       "@typescript-eslint/require-await": "error",
       "@typescript-eslint/return-await": ["error", "in-try-catch"],
-      // Each member needs its case; `default: x satisfies never` may stand beside them, a default in their place not.
+      // Every member needs its own case. `default: x satisfies never` is allowed in addition, but a default does not
+      // replace a case.
       "@typescript-eslint/switch-exhaustiveness-check": [
         "error",
         { allowDefaultCaseForExhaustiveSwitch: true, considerDefaultExhaustiveForUnions: false },
@@ -101,16 +104,18 @@
         "error",
         { allowConstantLoopConditions: "only-allowed-literals" },
       ],
-      "@typescript-eslint/naming-convention": ["error", ...names({ wire: false })],
+      "@typescript-eslint/naming-convention": ["error", ...namingRules({ allowExternalNames: false })],
     },
   },
   {
-    name: "names on the wire",
-    files: WIRE,
-    rules: { "@typescript-eslint/naming-convention": ["error", ...names({ wire: true })] },
+    name: "external names",
+    files: EXTERNAL_NAMES,
+    rules: {
+      "@typescript-eslint/naming-convention": ["error", ...namingRules({ allowExternalNames: true })],
+    },
   },
   {
-    name: "size of functions",
+    name: "function size",
     files: SOURCES,
     rules: {
       "max-lines-per-function": ["error", { max: 60, skipBlankLines: true, skipComments: true }],
@@ -126,11 +131,11 @@
       "jsdoc/require-jsdoc": [
         "error",
         {
-          // Written by hand or not at all: a fixer would write empty ones.
+          // A fixer would insert empty doc comments.
           enableFixer: false,
           require: { FunctionDeclaration: false },
-          // Not publicOnly: that takes the comment of a class for one of each of its methods.
-          contexts: exported.flatMap((path) => [
+          // Not `publicOnly`, which accepts the doc comment of a class in place of those of its methods.
+          contexts: exportDeclarations.flatMap((path) => [
             `${path} > :matches(ClassDeclaration, FunctionDeclaration)`,
             `${path} > :matches(TSInterfaceDeclaration, TSTypeAliasDeclaration)`,
             `${path} > ClassDeclaration > ClassBody > ${publicMethod}`,
@@ -141,40 +146,40 @@
     },
   },
   {
-    name: "core is pure",
+    name: "pure core",
     files: CORE,
     rules: {
       "no-restricted-imports": [
         "error",
         {
           patterns: [
-            { regex: `^(node:.*|(${impureModules.map(exact).join("|")})(/.*)?)$`, message: pure },
+            { regex: `^(node:.*|(${impureModules.map(escapeRegExp).join("|")})(/.*)?)$`, message: pureCore },
             {
               regex: "^\\.{1,2}/(.*/)?(protocol|shell)(/|$)",
-              message: "src/core knows neither wire nor shell.",
+              message: "src/core must not import src/protocol or src/shell.",
             },
           ],
         },
       ],
-      // The rule above sees neither of these.
+      // The rule above does not check dynamic imports and import types.
       "no-restricted-syntax": [
         "error",
-        { selector: "ImportExpression", message: `${pure} Import statically.` },
-        { selector: "TSImportType", message: "Import the type by name, at the top." },
+        { selector: "ImportExpression", message: `${pureCore} Use a static import.` },
+        { selector: "TSImportType", message: "Import the type by name at the top of the file." },
       ],
       "no-restricted-globals": [
         "error",
         {
           globals: Object.entries(impureGlobals).map(([name, message]) => ({
             name,
-            message: `${pure} ${message}`,
+            message: `${pureCore} ${message}`,
           })),
           checkGlobalObject: true,
         },
       ],
       "no-restricted-properties": [
         "error",
-        { object: "Math", property: "random", message: `${pure} ${impureGlobals.crypto}` },
+        { object: "Math", property: "random", message: `${pureCore} ${impureGlobals.crypto}` },
       ],
     },
   },
--- a/tools/loopback/agent-fleet.ts
+++ b/tools/loopback/agent-fleet.ts
@@ -19,37 +19,37 @@
   readonly endTimer: NodeJS.Timeout;
 }
 
-/** A command in the words of the wire. */
+/** A command in wire format. */
 interface WireCommand {
   readonly verb: "launch" | "stop" | "clear";
   readonly piece: string;
   readonly try: number;
 }
 
-/** A command batch in the words of the wire. */
+/** A command batch in wire format. */
 interface WireBatch {
   readonly baton: number;
   readonly shift: number;
   readonly orders: readonly WireCommand[];
 }
 
-/** What a heartbeat is answered with, in the words of the wire. */
+/** The reply to a heartbeat in wire format; a redirect names the leader in `steward`. */
 interface WireReply {
   readonly baton?: number;
   readonly orders?: readonly WireCommand[];
   readonly steward?: string;
 }
 
-/** How the agents of a fleet behave. */
+/** Options that apply to all agents of a fleet. */
 export interface FleetOptions {
   readonly nodes: readonly { readonly host: string; readonly port: number; readonly name: string }[];
   readonly heartbeatMs: number;
   readonly leaseMs: number;
-  /** How long the tasks of a job run. */
+  /** Returns the run time of a job's tasks. */
   readonly runMs: (uid: string) => number;
 }
 
-/** One stand-in agent: sends heartbeats, executes commands, loses all tasks with its lease. */
+/** A fake agent: sends heartbeats and executes commands. When its lease expires, all its tasks end. */
 class FakeAgent {
   readonly machine: string;
   readonly address: string;
@@ -73,7 +73,7 @@
     this.#nodeIndex = index % fleet.options.nodes.length;
   }
 
-  /** Runs until the process ends. */
+  /** Starts the agent, which runs until the process exits. */
   start(): void {
     const [host, port] = this.address.split(":");
     net.createServer((socket) => this.#server.emit("connection", socket)).listen(Number(port), host);
@@ -81,7 +81,7 @@
     setInterval(() => this.#checkLease(), LEASE_CHECK_MS);
   }
 
-  /** Executes a command batch, unless it is an earlier leader's or for an earlier incarnation. */
+  /** Executes a command batch, unless its fencing token is outdated or it is for another incarnation. */
   async #serve(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
     const batch = (await readBody(req)) as WireBatch;
     this.#checkLease();
@@ -102,7 +102,7 @@
     this.#incarnation++;
     this.#fleet.expiredLeases++;
     this.#leaseRenewedAt = performance.now();
-    this.#hastenHeartbeat();
+    this.#expediteHeartbeat();
   }
 
   #nextHeartbeat(): object {
@@ -131,8 +131,8 @@
     this.#timer = setTimeout(() => this.#sendHeartbeat(), delayMs);
   }
 
-  /** Something has changed: the next heartbeat goes out as soon as it may. */
-  #hastenHeartbeat(): void {
+  /** Sends the next heartbeat as early as the minimum interval permits, to report a change. */
+  #expediteHeartbeat(): void {
     if (this.#isAwaitingReply) return;
     this.#scheduleHeartbeat(Math.max(0, MIN_HEARTBEAT_INTERVAL_MS - (performance.now() - this.#sentAt)));
   }
@@ -184,13 +184,13 @@
     const { baton = 0, orders = [] } = answer ?? {};
     if (incarnation !== this.#incarnation || baton < this.#fencingToken) return;
     this.#fleet.answeredHeartbeats++;
-    if (baton > this.#fencingToken) this.#hastenHeartbeat();
+    if (baton > this.#fencingToken) this.#expediteHeartbeat();
     this.#fencingToken = baton;
     this.#leaseRenewedAt = sentAt;
     for (const command of orders) this.#execute(command);
   }
 
-  /** Turns to the leader that a node names; false if it names none, or that node itself. */
+  /** Switches to the leader named in a redirect; returns false if none is named or the node names itself. */
   #followRedirect(leader: string | undefined): boolean {
     const leaderIndex = this.#fleet.options.nodes.findIndex(({ name }) => name === leader);
     if (leaderIndex < 0 || leaderIndex === this.#nodeIndex) return false;
@@ -215,21 +215,21 @@
   }
 
   #launch(name: string, attempt: number): void {
-    const run: TaskRun = { machine: this.machine, attempt, beginMs: performance.now(), endMs: null };
+    const run: TaskRun = { machine: this.machine, attempt, startMs: performance.now(), endMs: null };
     const uid = name.slice(0, name.lastIndexOf("/"));
     const endTimer = setTimeout(() => this.#end(task, "done"), this.#fleet.options.runMs(uid));
     const task: Task = { name, attempt, phase: "running", exitReason: null, run, endTimer };
     this.tasks.push(task);
-    this.#fleet.history.begin(name, run);
+    this.#fleet.history.recordStart(name, run);
     this.#fleet.onTaskStart(name, attempt);
-    this.#hastenHeartbeat();
+    this.#expediteHeartbeat();
   }
 
   #end(task: Task, exitReason: string): void {
     endRun(task);
     task.phase = "ended";
     task.exitReason = exitReason;
-    this.#hastenHeartbeat();
+    this.#expediteHeartbeat();
   }
 }
 
@@ -238,16 +238,16 @@
   task.run.endMs ??= performance.now();
 }
 
-/** Thousands of stand-in agents in one process, each with an address of its own on the loopback range. */
+/** Thousands of fake agents in one process, each with its own loopback address. */
 export class AgentFleet {
   readonly agents: FakeAgent[] = [];
   readonly history = new RunHistory();
   readonly options: FleetOptions;
-  /** Called at each start of a task. */
+  /** Called at every start of a task. */
   onTaskStart: (task: string, attempt: number) => void = () => {};
-  /** Heartbeats that were answered with commands of the leader, or none. */
+  /** Number of heartbeats that renewed the agent's lease. */
   answeredHeartbeats = 0;
-  /** Heartbeats that were refused or not answered. */
+  /** Number of heartbeats that were rejected or got no reply; followed redirects are not counted. */
   failedHeartbeats = 0;
   expiredLeases = 0;
 
@@ -261,7 +261,7 @@
     for (const agent of this.agents) agent.start();
   }
 
-  /** Tasks on all machines, those that have ended but are not acknowledged included. */
+  /** Number of tasks on all machines, including ended tasks that are not acknowledged yet. */
   get taskCount(): number {
     return this.agents.reduce((sum, { tasks }) => sum + tasks.length, 0);
   }
--- a/tools/loopback/cloud-server.ts
+++ b/tools/loopback/cloud-server.ts
@@ -5,7 +5,7 @@
 const PAGE_SIZE = 500;
 const MACHINE_AGE_S = 60;
 
-/** The only machine type, in the words of the wire. */
+/** The only machine type, in wire format. */
 const MACHINE_TYPE = {
   name: "r16",
   cpus: 16,
@@ -19,7 +19,7 @@
   yards: ["a"],
 };
 
-/** A stand-in for the cloud with a fixed number of machines, all of them running: it provisions no more. */
+/** A fake cloud with a fixed set of running machines: it has no capacity for more, and terminating has no effect. */
 export class CloudServer {
   readonly #fleet: AgentFleet;
   readonly #server = createAsyncServer((req, res) => this.#serve(req, res));
@@ -28,7 +28,7 @@
     this.#fleet = fleet;
   }
 
-  /** Listens until the process ends. */
+  /** Listens until the process exits. */
   listen(port: number): void {
     this.#server.listen(port, "127.0.0.1");
   }
--- a/tools/loopback/cluster.ts
+++ b/tools/loopback/cluster.ts
@@ -3,14 +3,14 @@
 import { CLOUD_PORT, NODES, type NodeOptions, Nodes, STORE_PORT } from "./nodes.js";
 import { StoreServer } from "./store-server.js";
 
-/** How a cluster on loopback is made up. */
+/** Size and settings of a cluster on loopback. */
 export interface ClusterOptions extends NodeOptions {
   readonly machines: number;
-  /** How long the tasks of a job run. */
+  /** Returns the run time of a job's tasks. */
   readonly runMs: (uid: string) => number;
 }
 
-/** Everything on loopback: three controllers by a run line, and stand-ins for key-value store, cloud and agents. */
+/** A cluster on loopback: three real controllers, and fakes of the key-value store, the cloud and the agents. */
 export interface Cluster {
   readonly store: StoreServer;
   readonly fleet: AgentFleet;
@@ -18,7 +18,7 @@
   readonly deployFile: string;
 }
 
-/** Starts store and cloud; the caller starts nodes and agents. The run line is that of DEPLOY_FILE. */
+/** Starts the store and the cloud; the caller starts nodes and agents. Nodes use the run command of `DEPLOY_FILE`. */
 export function openCluster({ machines, runMs, ...options }: ClusterOptions): Cluster {
   const deployFile = process.env.DEPLOY_FILE ?? "deploy/service.toml";
   const store = new StoreServer();
--- a/tools/loopback/http.ts
+++ b/tools/loopback/http.ts
@@ -1,6 +1,6 @@
 import http from "node:http";
 
-/** The JSON body of a message; an empty object where there is none. */
+/** Returns the parsed JSON body of a message; an empty object if the body is empty. */
 export async function readBody(message: http.IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
   for await (const chunk of message) chunks.push(chunk as Buffer);
@@ -8,7 +8,7 @@
   return text === "" ? {} : JSON.parse(text);
 }
 
-/** Answers with a JSON body, unless the connection is closed or the request was answered before. */
+/** Responds with a JSON body, unless the connection is closed or a response has been sent before. */
 export function reply(res: http.ServerResponse, status: number, body: unknown): void {
   if (res.destroyed || res.headersSent) return;
   const text = JSON.stringify(body);
@@ -16,13 +16,16 @@
   res.end(text);
 }
 
-/** A server with an asynchronous handler. A request whose handler fails, as when its client was killed, is cut off. */
+/**
+ * Creates a server with an asynchronous handler. If the handler fails, for instance because the client was killed, the
+ * connection is closed without a response.
+ */
 export function createAsyncServer(
   serve: (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void>,
 ): http.Server {
   return http.createServer((req, res) => {
     serve(req, res).catch((error: unknown) => {
-      if (!res.destroyed) console.error(`fault in serving ${req.url}:`, error);
+      if (!res.destroyed) console.error(`handling of ${req.url} failed:`, error);
       res.destroy();
     });
   });
--- a/tools/loopback/nodes.ts
+++ b/tools/loopback/nodes.ts
@@ -4,15 +4,15 @@
 import { join } from "node:path";
 import { parse } from "smol-toml";
 
-/** Several measurements run beside each other with a base each. */
+/** Several measurements can run in parallel, each with its own port base. */
 const PORT_BASE = Number(process.env.PORT_BASE ?? 18_000);
-/** Where the stand-in key-value store listens. */
+/** Port of the fake key-value store. */
 export const STORE_PORT = PORT_BASE + 1;
-/** Where the stand-in cloud listens. */
+/** Port of the fake cloud. */
 export const CLOUD_PORT = PORT_BASE + 2;
 const CLIENT_PORT = PORT_BASE + 3;
 const PEER_PORT = PORT_BASE + 4;
-/** Where the stand-in agents listen, each at an address of its own. */
+/** Port of the fake agents, each of which has its own address. */
 export const AGENT_PORT = PORT_BASE + 5;
 const NODE_COUNT = 3;
 
@@ -23,31 +23,31 @@
   readonly cpusMax: number;
 }
 
-/** What the nodes' settings say. */
+/** Values for the nodes' settings files. */
 export interface NodeOptions {
   readonly maxConnections: number;
   readonly heartbeatS: number;
   readonly leaseS: number;
   readonly logLevel: string;
-  /** One large team where there are none. */
+  /** A single large team by default. */
   readonly teams?: readonly TeamOptions[];
-  /** The key-value store's limits. */
+  /** Limits of the key-value store. */
   readonly storeRps?: number;
   readonly storeWriteRps?: number;
 }
 
 const ONE_TEAM: readonly TeamOptions[] = [{ name: "red", cpus: 50_000, cpusMax: 100_000 }];
 
-/** Where the nodes listen for users and workers. */
+/** The nodes, with the addresses on which they serve users and agents. */
 export const NODES = Array.from({ length: NODE_COUNT }, (_, i) => ({
   name: `n${i}`,
   host: `127.0.1.${i + 1}`,
   port: CLIENT_PORT,
 }));
 
-/** The settings file of one node. */
+/** Returns the content of a node's settings file. */
 function renderSettings(node: number, options: NodeOptions): string {
-  const known = NODES.flatMap(({ name, host }, peer) =>
+  const peers = NODES.flatMap(({ name, host }, peer) =>
     node === peer ? [] : [`[[known]]\nnode = "${name}"\nsite = "a"\nendpoint = "${host}:${PEER_PORT}"`],
   );
   const teams = (options.teams ?? ONE_TEAM).map(
@@ -59,7 +59,7 @@
 site = "a"
 client_listen = "${host}:${CLIENT_PORT}"
 peer_bind = "${host}:${PEER_PORT}"
-${known.join("\n")}
+${peers.join("\n")}
 [endpoints]
 cloud = "127.0.0.1:${CLOUD_PORT}"
 state = "127.0.0.1:${STORE_PORT}"
@@ -85,7 +85,7 @@
 `;
 }
 
-/** Processor time and memory of a process, as the system accounts them. */
+/** CPU time and memory of a process, as accounted by the operating system. */
 export interface Usage {
   readonly cpuMs: number;
   readonly residentMb: number;
@@ -94,37 +94,37 @@
 
 const CLOCK_TICK_MS = 10;
 const KB_PER_MB = 1024;
-/** Fields of /proc/PID/stat, counted from the one after the process's name. */
+/** Indices of fields in `/proc/PID/stat`, starting after the process name. */
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
-/** The real program, three times, by the run line of a deploy file. */
+/** Three controller processes, started with the run command of a deploy file. */
 export class Nodes {
   readonly #options: NodeOptions;
   readonly #folder = mkdtempSync(join(tmpdir(), "hillspindle-loopback-"));
   readonly #children: (ChildProcess | null)[] = NODES.map(() => null);
-  readonly #runLine: string[];
-  /** The folder of the nodes' logs. */
-  readonly logs = join(this.#folder, "logs");
+  readonly #runCommand: string[];
+  /** Folder with one log file per node. */
+  readonly logFolder = join(this.#folder, "logs");
 
   constructor(options: NodeOptions, deployFile: string) {
     this.#options = options;
-    mkdirSync(this.logs);
+    mkdirSync(this.logFolder);
     const { run } = parse(readFileSync(deployFile, "utf8"));
-    if (typeof run !== "string") throw new TypeError(`${deployFile}: run: must be a run line`);
-    this.#runLine = run.split(" ");
+    if (typeof run !== "string") throw new TypeError(`${deployFile}: run: must be a command line`);
+    this.#runCommand = run.split(" ");
   }
 
-  /** Starts a node; its log is appended to what its earlier processes wrote. */
+  /** Starts a node; its log is appended to the log of its previous processes. */
   start(node: number): void {
     const path = join(this.#folder, `n${node}.toml`);
     writeFileSync(path, renderSettings(node, this.#options));
-    const [command = "node", ...args] = this.#runLine;
+    const [command = "node", ...args] = this.#runCommand;
     const child = spawn(command, [...args, path], {
       env: { ...process.env, LOG_LEVEL: this.#options.logLevel },
       stdio: ["ignore", "ignore", "pipe"],
     });
-    child.stderr.pipe(createWriteStream(join(this.logs, `n${node}.log`), { flags: "a" }));
+    child.stderr.pipe(createWriteStream(join(this.logFolder, `n${node}.log`), { flags: "a" }));
     child.once("exit", () => {
       if (this.#children[node] === child) this.#children[node] = null;
     });
@@ -136,7 +136,7 @@
     for (const node of NODES.keys()) this.start(node);
   }
 
-  /** Kills a node, without time to clean up. */
+  /** Kills a node with SIGKILL, so that it can't clean up. */
   kill(node: number): void {
     this.#children[node]?.kill("SIGKILL");
     this.#children[node] = null;
@@ -147,7 +147,7 @@
     for (const node of NODES.keys()) this.kill(node);
   }
 
-  /** What a node's process has used so far; nothing if it does not run. */
+  /** Returns the resource usage of a node's process so far; all zero if it is not running. */
   usage(node: number): Usage {
     const pid = this.#children[node]?.pid;
     if (pid === undefined) return { cpuMs: 0, residentMb: 0, peakMb: 0 };
@@ -162,10 +162,10 @@
   }
 }
 
-const ASK_TIMEOUT_MS = 2000;
+const CALL_TIMEOUT_MS = 2000;
 
-/** Asks a node; null if it refuses, or does not answer in time. */
-export async function ask(
+/** Sends a request to a node and returns the response body; null on an error status, a failure or a timeout. */
+export async function callNode(
   index: number,
   path: string,
   body?: unknown,
@@ -176,7 +176,7 @@
     const init = body === undefined ? {} : { method: "POST", body: JSON.stringify(body) };
     const response = await fetch(`http://${node.host}:${node.port}${path}`, {
       ...init,
-      signal: AbortSignal.timeout(ASK_TIMEOUT_MS),
+      signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
     });
     return response.ok ? ((await response.json()) as Record<string, unknown>) : null;
   } catch {
@@ -184,28 +184,27 @@
   }
 }
 
-/** Changes operators' settings at the first node. */
+/** Changes operator settings through the first node. */
 export async function changeSettings(changes: Record<string, unknown>): Promise<void> {
   const [node] = NODES;
   const init = { method: "PATCH", body: JSON.stringify(changes) };
   await fetch(`http://${node?.host}:${node?.port}/admin/settings`, init);
 }
 
-/** The node that leads under a valid leader lease; null if none does. */
+/** Returns the index of the leader; null if no node has a confirmed leader lease. */
 export async function findLeader(): Promise<number | null> {
   for (const node of NODES.keys()) {
-    const status = await ask(node, "/admin/status");
+    const status = await callNode(node, "/admin/status");
     if (status?.leading === true && status.confirmed === true) return node;
   }
   return null;
 }
 
-/** Resolves after a time. */
 export function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** A submission in the words of the wire: an array of small tasks, unless `overrides` says otherwise. */
+/** Returns a submission in wire format: by default an array of small tasks, with the given overrides. */
 export function jobBody(uid: string, tasks: number, cpus: number, overrides: object = {}): object {
   return {
     uid,
--- a/tools/loopback/run-history.ts
+++ b/tools/loopback/run-history.ts
@@ -1,40 +1,40 @@
-/** One run of a task on one machine, from its start to its end there. */
+/** One run of a task on a machine. */
 export interface TaskRun {
   readonly machine: string;
   readonly attempt: number;
-  readonly beginMs: number;
+  readonly startMs: number;
   /** Null while the task runs. */
   endMs: number | null;
 }
 
-/** Two runs of one task that overlap on two machines. */
+/** Two runs of a task that overlap in time on different machines. */
 export interface DuplicateRun {
   readonly task: string;
   readonly runs: readonly [TaskRun, TaskRun];
 }
 
-/** Everything that every stand-in agent has run, and a checker over the whole of it. */
+/** The history of all task runs on the fake agents, with a check for duplicated placements. */
 export class RunHistory {
   readonly #runs = new Map<string, TaskRun[]>();
-  /** Runs that have begun. */
-  begun = 0;
+  /** Number of runs started. */
+  startCount = 0;
 
   /** Records the start of a run. */
-  begin(task: string, run: TaskRun): void {
-    this.begun++;
+  recordStart(task: string, run: TaskRun): void {
+    this.startCount++;
     const runs = this.#runs.get(task);
     if (runs) runs.push(run);
     else this.#runs.set(task, [run]);
   }
 
-  /** Pairs of runs of one task that overlap on two machines. */
-  duplicates(): DuplicateRun[] {
+  /** Returns pairs of consecutive runs of a task that overlap on different machines. */
+  findDuplicates(): DuplicateRun[] {
     const found: DuplicateRun[] = [];
     for (const [task, runs] of this.#runs) {
-      const sorted = [...runs].sort((a, b) => a.beginMs - b.beginMs);
+      const sorted = [...runs].sort((a, b) => a.startMs - b.startMs);
       for (const [i, run] of sorted.entries()) {
         const next = sorted[i + 1];
-        if (next && next.machine !== run.machine && (run.endMs === null || run.endMs > next.beginMs))
+        if (next && next.machine !== run.machine && (run.endMs === null || run.endMs > next.startMs))
           found.push({ task, runs: [run, next] });
       }
     }
--- a/tools/loopback/store-server.ts
+++ b/tools/loopback/store-server.ts
@@ -15,46 +15,46 @@
 
 type StoreCall = Exclude<StoreRequest, { kind: "watch" }>;
 
-/** A change in the words of the wire. */
+/** A change in wire format. */
 type WireChange =
   | { readonly write: string; readonly value: unknown; readonly tenure?: number }
   | { readonly delete: string };
 
-/** The body of a request in the words of the wire; each request has some of these fields. */
+/** The body of a request in wire format; each kind of request has some of these fields. */
 interface WireBody {
   readonly if?: readonly { readonly path: string; readonly stamp: number }[];
   readonly then?: readonly WireChange[];
   readonly life_ms?: number;
 }
 
-/** A stand-in for the key-value store: the test's store in memory, behind the wire protocol and in real time. */
+/** Serves the tests' in-memory fake of the key-value store over the wire protocol, in real time. */
 export class StoreServer {
   readonly store = new FakeStore();
-  /** Requests taken or refused since the start. */
+  /** Number of requests received. */
   requests = 0;
-  /** Requests refused for their rate. */
+  /** Number of requests rejected for exceeding the rate limit. */
   throttled = 0;
-  /** The most requests a second; bursts of one second's worth are taken. */
+  /** Maximum number of requests per second, with bursts of up to one second's worth. */
   rps = Number.POSITIVE_INFINITY;
-  #permits = 0;
-  #permitsAt = 0;
+  #tokens = 0;
+  #tokensAt = 0;
   #watches: Watch[] = [];
   readonly #server = createAsyncServer((req, res) => this.#serve(req, res));
 
-  /** Listens, expires leases and answers watches until the process ends. */
+  /** Listens, expires leases and responds to watches until the process exits. */
   listen(port: number): void {
     this.store.pageSize = PAGE_SIZE;
     this.#server.listen(port, "127.0.0.1");
     setInterval(() => {
       this.store.expire(performance.now());
-      this.#answerWatches();
+      this.#respondToWatches();
     }, SWEEP_MS);
   }
 
   async #serve(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
     this.requests++;
     const body = (await readBody(req)) as WireBody;
-    if (!this.#takePermit()) {
+    if (!this.#takeToken()) {
       this.throttled++;
       reply(res, 429, {});
       return;
@@ -72,18 +72,18 @@
     }
     const [status, answer] = this.#run(call);
     reply(res, status, answer);
-    if (call.kind === "transaction" || call.kind === "revokeLease") this.#answerWatches();
+    if (call.kind === "transaction" || call.kind === "revokeLease") this.#respondToWatches();
   }
 
-  /** A token bucket that holds one second's worth of requests. */
-  #takePermit(): boolean {
+  /** Takes a token from a bucket that holds up to one second's worth of requests; returns false if it is empty. */
+  #takeToken(): boolean {
     if (!Number.isFinite(this.rps)) return true;
     const now = performance.now();
-    const earned = ((now - this.#permitsAt) * this.rps) / 1000;
-    this.#permits = Math.min(this.rps, this.#permits + earned);
-    this.#permitsAt = now;
-    if (this.#permits < 1) return false;
-    this.#permits--;
+    const refilled = ((now - this.#tokensAt) * this.rps) / 1000;
+    this.#tokens = Math.min(this.rps, this.#tokens + refilled);
+    this.#tokensAt = now;
+    if (this.#tokens < 1) return false;
+    this.#tokens--;
     return true;
   }
 
@@ -94,7 +94,7 @@
       res,
       timeoutAt: performance.now() + Number(query.get("hold_ms") ?? 0),
     });
-    this.#answerWatches();
+    this.#respondToWatches();
   }
 
   #run(call: StoreCall): [status: number, body: unknown] {
@@ -121,7 +121,7 @@
       case "throttled":
         return [429, {}];
       case "unavailable":
-      // The store answers no call with any of these.
+      // The fake store returns none of these for a call.
       case "compacted":
       case "events":
       case "timeout":
@@ -129,7 +129,7 @@
     }
   }
 
-  #answerWatches(): void {
+  #respondToWatches(): void {
     const now = performance.now();
     this.#watches = this.#watches.filter((watch) => {
       const found = this.store.changesSince(watch.prefix, watch.after);
@@ -151,7 +151,7 @@
     : { delete: event.key, stamp: event.version };
 }
 
-/** A request in the words of the wire, as a call of the store; null if it is none. */
+/** Decodes a request into a store call; returns null if it is not a valid request. */
 function decodeCall(
   method: string,
   [root = "", ...rest]: readonly string[],
--- a/tools/loopback/user.ts
+++ b/tools/loopback/user.ts
@@ -3,28 +3,28 @@
 const ANSWER_TIMEOUT_MS = 5000;
 const MIN_PAUSE_MS = 1000;
 const MAX_PAUSE_MS = 30_000;
-/** A Retry-After this long reserves no permit. */
-const NO_RESERVATION_S = 30;
-const GIVE_UP_MS = 60_000;
+/** A 429 with a `Retry-After` of at least this long reserves no permit. */
+const MIN_UNRESERVED_RETRY_AFTER_S = 30;
+const SUBMIT_TIMEOUT_MS = 60_000;
 const POLL_INTERVAL_MS = 5000;
 const CANCEL_TRIES = 30;
 
 type Address = (typeof NODES)[number];
 
-/** What became of one submission, as its user saw it. */
+/** The course of one submission as seen by its user. */
 export interface Submission {
   readonly uid: string;
   readonly team: string;
-  readonly askedAt: number;
-  /** When the answer to the first attempt came. */
+  readonly submittedAt: number;
+  /** When the first attempt was answered or failed. */
   firstAnswerAt: number | null;
   acceptedAt: number | null;
-  /** Answers of 429. */
+  /** Number of responses with status 429. */
   throttled: number;
-  /** Attempts at the time that a 429 had reserved, by whether they were accepted or throttled again. */
-  keptReservations: number;
+  /** Number of retries at the time reserved by a 429 that were accepted, and that were throttled again. */
+  honoredReservations: number;
   brokenReservations: number;
-  /** Answers of 503 and attempts without an answer. */
+  /** Number of attempts that got another error status or no response. */
   failed: number;
   startedAt: number | null;
   doneAt: number | null;
@@ -40,16 +40,19 @@
   }
 }
 
-/** Submits as the protocol has users do it, at any node each time: again after the Retry-After, for a minute. */
+/**
+ * Submits a job as the protocol requires of users: each attempt goes to any node, and retries wait for `Retry-After`.
+ * Gives up after a minute. Returns whether the job was accepted.
+ */
 export async function submit(submission: Submission, body: object, anyNode: () => Address): Promise<boolean> {
   let isReserved = false;
-  while (performance.now() - submission.askedAt < GIVE_UP_MS) {
+  while (performance.now() - submission.submittedAt < SUBMIT_TIMEOUT_MS) {
     const response = await call(anyNode(), "/api/jobs", body);
     await response?.arrayBuffer();
     submission.firstAnswerAt ??= performance.now();
     const isThrottled = response?.status === 429;
     if (response?.ok) {
-      if (isReserved) submission.keptReservations++;
+      if (isReserved) submission.honoredReservations++;
       submission.acceptedAt = performance.now();
       return true;
     }
@@ -57,14 +60,14 @@
     else submission.failed++;
     if (isThrottled && isReserved) submission.brokenReservations++;
     const retryAfterS = Number(response?.headers.get("retry-after") ?? 0);
-    isReserved = isThrottled && retryAfterS < NO_RESERVATION_S;
+    isReserved = isThrottled && retryAfterS < MIN_UNRESERVED_RETRY_AFTER_S;
     await sleep(Math.min(MAX_PAUSE_MS, Math.max(MIN_PAUSE_MS, retryAfterS * 1000)));
   }
   return false;
 }
 
 /** Polls an accepted job until it is done or cancelled. */
-export async function pollUntilOver(uid: string, anyNode: () => Address): Promise<void> {
+export async function pollUntilEnded(uid: string, anyNode: () => Address): Promise<void> {
   for (;;) {
     await sleep(POLL_INTERVAL_MS);
     const response = await call(anyNode(), `/api/jobs/${uid}`);
@@ -73,7 +76,7 @@
   }
 }
 
-/** Cancels a job, again until a node accepts it. */
+/** Cancels a job, with retries until a node accepts the cancellation. */
 export async function cancel(uid: string, anyNode: () => Address): Promise<void> {
   for (let tries = 0; tries < CANCEL_TRIES; tries++) {
     const response = await call(anyNode(), `/api/jobs/${uid}/cancel`, {});
--- a/tools/measure-admission.ts
+++ b/tools/measure-admission.ts
@@ -1,10 +1,11 @@
 import { openCluster } from "./loopback/cluster.js";
 import { changeSettings, findLeader, jobBody, NODES, sleep } from "./loopback/nodes.js";
-import { cancel, pollUntilOver, type Submission, submit } from "./loopback/user.js";
+import { cancel, pollUntilEnded, type Submission, submit } from "./loopback/user.js";
 
 /**
- * Three real controllers on loopback; one team submits ten times what all submit together in quiet. What each team's users
- * see before, in and after that burst: answers, acceptance, starts, progress.
+ * Runs three real controllers on loopback. During a burst, one team submits ten times the normal rate of all teams
+ * together. Prints for each team, before, during and after the burst: response times, acceptance, task starts and
+ * completion.
  *   DEPLOY_FILE=deploy/admission.toml node target/test/tools/measure-admission.js [MACHINES] [BURST_S]
  */
 const machines = Number(process.argv[2] ?? 60);
@@ -16,18 +17,18 @@
 const LEASE_S = 14;
 const TASK_MS = 4000;
 const SERVICE_TASK_MS = 3_600_000;
-/** A service's users cancel it after this. */
+/** Time from the acceptance of a service to its cancellation by its users. */
 const SERVICE_MS = 15_000;
 const BURST_FACTOR = 10;
 const STORE_RPS = 150;
 const STORE_WRITE_RPS = 40;
 const VALUE_BYTES = 8192;
 const TXN_OPS = 32;
-const DONE_AFTER_MS = 60_000;
+const JOB_COMPLETION_MS = 60_000;
 const SETTLE_MS = 8000;
 const SUBMIT_TICK_MS = 10;
 
-/** A team's users: what they submit, and how often. */
+/** The jobs that the users of a team submit, and how often. */
 interface Users {
   readonly team: string;
   readonly everyMs: number;
@@ -43,7 +44,7 @@
 const BURST_EVERY_MS = 1000 / (BURST_FACTOR * USERS.reduce((sum, { everyMs }) => sum + 1000 / everyMs, 0));
 
 const submissions = new Map<string, Submission>();
-/** When tasks of each team started. */
+/** Start times of each team's tasks. */
 const startsByTeam = new Map<string, number[]>();
 const { store, fleet, nodes, deployFile } = openCluster({
   machines,
@@ -83,11 +84,11 @@
   const submission: Submission = {
     uid,
     team,
-    askedAt: performance.now(),
+    submittedAt: performance.now(),
     firstAnswerAt: null,
     acceptedAt: null,
     throttled: 0,
-    keptReservations: 0,
+    honoredReservations: 0,
     brokenReservations: 0,
     failed: 0,
     startedAt: null,
@@ -102,12 +103,12 @@
     await sleep(SERVICE_MS);
     await cancel(uid, anyNode);
   } else {
-    await pollUntilOver(uid, anyNode);
+    await pollUntilEnded(uid, anyNode);
     submission.doneAt = performance.now();
   }
 }
 
-/** Users who submit one job after another, from one second of the run until another. */
+/** Submits a job every `everyMs`, from second `fromS` of the run until second `untilS`. */
 function keepSubmitting(users: Users, fromS: number, untilS: number, everyMs: number): void {
   let dueAt = beganAt + fromS * 1000;
   const timer = setInterval(() => {
@@ -119,16 +120,16 @@
   }, SUBMIT_TICK_MS);
 }
 
-/** Median, 95th percentile and worst, in milliseconds. */
-function describeSpread(values: readonly number[]): string {
+/** Formats the median, 95th percentile and maximum of durations in milliseconds. */
+function describeLatencies(values: readonly number[]): string {
   if (values.length === 0) return "-";
   const sorted = [...values].sort((a, b) => a - b);
-  const at = (part: number) =>
-    Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? 0);
+  const at = (quantile: number) =>
+    Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * quantile))] ?? 0);
   return `${at(0.5)}/${at(0.95)}/${at(1)}`;
 }
 
-/** The longest time in a phase in which no task of a team started. */
+/** Returns the longest time within a phase in which no task of a team started. */
 function longestGapS(team: string, fromS: number, untilS: number): number {
   const from = beganAt + fromS * 1000;
   const until = beganAt + untilS * 1000;
@@ -142,36 +143,36 @@
   return Math.round(longestMs / 100) / 10;
 }
 
-/** What a team's users saw of the jobs that they first submitted within a phase. */
+/** Describes the jobs that a team's users first submitted within a phase, as seen by those users. */
 function describeTeam(team: string, fromS: number, untilS: number): string {
   const isInPhase = (at: number) => secondOf(at) >= fromS && secondOf(at) < untilS;
-  const own = [...submissions.values()].filter(
-    (submission) => submission.team === team && isInPhase(submission.askedAt),
+  const submissionsInPhase = [...submissions.values()].filter(
+    (submission) => submission.team === team && isInPhase(submission.submittedAt),
   );
   const sum = (countOf: (submission: Submission) => number) =>
-    own.reduce((total, submission) => total + countOf(submission), 0);
+    submissionsInPhase.reduce((total, submission) => total + countOf(submission), 0);
   const latenciesMs = (timeOf: (submission: Submission) => number | null) =>
-    own.flatMap((submission) => {
+    submissionsInPhase.flatMap((submission) => {
       const at = timeOf(submission);
-      return at === null ? [] : [at - submission.askedAt];
+      return at === null ? [] : [at - submission.submittedAt];
     });
   const acceptedMs = latenciesMs(({ acceptedAt }) => acceptedAt);
-  const firstAnswer = describeSpread(latenciesMs(({ firstAnswerAt }) => firstAnswerAt));
-  const started = describeSpread(latenciesMs(({ startedAt }) => startedAt));
-  const done = describeSpread(latenciesMs(({ doneAt }) => doneAt));
-  const kept = sum(({ keptReservations }) => keptReservations);
+  const firstAnswer = describeLatencies(latenciesMs(({ firstAnswerAt }) => firstAnswerAt));
+  const started = describeLatencies(latenciesMs(({ startedAt }) => startedAt));
+  const done = describeLatencies(latenciesMs(({ doneAt }) => doneAt));
+  const honored = sum(({ honoredReservations }) => honoredReservations);
   const broken = sum(({ brokenReservations }) => brokenReservations);
   const starts = (startsByTeam.get(team) ?? []).filter(isInPhase).length;
   return (
-    `${team}: ${own.length} submitted, ${acceptedMs.length} accepted, first answer ${firstAnswer}, ` +
-    `accepted ${describeSpread(acceptedMs)}, started ${started}, done ${done}, ` +
-    `429 ${sum(({ throttled }) => throttled)} (back at the time promised: ${kept} taken, ${broken} not), ` +
-    `503 or none ${sum(({ failed }) => failed)}, ${starts} tasks began, longest gap ${longestGapS(team, fromS, untilS)} s`
+    `${team}: ${submissionsInPhase.length} submitted, ${acceptedMs.length} accepted, first response ${firstAnswer}, ` +
+    `accepted ${describeLatencies(acceptedMs)}, started ${started}, done ${done}, ` +
+    `429 ${sum(({ throttled }) => throttled)} (retries at the reserved time: ${honored} accepted, ${broken} throttled), ` +
+    `other errors or no response ${sum(({ failed }) => failed)}, ${starts} tasks started, longest gap ${longestGapS(team, fromS, untilS)} s`
   );
 }
 
 function printPhase(name: string, fromS: number, untilS: number): void {
-  console.log(`${name} (${fromS} to ${untilS} s); times are median/95%/worst in ms`);
+  console.log(`${name} (${fromS} to ${untilS} s); times are median/95%/maximum in ms`);
   for (const { team } of USERS) console.log(`  ${describeTeam(team, fromS, untilS)}`);
 }
 
@@ -179,7 +180,7 @@
   nodes.startAll();
   while ((await findLeader()) === null) await sleep(500);
   fleet.start();
-  // A stand-in agent goes on after its machine is terminated: so none is.
+  // Prevents scale-in during the run, because a fake agent keeps running after its machine is terminated.
   await changeSettings({ idle_s: 86_400 });
   await sleep(SETTLE_MS);
   beganAt = performance.now();
@@ -188,17 +189,17 @@
   for (const users of USERS) keepSubmitting(users, 0, endS, users.everyMs);
   const flood = USERS.filter(({ team }) => team === "flood");
   for (const users of flood) keepSubmitting(users, QUIET_S, burstEndS, BURST_EVERY_MS);
-  await sleep((endS + DRAIN_S) * 1000 + DONE_AFTER_MS / 2);
-  console.log(`${deployFile}, ${machines} workers, ${STORE_WRITE_RPS} changes a second`);
+  await sleep((endS + DRAIN_S) * 1000 + JOB_COMPLETION_MS / 2);
+  console.log(`${deployFile}, ${machines} machines, ${STORE_WRITE_RPS} store changes per second`);
   printPhase("before", 0, QUIET_S);
   printPhase("burst", QUIET_S, burstEndS);
   printPhase("after", burstEndS, endS);
   console.log(
-    `state service: ${store.throttled} requests and ${store.store.throttledTransactions} transactions refused for their rate; ` +
-      `duplicated placements ${fleet.history.duplicates().length}, leases lost ${fleet.expiredLeases}`,
+    `key-value store: ${store.throttled} requests and ${store.store.throttledTransactions} transactions throttled; ` +
+      `duplicated placements ${fleet.history.findDuplicates().length}, expired leases ${fleet.expiredLeases}`,
   );
 } finally {
   nodes.killAll();
-  console.log(`logs: ${nodes.logs}`);
+  console.log(`logs: ${nodes.logFolder}`);
   process.exit();
 }
--- a/tools/measure-fleet.ts
+++ b/tools/measure-fleet.ts
@@ -1,10 +1,11 @@
 import { openCluster } from "./loopback/cluster.js";
-import { ask, findLeader, jobBody, NODES, sleep } from "./loopback/nodes.js";
+import { callNode, findLeader, jobBody, NODES, sleep } from "./loopback/nodes.js";
 
 /**
- * Three real controllers on loopback with thousands of stand-in agents: memory and processor time per heartbeat and
- * machine, in the steady state, after a failover, after a restart of all nodes, and with one node left.
- *   node target/test/tools/measure-fleet.js MACHINES [TASKS_A_MACHINE]
+ * Runs three real controllers on loopback with thousands of fake agents. Measures memory and CPU time per heartbeat in
+ * the steady state, and expired agent leases after a failover, a restart of all nodes and the loss of two nodes. For the
+ * remaining node it also measures memory and user response times.
+ *   node target/test/tools/measure-fleet.js MACHINES [TASKS_PER_MACHINE]
  */
 const machines = Number(process.argv[2] ?? 1000);
 const tasksPerMachine = Number(process.argv[3] ?? 8);
@@ -15,11 +16,11 @@
 const TASK_MS = 3_600_000;
 const STEADY_MS = 20_000;
 const POLL_MS = 500;
-const POLLS = 240;
+const MAX_POLLS = 240;
 const USER_INTERVAL_MS = 250;
-/** Users begin once the node that is left can have been elected. */
+/** User load starts after this delay, by which the remaining node should have been elected. */
 const ELECTION_MS = 15_000;
-const LAST_NODE_LINES = 9;
+const LAST_NODE_SAMPLES = 9;
 
 const maxConnections = Number(process.env.MAX_CONNECTIONS ?? Math.ceil(machines * 0.6) + 300);
 const { store, fleet, nodes } = openCluster({
@@ -31,11 +32,11 @@
   logLevel: "info",
 });
 
-/** Users at one node: a job submitted and polled, again and again. How long each answer took, and how many never came. */
+/** Repeatedly submits and polls a job at one node, and records response times and failures. */
 class UserLoad {
   readonly #node: number;
   readonly #latenciesMs: number[] = [];
-  #unanswered = 0;
+  #failed = 0;
   #timer: NodeJS.Timeout | null = null;
   #submitted = 0;
 
@@ -53,38 +54,41 @@
 
   async #submitAndPoll(): Promise<void> {
     const uid = `j-7${++this.#submitted}`;
-    await this.#time(() => ask(this.#node, "/api/jobs", jobBody(uid, 1, 0.5)));
-    await this.#time(() => ask(this.#node, `/api/jobs/${uid}`));
+    await this.#time(() => callNode(this.#node, "/api/jobs", jobBody(uid, 1, 0.5)));
+    await this.#time(() => callNode(this.#node, `/api/jobs/${uid}`));
   }
 
   async #time(request: () => Promise<unknown>): Promise<void> {
-    const askedAt = performance.now();
-    if ((await request()) === null) this.#unanswered++;
-    else this.#latenciesMs.push(performance.now() - askedAt);
+    const sentAt = performance.now();
+    if ((await request()) === null) this.#failed++;
+    else this.#latenciesMs.push(performance.now() - sentAt);
   }
 
   describe(): string {
     const sorted = [...this.#latenciesMs].sort((a, b) => a - b);
-    const at = (part: number) => Math.round(sorted[Math.floor(part * (sorted.length - 1))] ?? 0);
-    return `${sorted.length} requests of users answered in ${at(0.5)}/${at(0.95)}/${at(1)} ms (median/95%/worst), ${this.#unanswered} refused or not answered in 2 s`;
+    const at = (quantile: number) => Math.round(sorted[Math.floor(quantile * (sorted.length - 1))] ?? 0);
+    return `${sorted.length} user requests answered in ${at(0.5)}/${at(0.95)}/${at(1)} ms (median/95%/maximum), ${this.#failed} rejected or not answered within 2 s`;
   }
 }
 
-async function waitFor(what: string, isTrue: () => Promise<boolean> | boolean): Promise<void> {
-  for (let i = 0; i < POLLS; i++) {
-    if (await isTrue()) return;
+async function waitFor(condition: string, isMet: () => Promise<boolean> | boolean): Promise<void> {
+  for (let i = 0; i < MAX_POLLS; i++) {
+    if (await isMet()) return;
     await sleep(POLL_MS);
   }
-  throw new Error(`never came: ${what}`);
+  throw new Error(`timed out waiting for ${condition}`);
 }
 
 async function fillMachines(): Promise<void> {
   const tasks = machines * tasksPerMachine;
   for (let i = 0; i < JOBS; i++) {
     const body = jobBody(`j-${i}`, tasks / JOBS, 1.5);
-    await waitFor(`job ${i}`, async () => (await ask(i % NODES.length, "/api/jobs", body)) !== null);
+    await waitFor(
+      `job ${i} to be accepted`,
+      async () => (await callNode(i % NODES.length, "/api/jobs", body)) !== null,
+    );
   }
-  await waitFor("all tasks placed", () => fleet.taskCount >= tasks);
+  await waitFor("all tasks to be placed", () => fleet.taskCount >= tasks);
 }
 
 async function measureSteadyState(leader: number): Promise<void> {
@@ -95,10 +99,10 @@
   const heartbeats = fleet.answeredHeartbeats - heartbeatsBefore;
   const requests = store.requests - requestsBefore;
   console.log(
-    `machines ${machines}, tasks ${fleet.taskCount}, max_connections ${maxConnections}, leases lost ${fleet.expiredLeases}`,
+    `machines ${machines}, tasks ${fleet.taskCount}, max_connections ${maxConnections}, expired leases ${fleet.expiredLeases}`,
   );
   console.log(
-    `steady: ${(heartbeats * 1000) / STEADY_MS} reports/s, ${(requests * 1000) / STEADY_MS} state requests/s`,
+    `steady state: ${(heartbeats * 1000) / STEADY_MS} heartbeats/s, ${(requests * 1000) / STEADY_MS} store requests/s`,
   );
   for (const node of NODES.keys()) {
     const { cpuMs, residentMb, peakMb } = nodes.usage(node);
@@ -110,7 +114,7 @@
     (sum, _, node) => sum + nodes.usage(node).cpuMs - (cpuMsBefore[node] ?? 0),
     0,
   );
-  console.log(`processor time per report, all nodes: ${((totalCpuMs * 1000) / heartbeats).toFixed(0)} us`);
+  console.log(`CPU time per heartbeat, all nodes: ${((totalCpuMs * 1000) / heartbeats).toFixed(0)} us`);
 }
 
 async function measureFailover(leader: number, expiredBefore: number): Promise<void> {
@@ -120,10 +124,12 @@
     const next = await findLeader();
     return next !== null && next !== leader;
   });
-  console.log(`failover: led again after ${Math.round(performance.now() - killedAt)} ms`);
+  console.log(`failover: next leader after ${Math.round(performance.now() - killedAt)} ms`);
   nodes.start(leader);
   await sleep(2 * LEASE_MS);
-  console.log(`after failover: ${fleet.expiredLeases - expiredBefore} leases lost, ${fleet.taskCount} tasks`);
+  console.log(
+    `after failover: ${fleet.expiredLeases - expiredBefore} expired leases, ${fleet.taskCount} tasks`,
+  );
 }
 
 async function measureRestart(expiredBefore: number): Promise<void> {
@@ -132,11 +138,11 @@
   nodes.startAll();
   await sleep(2 * LEASE_MS);
   console.log(
-    `after restart of all: ${fleet.expiredLeases - expiredBefore} leases lost, ${fleet.taskCount} tasks`,
+    `after restart of all nodes: ${fleet.expiredLeases - expiredBefore} expired leases, ${fleet.taskCount} tasks`,
   );
 }
 
-/** A follower is the one that is left: it has to be elected, too, before it can answer. */
+/** Leaves a single follower running, which must be elected before it can accept heartbeats. */
 async function measureLastNode(expiredBefore: number): Promise<void> {
   const leader = (await findLeader()) ?? 0;
   const lastNode = (leader + 1) % NODES.length;
@@ -144,18 +150,20 @@
   const { failedHeartbeats, answeredHeartbeats } = fleet;
   const users = new UserLoad(lastNode);
   const startTimer = setTimeout(() => users.start(), ELECTION_MS);
-  for (let i = 0; i < LAST_NODE_LINES; i++) {
+  for (let i = 0; i < LAST_NODE_SAMPLES; i++) {
     await sleep(LEASE_MS / 3);
     console.log(
-      `  one node left: ${fleet.expiredLeases - expiredBefore} leases lost, ${fleet.answeredHeartbeats - answeredHeartbeats} reports answered, ${fleet.failedHeartbeats - failedHeartbeats} not, ${fleet.taskCount} tasks`,
+      `  one node left: ${fleet.expiredLeases - expiredBefore} expired leases, ${fleet.answeredHeartbeats - answeredHeartbeats} heartbeats answered, ${fleet.failedHeartbeats - failedHeartbeats} failed, ${fleet.taskCount} tasks`,
     );
   }
   clearTimeout(startTimer);
   users.stop();
-  const status = await ask(lastNode, "/admin/status");
-  console.log(`  beside them: ${users.describe()}; token ${status?.token}, confirmed ${status?.confirmed}`);
+  const status = await callNode(lastNode, "/admin/status");
+  console.log(
+    `  meanwhile: ${users.describe()}; fencing token ${status?.token}, confirmed ${status?.confirmed}`,
+  );
   const { residentMb, peakMb } = nodes.usage(lastNode);
-  console.log(`that node: ${residentMb} MB, peak ${peakMb} MB`);
+  console.log(`remaining node: ${residentMb} MB, peak ${peakMb} MB`);
 }
 
 try {
@@ -166,14 +174,14 @@
   await sleep(5000);
   const leader = (await findLeader()) ?? 0;
   await measureSteadyState(leader);
-  // The leases lost are counted from here on through all three.
+  // Expired leases are counted from here on, across the following three measurements.
   const expiredBefore = fleet.expiredLeases;
   await measureFailover(leader, expiredBefore);
   await measureRestart(expiredBefore);
   await measureLastNode(expiredBefore);
-  console.log(`duplicates: ${fleet.history.duplicates().length}`);
+  console.log(`duplicated placements: ${fleet.history.findDuplicates().length}`);
 } finally {
   nodes.killAll();
-  console.log(`logs: ${nodes.logs}`);
+  console.log(`logs: ${nodes.logFolder}`);
   process.exit();
 }
--- a/tools/measure-takeover.ts
+++ b/tools/measure-takeover.ts
@@ -1,10 +1,10 @@
 import { build as buildHistogram, type Histogram } from "hdr-histogram-js";
 import { openCluster } from "./loopback/cluster.js";
-import { ask, changeSettings, findLeader, jobBody, NODES, sleep } from "./loopback/nodes.js";
+import { callNode, changeSettings, findLeader, jobBody, NODES, sleep } from "./loopback/nodes.js";
 
 /**
- * Three real controllers on loopback under load; the leader is killed again and again. Failover times from the kill and
- * from the end of the leader's key, by phase, and duplicated placements over the whole history of every stand-in agent.
+ * Runs three real controllers on loopback under load and repeatedly kills the leader. Measures failover times by phase,
+ * from the kill and from the expiry of the leader's key, and duplicated placements over the history of all agents.
  *   DEPLOY_FILE=deploy/standby.toml node target/test/tools/measure-takeover.js [KILLS] [MACHINES] [LEASE_TTL_MS]
  */
 const kills = Number(process.argv[2] ?? 50);
@@ -18,15 +18,16 @@
 const JOBS_PER_SECOND = 4;
 const SUBMIT_TRIES = 30;
 const SUBMIT_PAUSE_MS = 500;
-/** Longer than a failover: what runs when the leader dies still runs when the next one places. */
+/** Longer than a failover, so that tasks running when the leader is killed still run when the next one places tasks. */
 const SHORT_TASK_MS = 12_000;
 const LONG_TASK_MS = 3_600_000;
 const START_TIMEOUT_MS = 20_000;
-/** A killed node comes back after this; then all is left alone until the next kill. */
+/** Delay from a failover to the restart of the killed node. */
 const RESTART_DELAY_MS = 4000;
+/** Pause from that restart to the next kill. */
 const SETTLE_MS = 6000;
 const POLL_MS = 20;
-/** An attempt's number is that of its leader's fencing token, times this, and a count. */
+/** An attempt number is the leader's fencing token multiplied by this, plus a counter. */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
 const LEADER_KEY = "c/leader";
 
@@ -49,50 +50,53 @@
   histogram.recordValue(Math.max(0, Math.round(ms)));
 }
 
-/** Submits one job, at the nodes in rotation until one accepts it. */
+/** Submits a job at the nodes in rotation until one accepts it; gives up after `SUBMIT_TRIES`. */
 async function submitUntilAccepted(index: number): Promise<void> {
   for (let tries = 0; tries < SUBMIT_TRIES; tries++) {
     const node = (index + tries) % NODES.length;
-    if (await ask(node, "/api/jobs", jobBody(`j-${index}`, 2, 0.5))) return;
+    if (await callNode(node, "/api/jobs", jobBody(`j-${index}`, 2, 0.5))) return;
     await sleep(SUBMIT_PAUSE_MS);
   }
 }
 
-/** Short jobs, one after the other, until the process ends: a start is always due. */
+/** Submits short jobs until the process exits, so that there is always a task to start. */
 function keepSubmitting(): void {
   let submitted = 0;
   setInterval(() => void submitUntilAccepted(++submitted), 1000 / JOBS_PER_SECOND);
 }
 
-/** The status of a node that leads under a higher fencing token than this one; null if none does yet. */
+/** Returns the status of a leader with a higher fencing token; null if there is none yet. */
 async function leaderAfter(fencingToken: number, killed: number): Promise<Record<string, unknown> | null> {
   for (const node of NODES.keys()) {
     if (node === killed) continue;
-    const status = await ask(node, "/admin/status");
+    const status = await callNode(node, "/admin/status");
     if (status?.leading === true && Number(status.token) > fencingToken) return status;
   }
   return null;
 }
 
-/** What is seen from outside of one failover; null for what did not come in time. */
+/** Times of a failover as observed from outside; null for events that did not happen in time. */
 interface Failover {
   readonly killedAt: number;
-  keyGoneAt: number | null;
+  leaderKeyRemovedAt: number | null;
   startedAt: number | null;
 }
 
-/** Kills the leader and waits for the first start under a later fencing token: an earlier one is not the new leader's. */
-async function killAndWatch(killed: number, fencingToken: number): Promise<Failover> {
+/**
+ * Kills the leader and waits for the first task start with a higher fencing token; the new leader did not command
+ * starts with an earlier token.
+ */
+async function killAndObserve(killed: number, fencingToken: number): Promise<Failover> {
   const leaderKeyVersion = store.store.entries.get(LEADER_KEY)?.version;
-  const failover: Failover = { killedAt: performance.now(), keyGoneAt: null, startedAt: null };
+  const failover: Failover = { killedAt: performance.now(), leaderKeyRemovedAt: null, startedAt: null };
   fleet.onTaskStart = (_task, attempt) => {
     if (Math.floor(attempt / ATTEMPTS_PER_TOKEN) > fencingToken) failover.startedAt ??= performance.now();
   };
   nodes.kill(killed);
   while (performance.now() - failover.killedAt < START_TIMEOUT_MS) {
-    // The next leader's key may be there before this looks again.
+    // Compares versions, because the next leader may write its key between two polls.
     if (store.store.entries.get(LEADER_KEY)?.version !== leaderKeyVersion) {
-      failover.keyGoneAt ??= performance.now();
+      failover.leaderKeyRemovedAt ??= performance.now();
     }
     if (failover.startedAt !== null) break;
     await sleep(POLL_MS);
@@ -100,24 +104,28 @@
   return failover;
 }
 
-function recordFailover({ killedAt, keyGoneAt, startedAt }: Failover, phases: Record<string, unknown>): void {
+function recordFailover(
+  { killedAt, leaderKeyRemovedAt, startedAt }: Failover,
+  phases: Record<string, unknown>,
+): void {
   const source = String(phases.source);
-  if (startedAt === null || keyGoneAt === null)
+  if (startedAt === null || leaderKeyRemovedAt === null)
     record(`${source}: no start within ${START_TIMEOUT_MS} ms`, 1);
   else {
-    record(`${source}: kill to end of grant`, keyGoneAt - killedAt);
+    record(`${source}: kill to leader lease expiry`, leaderKeyRemovedAt - killedAt);
     record(`${source}: kill to first start`, startedAt - killedAt);
-    record(`${source}: end of grant to first start`, startedAt - keyGoneAt);
+    record(`${source}: leader lease expiry to first start`, startedAt - leaderKeyRemovedAt);
   }
   for (const [phase, ms] of Object.entries(phases))
-    if (typeof ms === "number") record(`${source}: ${phase} (from the end of the grant, by the node)`, ms);
+    if (typeof ms === "number")
+      record(`${source}: ${phase} (since leader lease expiry, as reported by the node)`, ms);
 }
 
 async function measureFailover(): Promise<void> {
   const killed = await findLeader();
   if (killed === null) return;
-  const fencingToken = Number((await ask(killed, "/admin/status"))?.token);
-  const failover = await killAndWatch(killed, fencingToken);
+  const fencingToken = Number((await callNode(killed, "/admin/status"))?.token);
+  const failover = await killAndObserve(killed, fencingToken);
   const status = await leaderAfter(fencingToken, killed);
   recordFailover(failover, (status?.takeover ?? {}) as Record<string, unknown>);
   await sleep(RESTART_DELAY_MS);
@@ -129,12 +137,12 @@
   for (const [name, histogram] of [...histograms].sort(([a], [b]) => (a < b ? -1 : 1))) {
     const at = (percent: number) => histogram.getValueAtPercentile(percent);
     console.log(
-      `${name}: ${histogram.totalCount} times, median ${at(50)} ms, 95% ${at(95)} ms, worst ${histogram.maxValue} ms`,
+      `${name}: ${histogram.totalCount} values, median ${at(50)} ms, 95% ${at(95)} ms, maximum ${histogram.maxValue} ms`,
     );
   }
-  const duplicates = fleet.history.duplicates();
+  const duplicates = fleet.history.findDuplicates();
   console.log(
-    `starts ${fleet.history.begun}, duplicated placements ${duplicates.length}, leases lost ${fleet.expiredLeases}`,
+    `starts ${fleet.history.startCount}, duplicated placements ${duplicates.length}, expired leases ${fleet.expiredLeases}`,
   );
   for (const duplicate of duplicates.slice(0, 5)) console.log(JSON.stringify(duplicate));
 }
@@ -142,7 +150,7 @@
 async function submitLongJobs(): Promise<void> {
   const tasks = (machines * LONG_TASKS_PER_MACHINE) / LONG_JOBS;
   for (let i = 0; i < LONG_JOBS; i++) {
-    while (!(await ask(i % NODES.length, "/api/jobs", jobBody(`j-9${i}`, tasks, 1.5)))) await sleep(500);
+    while (!(await callNode(i % NODES.length, "/api/jobs", jobBody(`j-9${i}`, tasks, 1.5)))) await sleep(500);
   }
 }
 
@@ -155,12 +163,12 @@
   await sleep(15_000);
   keepSubmitting();
   await sleep(5000);
-  console.log(`${deployFile}, ${kills} kills, ${machines} machines, grant ${leaderLeaseMs} ms`);
+  console.log(`${deployFile}, ${kills} kills, ${machines} machines, leader lease ${leaderLeaseMs} ms`);
   for (let i = 0; i < kills; i++) await measureFailover();
   await sleep(5000);
   printReport();
 } finally {
   nodes.killAll();
-  console.log(`logs: ${nodes.logs}`);
+  console.log(`logs: ${nodes.logFolder}`);
   process.exit();
 }
