--- a/tools/loopback/user.ts
+++ b/tools/loopback/user.ts
@@ -76,7 +76,7 @@
   }
 }
 
-/** Cancels a job, with retries until a node accepts the cancellation. */
+/** Cancels a job; retries until a node accepts the cancellation, at most `CANCEL_TRIES` times. */
 export async function cancel(uid: string, anyNode: () => Address): Promise<void> {
   for (let tries = 0; tries < CANCEL_TRIES; tries++) {
     const response = await call(anyNode(), `/api/jobs/${uid}/cancel`, {});
--- a/tools/measure-fleet.ts
+++ b/tools/measure-fleet.ts
@@ -3,8 +3,8 @@
 
 /**
  * Runs three real controllers on loopback with thousands of fake agents. Measures memory and CPU time per heartbeat in
- * the steady state, and expired agent leases after a failover, a restart of all nodes and the loss of two nodes. For the
- * remaining node it also measures memory and user response times.
+ * the steady state, and expired agent leases after a failover, a restart of all nodes and the loss of two nodes. For
+ * the remaining node it also measures memory and user response times.
  *   node target/test/tools/measure-fleet.js MACHINES [TASKS_PER_MACHINE]
  */
 const machines = Number(process.argv[2] ?? 1000);
