--- a/test/model/agent-network.ts
+++ b/test/model/agent-network.ts
@@ -96,7 +96,7 @@
     this.#onReply.delete(requestId);
   }
 
-  /** Delivers direct commands to an agent and returns its reply. Commands may be late or duplicated, replies lost. */
+  /** Delivers direct commands and returns the reply. Either may be lost; commands may also be late or duplicated. */
   sendCommands(node: ControllerNode, epoch: number, effect: SendAgentCommands): void {
     const simulation = this.#simulation;
     this.#recordCommandJobs(node, effect.commands);
@@ -111,8 +111,8 @@
     const execute = () => this.#executeBatch(machine, effect);
     const blockedUntil = Math.max(partitionEnd(node, machine), machine.hungUntil);
     if (simulation.now < blockedUntil) {
-      // After a hang or a partition that delays packets, the agent executes the commands unless token or incarnation
-      // are outdated.
+      // The agent executes the commands after its hang, or after a partition that delays packets, unless fencing token
+      // or incarnation are outdated by then.
       if (node.delaysPackets || machine.hungUntil > simulation.now)
         simulation.after(blockedUntil - simulation.now + simulation.between(1, 100), execute);
       fail();
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -121,7 +121,7 @@
     this.#simulation.after(downMs, () => this.#start(node));
   }
 
-  /** Pauses a process; commands are queued meanwhile, and effects of one more command may be held back. */
+  /** Pauses a process. Commands are queued meanwhile; one may still be handled, but with its effects held back. */
   pause(index: number, forMs: number): void {
     const node = this.nodes[index];
     if (!node?.core || this.#simulation.now < node.pausedUntil) return;
--- a/test/model/rule-checks.ts
+++ b/test/model/rule-checks.ts
@@ -53,7 +53,10 @@
     this.violations.push({ rule, text: `${this.#simulation.now} ms: ${text}` });
   }
 
-  /** Checks a task about to start: not running elsewhere or cancelled, dependencies done, and the machine eligible. */
+  /**
+   * Checks that a task about to start runs nowhere else, that its job is not cancelled and the dependencies are done,
+   * and that the machine is eligible.
+   */
   checkBeforeStart(machine: SimulatedMachine, task: AgentTask, job: SubmittedJob): void {
     const [other] = this.#runningTasks.otherMachines(task.uid, task.task, machine);
     if (other) this.report("ran_twice", `${task.uid}/${task.task} on ${machine.name} and ${other.name}`);
@@ -82,7 +85,7 @@
   }
 
   /** Checks that the phase returned to a user matches the actual state and does not contradict confirmed outcomes. */
-  checkAnsweredPhase(job: SubmittedJob, phase: string, confirmedBefore: ConfirmedOutcome): void {
+  checkReturnedPhase(job: SubmittedJob, phase: string, confirmedBefore: ConfirmedOutcome): void {
     const { uid, tasks } = job.spec;
     if (phase === "done") {
       if (job.done.size < tasks) this.report("not_done", uid);
--- a/test/model/starvation-check.ts
+++ b/test/model/starvation-check.ts
@@ -92,7 +92,7 @@
     use: TeamUse,
   ): boolean {
     const { spec } = job;
-    // With spreading, the zone with free capacity may already run its half of the tasks.
+    // The tasks are spread over the zones, and the zone with free capacity may already run its half.
     if (spec.spread) return false;
     const running = this.#runningTasks(spec.uid);
     let waiting = 0;
--- a/test/model/users.ts
+++ b/test/model/users.ts
@@ -18,7 +18,7 @@
 const REQUEST_TIMEOUT_MS = 5000;
 const RETRY_MS = 1500;
 const MAX_RETRIES = 40;
-/** Users ignore a longer `Retry-After` and retry sooner. */
+/** Users ignore a `Retry-After` of this or more and retry sooner. */
 const MAX_RETRY_AFTER_S = 30;
 const UNKNOWN_JOB = "j-999999999";
 
@@ -217,7 +217,7 @@
         if (response?.kind === "notFound") this.#rules.report("forgotten", `${uid} got 404`);
         if (response?.kind !== "status") return;
         const { phase } = response.status;
-        // The rule allows `cancel_s` for dependents to be cancelled; their status follows from the records at once.
+        // The rule allows `cancel_s` until dependents are cancelled, but their status follows from the records at once.
         if (isOrphaned && phase !== "cancelled") this.#rules.report("orphaned", `${uid} is ${phase}`);
         job.answeredAt = this.#simulation.now;
         this.#recordStatus(job, phase, confirmedBefore);
@@ -228,7 +228,7 @@
 
   /** Checks and records the phase in a response; `confirmedBefore` is the outcome confirmed before the request. */
   #recordStatus(job: SubmittedJob, phase: string, confirmedBefore: ConfirmedOutcome): void {
-    this.#rules.checkAnsweredPhase(job, phase, confirmedBefore);
+    this.#rules.checkReturnedPhase(job, phase, confirmedBefore);
     if (phase === "done" && !job.confirmedDone) {
       job.confirmedDone = true;
       this.finished++;
--- a/test/support/admission-cluster.ts
+++ b/test/support/admission-cluster.ts
@@ -17,8 +17,8 @@
   readonly name: string;
   readonly ctx: Context;
   admission: Admission;
-  /** Rate of its monotonic clock; above 1 it runs fast. */
-  readonly drift: number;
+  /** Rate of its monotonic clock relative to `AdmissionCluster.now`; above 1 the clock runs fast. */
+  readonly clockRate: number;
   readonly inbox: {
     readonly from: string;
     readonly message: AdmissionMessage | undefined;
@@ -49,8 +49,8 @@
     this.nodes = NODES.map((name, index) => {
       const ctx = new Context({ ...deployment(name), teams }, new NameRegistry(), seededRandom(1), 0);
       ctx.settings = this.#settings;
-      const drift = 1 + (index - 1) * 0.0005;
-      return { name, ctx, admission: new Admission(ctx, `p${this.#processes++}`), drift, inbox: [] };
+      const clockRate = 1 + (index - 1) * 0.0005;
+      return { name, ctx, admission: new Admission(ctx, `p${this.#processes++}`), clockRate, inbox: [] };
     });
   }
 
@@ -81,7 +81,7 @@
         const message = this.previousVersion.has(node.name)
           ? undefined
           : node.admission.messageFor(other.name);
-        other.inbox.push({ from: node.name, message: message, at: this.now + delay });
+        other.inbox.push({ from: node.name, message, at: this.now + delay });
       }
     }
     this.advance(HEARTBEAT_MS - (HEARTBEAT_MS / 10) * this.nodes.length);
@@ -96,11 +96,11 @@
   advance(ms: number): void {
     this.now += ms;
     for (const node of this.nodes) {
-      node.ctx.now = this.now * node.drift;
+      node.ctx.now = this.now * node.clockRate;
       const due = node.inbox.filter(({ at }) => at <= this.now);
       node.inbox.splice(0, node.inbox.length, ...node.inbox.filter(({ at }) => at > this.now));
       if (this.previousVersion.has(node.name)) continue;
-      for (const { from, message: note } of due) node.admission.onPeerHeartbeat(from, note);
+      for (const { from, message } of due) node.admission.onPeerHeartbeat(from, message);
     }
   }
 
--- a/test/support/heartbeat-factory.ts
+++ b/test/support/heartbeat-factory.ts
@@ -38,12 +38,12 @@
       sequence,
       fencingToken,
       interruptionNoticeS: null,
-      tasks: tasks.map(({ uid, task, attempt, state, exitReason: cause }) => ({
+      tasks: tasks.map(({ uid, task, attempt, state, exitReason }) => ({
         job: this.#names.jobs.intern(uid),
         task,
         attempt,
         state,
-        exitReason: cause ?? null,
+        exitReason: exitReason ?? null,
         saved: false,
       })),
       ...overrides,
--- a/test/support/scripted-agents.ts
+++ b/test/support/scripted-agents.ts
@@ -25,7 +25,10 @@
   }
 }
 
-/** Per iteration, lets all agents send a heartbeat, advances the clock by 1 s and lets the agents execute commands. */
+/**
+ * Repeats `seconds` times: all agents send a heartbeat, the clock advances by 1 s, and the agents execute their
+ * commands, which advances the clock by another 1.2 s.
+ */
 export function sendHeartbeatsFor(
   harness: ControllerHarness,
   tasksByMachine: TasksByMachine,
