--- a/test/machine-reaper.test.ts
+++ b/test/machine-reaper.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
 
-test("machines of a partitioned zone are kept, even while they reconnect one by one, and a single silent machine is terminated", () => {
+test("machines of a partitioned zone are kept, even while only some have reconnected, and one that stays silent after the others is terminated", () => {
   const harness = new ControllerHarness().becomeLeader();
   const terminatedMachines: string[] = [];
   const defaultCloudRule = harness.cloudRule;
--- a/test/many-machines.test.ts
+++ b/test/many-machines.test.ts
@@ -65,9 +65,9 @@
   assert.ok(maxPerTick <= MACHINES / (LEASE_MS / TICK_MS) + 1, `${maxPerTick} commands in one tick`);
 });
 
-// Guards against restarting the list after a refused page: no machine is provisioned before a term's first complete
-// list.
-test("a cloud list of twelve pages completes even if every third call is refused", () => {
+// Guards against restarting the list after a refused page: in every term, no machine is provisioned until the list has
+// been read completely once.
+test("a cloud list of twelve pages completes even if every third call is refused, with a bounded number of calls", () => {
   const harness = new ControllerHarness();
   const counter = serveCloudList(harness, (call) => call % 3 === 0);
   harness.becomeLeader();
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -39,7 +39,7 @@
   replies: [{ id: 2, status: 200, body: { baton: 5 } }],
 };
 
-/** Connects two nodes and returns the messages that both received. Runs in a worker, as links never close. */
+/** Connects two nodes and returns the messages that both received. Runs in a worker, as a node never closes a link. */
 async function exchangeMessages(): Promise<[string, PeerMessage][]> {
   const [portA, portB] = [await freePort(), await freePort()];
   const received: [string, PeerMessage][] = [];
@@ -79,16 +79,16 @@
 }
 
 if (isMainThread) {
-  test("nodes forward heartbeats to the leader and its replies back, several in one peer message", async () => {
-    const nodes = new Worker(fileURLToPath(import.meta.url));
+  test("several heartbeats forwarded in one peer message arrive intact at the other node, and so does a reply to one of them", async () => {
+    const worker = new Worker(fileURLToPath(import.meta.url));
     try {
-      const [received] = await once(nodes, "message");
+      const [received] = await once(worker, "message");
       assert.deepEqual(received, [
         ["n0", HEARTBEATS],
         ["n1", REPLIES],
       ]);
     } finally {
-      await nodes.terminate();
+      await worker.terminate();
     }
   });
 } else {
--- a/test/permit-leases.test.ts
+++ b/test/permit-leases.test.ts
@@ -199,7 +199,7 @@
   assert.ok((cluster.openJobs.get("red") ?? 0) <= 6, `${cluster.openJobs.get("red")} of 6`);
 });
 
-test("permits issued by both leaders across a failover stay within the rate and one burst", () => {
+test("across three failovers the nodes admit at least 60% of the rate, and at most the rate plus one burst and two seconds of the rate per failover", () => {
   const rate = 30;
   const cluster = new AdmissionCluster({ admission_rate: rate });
   cluster.heartbeatRounds(20);
@@ -218,7 +218,7 @@
   assert.ok(admitted >= rate * seconds * 0.6, `${admitted} admitted`);
 });
 
-test("without a leader each node admits at a floor rate that serves every team and stays within the total rate", () => {
+test("without a leader each node admits at a floor rate that serves every team by weight, and together they stay within the total rate and a burst", () => {
   const cluster = new AdmissionCluster({ admission_rate: 30 });
   cluster.heartbeatRounds(5);
   cluster.leader = null;
@@ -235,7 +235,7 @@
   assert.ok(admitted.red > admitted.blue * 1.5, "permits are shared by weight");
 });
 
-test("a team of weight 0 gets the permits that others leave unused, and a team removed from the settings reduces no other team's share", () => {
+test("a team of weight 0 gets the permits that others leave unused, and a removed team takes no share beyond its jobs that are still open", () => {
   const cluster = new AdmissionCluster({
     admission_rate: 30,
     admission_weights: { blue: 0 },
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -111,7 +111,8 @@
   assert.deepEqual(harness.commandedTasks("stop", "j-2"), []);
 });
 
-// Guards against preempting tasks without checkpoints late in their run to avoid restarts that no objective counts.
+// Guards against preempting tasks that are late in their run and have no checkpoints, only to avoid restarts of other
+// tasks that no objective counts.
 test("if no objective counts starts, tasks with checkpoints are preempted before tasks whose progress would be lost", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
@@ -152,6 +153,10 @@
       .find((command) => command.kind === "stop");
 
     assert.ok(stop?.kind === "stop");
-    assert.equal(stop.graceS > 0, graceful, `saving a checkpoint takes ${saveS} s of 5 s`);
+    assert.equal(
+      stop.graceS > 0,
+      graceful,
+      `saving a checkpoint takes ${saveS} s, and the objective is missed after 5 s`,
+    );
   }
 });
--- a/test/property.test.ts
+++ b/test/property.test.ts
@@ -6,7 +6,7 @@
 /** A start sent before a cancellation may take effect once its image is fetched, or later if the agent hangs. */
 const MAX_LATE_START_MS = 12_000;
 
-/** Scenarios that need a large cluster to take full effect: every third seed runs them with about 300. */
+/** Scenarios that need a large cluster to take full effect: every third seed runs them with about 300 machines. */
 const LARGE_SCENARIOS = new Set([
   "mass failures of machines",
   "store outages and rolling restarts",
--- a/test/queue-order.test.ts
+++ b/test/queue-order.test.ts
@@ -57,7 +57,7 @@
   const nextLeader = new ControllerHarness("n1", leader.store);
   nextLeader.now = leader.now + 200_000;
   nextLeader.becomeLeader();
-  const isStarvingUnplaced = (uid: string) => {
+  const isStarvingWithoutPlacements = (uid: string) => {
     const job = nextLeader.controller.leaderTerm?.cluster.jobByUid(uid);
     assert.ok(job, uid);
     for (const placement of [...job.placements.values()])
@@ -65,7 +65,7 @@
     return isStarving(nextLeader.controller.ctx, job);
   };
 
-  assert.deepEqual([isStarvingUnplaced("j-1"), isStarvingUnplaced("j-2")], [false, true]);
+  assert.deepEqual([isStarvingWithoutPlacements("j-1"), isStarvingWithoutPlacements("j-2")], [false, true]);
 });
 
 test("starving gangs that can still start within four minutes precede those that cannot, which regain precedence some minutes later", () => {
--- a/test/reachability.test.ts
+++ b/test/reachability.test.ts
@@ -109,7 +109,7 @@
   }
 });
 
-test("an agent lease that expires despite replies indicates a one-way partition; one that expires without heartbeats does not", () => {
+test("an agent whose lease expires despite replies is taken to be behind a one-way partition and gets no task; one whose lease expires while it is silent does", () => {
   for (const silentMs of [0, 13_000]) {
     const { harness } = leaderWithRunningTask();
     harness.cloudRule = () => ({ kind: "unavailable", reason: "" });
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -55,7 +55,7 @@
   });
 });
 
-test("heartbeats that are late, duplicated or from an earlier incarnation change nothing", () => {
+test("a heartbeat that arrives after a later one from the same agent changes nothing", () => {
   const { harness, attempt } = leaderWithRunningTask();
   const staleHeartbeat = harness.makeHeartbeat("A", [
     { uid: "j-1", task: 0, attempt, state: "ended", exitReason: "done" },
--- a/test/record-writer.test.ts
+++ b/test/record-writer.test.ts
@@ -44,7 +44,7 @@
     if (call.kind === "transaction" && call.changes.length > 0) transactions.push(call);
     return null;
   };
-  // Covers task starts and ends, a terminated machine, changed machine types and a raised fencing token.
+  // Covers task starts and ends, a terminated machine, changed machine types, a raised fencing token and a migration.
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
   harness.submit(jobSpec("j-2", { shape: "service", priority: 3, estimateS: 0 }));
--- a/test/replica-migration.test.ts
+++ b/test/replica-migration.test.ts
@@ -74,6 +74,6 @@
   assert.equal(
     nextLeader.controller.leaderTerm.migrator.startedMigrations,
     0,
-    "it starts none of its own before",
+    "it starts no other migration before that",
   );
 });
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -9,7 +9,7 @@
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
-test("machines in one zone and the rest of its team's quota limit are reserved for a starving gang", () => {
+test("for a starving gang, machines in one zone and the rest of its team's quota limit are reserved", () => {
   const gangSpec = {
     shape: "gang",
     priority: 2,
@@ -86,7 +86,7 @@
   assert.equal(liveTasks(tasksByMachine, "G", "j-4").length, 1);
   assert.ok(
     !tasksByMachine.get("G")?.some((status) => status.uid === "j-3"),
-    "j-3 did not start there only to be preempted",
+    "j-3 was not started there and then preempted",
   );
 });
 
@@ -101,7 +101,7 @@
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>(["G0", "G1"].map((name) => [name, []]));
   const machineFields = { G0: GPU_MACHINE, G1: GPU_MACHINE, G2: GPU_MACHINE };
-  // One machine of two stays occupied; the other is reserved for the first gang until it can't start in time.
+  // One machine of two stays occupied; the other is reserved for the first gang until it cannot start in time.
   harness.sendHeartbeat("G0", [], GPU_MACHINE);
   harness.submit(jobSpec("j-0", { ...gangSpec, tasks: 1, team: "red" }));
   executeCommands(harness, tasksByMachine, machineFields);
--- a/test/retry-reservations.test.ts
+++ b/test/retry-reservations.test.ts
@@ -25,7 +25,7 @@
         if (repeatedDecision.kind === "wait")
           assert.ok(
             repeatedDecision.retryAfterS <= decision.retryAfterS,
-            "a repeated submission has the same retry-after",
+            "repeating a submission never lengthens its retry-after",
           );
         else acceptedEarly++;
         if (decision.retryAfterS < 30) {
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { executeCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("a queued job shows its pending reason, which is logged only once", () => {
+test("a queued job shows its pending reason, and its starvation is logged only once", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1", { types: ["gpu"], need: { cpu: 1000, gpu: 1000, ram: 1000 } }));
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -76,8 +76,8 @@
 const UNLIMITED = { cpu: 1_000_000_000, gpu: 0, ram: 0 };
 const MACHINE_COUNT = 1000;
 const TASKS_PER_MACHINE = 100;
-/** A new leader sends its fencing token to four machines in each tick of 100 ms. */
-const FENCES_IN_500_MS = 20;
+/** The fencing queue's minimum rate: 40 sends a second. */
+const MIN_SENDS_IN_500_MS = 20;
 
 /** Returns a leader of 1,000 machines with 100 tasks each. */
 function leaderOfLargeFleet(): { harness: ControllerHarness; fleet: AgentFleet } {
@@ -231,12 +231,13 @@
   assert.ok(maxPerTick > 0 && maxPerTick <= 10, `${maxPerTick} commands in one tick`);
 });
 
-test("100,000 tasks on 1,000 machines are placed, adopted after failover, and placed again when the agent leases of a third of the machines expire in one tick", () => {
+test("100,000 tasks on 1,000 machines are placed and adopted after failover, and the leader's work stays bounded when the agent leases of a third of the machines expire in one tick", () => {
   const { harness: leader, fleet } = leaderOfLargeFleet();
   assert.equal(countPlacements(leader), MACHINE_COUNT * TASKS_PER_MACHINE);
   assert.deepEqual(leader.errorLines, []);
 
-  // Chunks of 128 tasks, each written twice at most: when placed, and once more after an interrupted round.
+  // A chunk holds up to 128 tasks. It is written when they are placed, and at most once more, after an interrupted
+  // round, under the same key.
   const chunks = [...leader.store.entries.keys()].filter((key) => key.startsWith("p/")).length;
   assert.ok(chunks <= 10 * Math.ceil((MACHINE_COUNT * TASKS_PER_MACHINE) / 10 / 128), `${chunks} records`);
 
@@ -267,7 +268,7 @@
   assert.deepEqual(nextLeader.commandedTasks("stop", "j-0"), []);
 
   // A third of the machines stops sending heartbeats for good: the effects of each tick stay bounded while their
-  // tasks are placed again.
+  // placements end and the scheduler looks for other machines, all of which are full.
   const alive = tasksByMachine.filter((_, i) => i % 3 !== 0);
   const examinedBefore = nextLeader.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined;
   let maxSent = 0;
@@ -282,7 +283,7 @@
   assert.ok(remaining <= Math.ceil(alive.length * TASKS_PER_MACHINE), `${remaining} placements`);
   assert.ok(nextLeader.controller.leaderTerm, "it is still leader");
   assert.deepEqual(nextLeader.errorLines, []);
-  assert.ok(maxSent <= 2 * FENCES_IN_500_MS, `${maxSent} direct commands in half a second`);
+  assert.ok(maxSent <= 2 * MIN_SENDS_IN_500_MS, `${maxSent} direct commands in half a second`);
 
   const examined =
     nextLeader.controller.leaderTerm.scheduler.feasibleMachines.machinesExamined - examinedBefore;
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -40,7 +40,7 @@
   assert.ok(allocateSockets(1936).agentsInbound >= 940);
 });
 
-test("with more hosts than connections every call is answered, and the connection idle for longest is closed to make room", async () => {
+test("with more hosts than connections every call is answered, and idle connections are closed to make room", async () => {
   const servers = Array.from({ length: 6 }, () => http.createServer((_req, res) => res.end("{}")));
   const client = new HttpClient(1, 2);
   try {
--- a/test/spot-interruption.test.ts
+++ b/test/spot-interruption.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { executeCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("after an interruption notice tasks with checkpoints are stopped in time to save one, and the machine gets no new tasks", () => {
+test("after an interruption notice only tasks with checkpoints are stopped, in time to save one, and the machine gets no new tasks", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   const machineFields = { A: { spot: true } };
--- a/test/standby-world.test.ts
+++ b/test/standby-world.test.ts
@@ -46,6 +46,7 @@
   runUntilVacant(cluster);
 }
 
+/** Asserts that no rule was violated, such as by a task that ran twice, and that every job finished. */
 function assertAllDone(cluster: ModelCluster): void {
   assert.deepEqual(cluster.violations, []);
   const unfinished = [...cluster.jobs.values()].filter(({ finishedAt }) => finishedAt === null);
--- a/test/standby.test.ts
+++ b/test/standby.test.ts
@@ -174,7 +174,7 @@
   assert.deepEqual(clusterStateOf(follower), clusterStateOf(coldNode));
 });
 
-// Guards against a leader that acts on a record cache that it can't prove to be current (I1).
+// Guards against a leader that acts on a record cache that it cannot prove to be current (I1).
 for (const [condition, response, why] of [
   ["the store has compacted the changes since", { kind: "compacted" }, "changes no longer kept"],
   [
--- a/test/starvation-check.test.ts
+++ b/test/starvation-check.test.ts
@@ -33,7 +33,7 @@
   return found;
 }
 
-test("the simulation's starvation check reports a job that waits despite free capacity, and none that does not fit", () => {
+test("the simulation's starvation check reports a job that waits despite free capacity, and none that cannot be placed", () => {
   assert.deepEqual(findStarving("red", 1000), [{ at: MAX_STARVATION_MS, uid: "j-1" }]);
   assert.deepEqual(findStarving("red", 1_000_000), [], "larger than any machine");
   assert.deepEqual(findStarving("nobody", 1000), [], "a team without a quota limit");
--- a/test/store-limits.test.ts
+++ b/test/store-limits.test.ts
@@ -18,7 +18,10 @@
   return [...store.entries].map(([key, { value }]) => [key, Buffer.byteLength(JSON.stringify(value))]);
 }
 
-/** Returns a leader of 60 machines without peers; `refused` collects transactions that the store rejects as invalid. */
+/**
+ * Returns a leader of 60 machines without peers, with or without the upcoming store limits in its settings. `refused`
+ * collects the transactions that the store rejects as invalid.
+ */
 function leaderWithoutPeers(hasNextLimits: boolean): { harness: ControllerHarness; refused: string[] } {
   const harness = new ControllerHarness(
     "n0",
@@ -37,7 +40,7 @@
   return { harness, refused };
 }
 
-test("after the store limits are lowered, with production's large records stored, all operations continue within them", () => {
+test("after the store limits are lowered, all operations continue within them, even with production's large records stored", () => {
   const store = productionStore();
   const leader = new ControllerHarness("n0", store).becomeLeader();
   receiveFromBothPeers(leader);
@@ -108,7 +111,7 @@
   );
 });
 
-test("if the store limits are lowered before every node has sent a heartbeat, a 400 opens the feature gate, and its write is never repeated unchanged", () => {
+test("if the store limits are lowered before every node has sent a heartbeat, a write refused with a 400 opens the feature gate and is never repeated unchanged", () => {
   const { harness, refused } = leaderWithoutPeers(true);
   harness.store.limits = SMALL_LIMITS;
   harness.submit(jobSpec("j-1", { tasks: 150, need: { cpu: 100, gpu: 0, ram: 100 } }));
@@ -161,7 +164,7 @@
   assert.equal(started, accepted, "every accepted job is started");
 });
 
-test("a job with long lists is refused under the smaller value limit, and one stored earlier can be cancelled and completed", () => {
+test("a job with long lists is refused under the smaller value limit, and those stored earlier can still be cancelled and completed", () => {
   const types = ["small", ...Array.from({ length: 300 }, (_, i) => `another-type-${i}`)];
   const store = new FakeStore();
   const previousLeader = new ControllerHarness("n0", store, "n0-1", { nextStoreLimits: null }).becomeLeader();
--- a/test/submissions.test.ts
+++ b/test/submissions.test.ts
@@ -9,7 +9,7 @@
 import { CURRENT_VERSION_HEARTBEAT, PREVIOUS_VERSION_HEARTBEAT } from "./support/peer-versions.js";
 import { STORE_OUTAGE } from "./support/store-outage.js";
 
-test("a repeated submission of a known job is accepted, whatever its content", () => {
+test("a repeated submission of a known job is accepted, whatever its content, and a new job that can never run is unsatisfiable", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.submit(jobSpec("j-1"));
   assert.equal(harness.submit(jobSpec("j-1", { team: "nobody" }))?.kind, "accepted");
--- a/test/task-outcome.test.ts
+++ b/test/task-outcome.test.ts
@@ -39,7 +39,7 @@
   assert.deepEqual(acknowledged, []);
 });
 
-test("an ended attempt is acknowledged only once its agent has a higher fencing token than the attempt was started under", () => {
+test("an ended attempt is acknowledged only once its agent has a higher fencing token than the one under which the attempt was started", () => {
   const { harness, attempt } = leaderWithRunningTask();
   const ended = { uid: "j-1", task: 0, attempt, state: "ended", exitReason: "done" } as const;
   const early = harness.sendHeartbeat("A", [ended]);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,4 +1,7 @@
-/** Mixed-version operation: records and peer messages of production, and the feature gate of the record layout. */
+/**
+ * Mixed-version operation: records and peer messages of production (the previous version), and the feature gate of the
+ * record layout.
+ */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -17,7 +20,7 @@
 import { productionStore } from "./support/production-store.js";
 import { reportAllRunning, runFor } from "./support/running-agents.js";
 
-test("a new leader reads all of production's records, and production can read the new ones until the feature gate opens", () => {
+test("a new leader reads all of production's records, and production can read all that this leader writes before the feature gate opens", () => {
   const store = productionStore();
   const harness = new ControllerHarness("n0", store);
   const unreadable: string[] = [];
@@ -100,7 +103,7 @@
   assert.notEqual(parseRecordAsProduction("c/move", store.entries.get("c/move")?.value), null);
 });
 
-test("production accepts this version's peer heartbeats, and this version accepts production's", () => {
+test("production accepts this version's peer heartbeats, but not the record of a job that awaits dependencies", () => {
   const controller = new ControllerHarness().controller;
   const effects: Effect[] = [];
   for (let now = 1000; now < 4000; now += 100)
--- a/test/validation.test.ts
+++ b/test/validation.test.ts
@@ -209,7 +209,7 @@
   }
 }
 
-test("the API answers invalid input with 4xx at little cost, and sheds load beyond its capacity immediately", async () => {
+test("the API answers invalid input with 4xx, sets retry-after when throttled or unavailable, and while overloaded rejects submissions without handling them", async () => {
   const handler = new FakeRequestHandler();
   const server = createServer(handler, allocateSockets(100));
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
