--- a/test/administration.test.ts
+++ b/test/administration.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { ControllerHarness } from "./support/controller-harness.js";
 
-test("a change of operator settings is stored and takes effect at once on all nodes; a change with an invalid value is rejected and has no effect", () => {
+test("a change of operator settings takes effect at once and is stored for the other nodes; an invalid change is rejected and has no effect", () => {
   const harness = new ControllerHarness().becomeLeader();
   assert.equal(harness.admin({ kind: "changeSettings", values: { move_low: 2 } })?.kind, "invalid");
   assert.equal(harness.admin({ kind: "changeSettings", values: { no_such: 1 } })?.kind, "invalid");
--- a/test/admission-policy.test.ts
+++ b/test/admission-policy.test.ts
@@ -6,7 +6,7 @@
 import { defaultOperatorSettings } from "../src/config/operator.js";
 import { deployment } from "./support/deployment.js";
 
-test("admission weights default to the guaranteed quotas, and the admission rate is derived from the smaller write limit of the store", () => {
+test("unless they are set, admission weights equal the guaranteed quotas and the admission rate is derived from the smaller write limit of the store", () => {
   const { teams, ratePerS } = policyOf(
     { ...defaultOperatorSettings, admission_weights: { blue: 5 } },
     deployment("n0"),
--- a/test/admission-shares.test.ts
+++ b/test/admission-shares.test.ts
@@ -1,4 +1,4 @@
-/** Properties of the allocation of admission capacity by weight. */
+/** Properties of the weighted allocation of admission capacity. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -42,7 +42,7 @@
   );
 });
 
-test("property: a claimant that increases its demand does not reduce another claimant's allocation below its weighted share", () => {
+test("property: a higher demand never reduces the claimant's own allocation, and never reduces another's to below its weighted share", () => {
   fc.assert(
     fc.property(
       anyCapacity,
--- a/test/admission-world.test.ts
+++ b/test/admission-world.test.ts
@@ -1,4 +1,4 @@
-/** Simulates a submission burst by one team under fair admission, with and without other faults. */
+/** Simulates a submission burst by one team under fair admission, alone and together with faults. */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -10,11 +10,13 @@
 const BEFORE_BURST_S = 20;
 const BURST_S = 60;
 const AFTER_BURST_S = 90;
-/** Each team submits one job per interval; during the burst, one team submits this many more per second. */
+/** The interval at which each team submits a job. */
 const SUBMISSION_INTERVAL_S = 2;
+/** The jobs that one team submits in addition during the burst. */
 const BURST_JOBS_PER_S = 10;
-/** Upper bounds for the other team: its retry-after when throttled, and the wait until its next task starts. */
+/** The longest retry-after that the other team may be given when the burst is the only fault. */
 const MAX_RETRY_AFTER_S = 3;
+/** The longest time until a job of the other team starts. */
 const MAX_START_DELAY_S = 60;
 
 /** Faults that occur in addition to the burst. */
@@ -29,7 +31,7 @@
   readonly otherTeamJobs: SubmittedJob[];
 }
 
-/** During the burst, one team submits jobs at ten times the normal rate of both teams together. */
+/** During the burst, one team submits ten more jobs per second; normally, both teams together submit one per second. */
 function simulateBurst(seed: number, { faultRates, injectFaults }: Scenario): BurstResult {
   const cluster = new ModelCluster({ seed, faultRates, admission: true });
   const otherTeamJobs: SubmittedJob[] = [];
@@ -54,7 +56,7 @@
   return { cluster, otherTeamJobs };
 }
 
-function leaderOf(cluster: ModelCluster): number {
+function leaderIndexOf(cluster: ModelCluster): number {
   return cluster.controllers.leader?.index ?? -1;
 }
 
@@ -62,12 +64,13 @@
   "with no other fault": {},
   "while the leader crashes": {
     injectFaults: (cluster, second) => {
-      if (second === 40 || second === 60) cluster.controllers.crash(Math.max(0, leaderOf(cluster)), 5000);
+      if (second === 40 || second === 60)
+        cluster.controllers.crash(Math.max(0, leaderIndexOf(cluster)), 5000);
     },
   },
   "while a node is partitioned from its peers": {
     injectFaults: (cluster, second) => {
-      const node = cluster.nodes[(leaderOf(cluster) + 1) % cluster.nodes.length];
+      const node = cluster.nodes[(leaderIndexOf(cluster) + 1) % cluster.nodes.length];
       if (second === 40 && node) node.peersPartitionedUntil = cluster.now + 15_000;
     },
   },
@@ -75,7 +78,7 @@
 };
 
 for (const [condition, scenario] of Object.entries(SCENARIOS)) {
-  test(`a tenfold submission burst by one team ${condition}: the other team's jobs are accepted and start in time, and there is no rule violation`, () => {
+  test(`a tenfold submission burst by one team ${condition}: the other team's jobs are accepted and finish in time, and there is no rule violation`, () => {
     for (let seed = 1; seed <= 2; seed++) {
       const { cluster, otherTeamJobs } = simulateBurst(seed, scenario);
       assert.deepEqual(cluster.violations, [], `seed ${seed}`);
@@ -83,6 +86,7 @@
       for (const { spec, acceptedAt, finishedAt } of otherTeamJobs) {
         assert.ok(acceptedAt !== null, `seed ${seed}: ${spec.uid} has not been accepted`);
         assert.ok(finishedAt !== null, `seed ${seed}: ${spec.uid} has not finished`);
+        // The time until the start, and 30 s to run.
         assert.ok(
           finishedAt - acceptedAt <= (MAX_START_DELAY_S + 30) * 1000,
           `${spec.uid}: finished ${finishedAt - acceptedAt} ms after its acceptance`,
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -28,7 +28,7 @@
   throw new Error(`none of ${limit} submissions was throttled`);
 }
 
-test("a submission that exceeds the team's share is throttled with a retry-after; repeated submissions, cancellations and polls are not throttled", () => {
+test("a submission that exceeds the team's share is throttled with a retry-after; repeated submissions, polls, cancellations and another team's submissions are not throttled", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(5000);
   const { throttled, accepted } = submitUntilThrottled(harness, "red", 1000);
@@ -52,7 +52,7 @@
   assert.equal(harness.submit(jobSpec("j-5001", { team: "green" }))?.kind, "unsatisfiable");
 });
 
-test("under overload, a repeated submission of a job that another node accepted is answered with 200, whatever the job's state", () => {
+test("under overload, a repeated submission of a job that another node accepted is answered as known (200), even if the job has been cancelled", () => {
   const store = new FakeStore();
   const harness = leaderWithFairAdmission(store);
   const otherNode = new ControllerHarness("n1", store);
@@ -69,7 +69,7 @@
   }
 });
 
-test("when a team is removed from the settings, its existing jobs continue and their repeated submission is answered with 200, while new jobs are unsatisfiable", () => {
+test("when a team is removed from the settings, its existing jobs remain known and can be cancelled, while its new jobs are unsatisfiable", () => {
   const store = new FakeStore();
   const leaderWithBlue = leaderWithFairAdmission(store);
   assert.equal(leaderWithBlue.submit(jobSpec("j-1", { team: "blue" }))?.kind, "accepted");
@@ -94,7 +94,7 @@
   assert.equal(leaderWithoutBlue.cancel("j-1")?.kind, "status");
 });
 
-test("throttled submissions are looked up in the store in batches, and are answered with 503 if the store does not respond", () => {
+test("throttled submissions are looked up in the store in batches, and submissions are answered as unavailable (503) if the store does not respond", () => {
   const harness = leaderWithFairAdmission();
   submitUntilThrottled(harness, "red", 1000);
   let lookups = 0;
@@ -144,7 +144,7 @@
   assert.equal(available(), (before ?? 0) - 1);
 });
 
-test("admission weights and the limits of admission settings are validated, and valid changes take effect at once", () => {
+test("admission weights and other admission settings are validated, and valid changes take effect at once", () => {
   const harness = leaderWithFairAdmission();
   const changeSettings = (values: Record<string, unknown>) =>
     harness.admin({ kind: "changeSettings", values });
@@ -160,7 +160,7 @@
   assert.equal(admission.teams.find(({ name }) => name === "blue")?.weight, 7);
 });
 
-test("peer heartbeats contain an added admission field that the previous version (production) ignores, and omit it when fair admission is disabled", () => {
+test("peer heartbeats contain an admission field, which the previous version (production) ignores, and omit it when fair admission is disabled", () => {
   const harness = leaderWithFairAdmission();
   harness.advance(2000);
   const heartbeat = harness.heartbeats.get("n1");
@@ -205,7 +205,7 @@
   );
 });
 
-test("metrics and status report each team's admitted and refused submissions, its retry-after and its longest wait", async () => {
+test("metrics report a team's admitted and refused submissions, retry-after and longest wait; status reports the admission mode and the longest wait", async () => {
   const harness = leaderWithFairAdmission();
   submitUntilThrottled(harness, "red", 1000);
   const { text } = await renderMetrics(harness.controller, { batches: 1, lagMs: 0, pendingUsers: 0 });
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -1,4 +1,4 @@
-/** Peers and clients that do not read, or that send too much, use only a bounded amount of memory. */
+/** A controller uses only a bounded amount of memory for peers and clients that do not read or that send too much. */
 
 import assert from "node:assert/strict";
 import net, { type AddressInfo } from "node:net";
@@ -121,7 +121,7 @@
 
 if (isMainThread) {
   // Guards against a controller running out of memory because it forwards heartbeats to a stalled peer.
-  test("a peer that does not read from its socket uses a bounded amount of memory before its link is closed", async () => {
+  test("messages to a peer that does not read from its socket use a bounded amount of memory before the link is closed", async () => {
     const worker = new Worker(fileURLToPath(import.meta.url));
     try {
       const result = await new Promise<Awaited<ReturnType<typeof sendToStalledPeer>>>((resolve, reject) => {
@@ -129,14 +129,14 @@
         worker.once("error", reject);
       });
       assert.equal(result.disconnects, 1, `the link is closed once: ${JSON.stringify(result)}`);
-      // Buffered: 2 KiB for each of the 256 connections, and the message being encoded. The kernel buffers the rest.
+      // The process buffers 2 KiB for each of 256 connections and the message being encoded, the kernel buffers the rest.
       assert.ok(result.peakBytes < 8 * MB, JSON.stringify(result));
     } finally {
       await worker.terminate();
     }
   });
 
-  test("an oversized chunked body is rejected without being buffered, on every path", async () => {
+  test("an oversized chunked body of a submission or a heartbeat is rejected without being buffered in full", async () => {
     const handler = new CountingRequestHandler();
     const server = createServer(handler, allocateSockets(100));
     const port = await listen(server);
@@ -179,6 +179,7 @@
         send(0);
       });
 
+      // The request handler accepts no body as a heartbeat.
       assert.equal(status, "HTTP/1.1 400 Bad Request");
       assert.equal(
         handler.handledRequests,
--- a/test/cloud-inventory.test.ts
+++ b/test/cloud-inventory.test.ts
@@ -1,4 +1,4 @@
-/** A terminated machine is not used again because of a stale cloud list or a delayed heartbeat (I4). */
+/** Neither a stale cloud list nor a delayed heartbeat brings a terminated machine back into use (I4). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -29,7 +29,7 @@
   assert.deepEqual(harness.startCommands("j-1"), []);
 });
 
-test("a delayed duplicate heartbeat neither restores a terminated machine nor proves to a new leader that the agent is alive", () => {
+test("a delayed heartbeat neither restores a terminated machine nor proves to a new leader that the agent is alive", () => {
   const leader = new ControllerHarness().becomeLeader();
   const terminatedMachines: string[] = [];
   leader.cloudRule = (call) => {
--- a/test/command-planner.test.ts
+++ b/test/command-planner.test.ts
@@ -23,7 +23,7 @@
   assert.equal(harness.startCommands("j-1").length, 1);
 });
 
-test("no start command is sent or repeated while the leader's view of cancellations is stale", () => {
+test("a start command is not repeated while the leader's view of cancellations is stale", () => {
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
--- a/test/controller.test.ts
+++ b/test/controller.test.ts
@@ -6,8 +6,8 @@
 
 test("an exception in the core makes the leader step down, and the process keeps running", () => {
   const { harness } = leaderWithRunningTask();
-  // A machine index that the interner has not assigned causes an exception. The poll that follows it in the same batch
-  // must still be answered.
+  // A machine index that the interner has not assigned causes an exception. The poll that follows the heartbeat in the
+  // same batch must still be answered.
   const heartbeat = { ...harness.makeHeartbeat("A"), machine: 9999 };
   harness.handle(
     { kind: "heartbeat", requestId: 800, heartbeat, body: null },
--- a/test/dependency-cancellation.test.ts
+++ b/test/dependency-cancellation.test.ts
@@ -43,7 +43,7 @@
   }
 });
 
-test("every node reports the dependents of a cancelled job as cancelled, even if the leader cannot reach the store, has failed or has not seen the cancellation", () => {
+test("every node reports the dependents of a cancelled job as cancelled, even if the leader cannot reach the store and has not seen the cancellation", () => {
   const { harness } = leaderWithDependentJob();
   harness.submit(jobSpec("j-3", { awaits: ["j-2"] }));
   harness.advance(300);
@@ -109,7 +109,7 @@
       call.changes.some((change) => "put" in change && change.put === "j/j-9")
     ) {
       isCancelInjected = true;
-      // The cancellation is between the read of the dependencies and the write of j-9; there is no leader after that.
+      // The cancellation happens between the read of the dependencies and the write of j-9. The leader fails after it.
       assert.equal(phaseOf(harness.cancel("j-1")), "cancelled");
     }
     return null;
--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -88,7 +88,7 @@
   );
 });
 
-test("deadlines are measured from acceptance and queue times from when dependencies are satisfied, also after a failover", () => {
+test("a job's deadline is measured from its acceptance and its queue time from when its dependencies were satisfied, also after a failover", () => {
   const { harness: leader, runningTask } = leaderWithDependentJob();
   leader.submit(jobSpec("j-3", { awaits: ["j-1"], deadlineS: 100 }));
   for (let i = 0; i < 30; i++) {
@@ -120,7 +120,7 @@
   const harness = new ControllerHarness().becomeLeader();
   harness.sendHeartbeat("A");
   harness.submit(jobSpec("j-1"));
-  // Without the dependency, it would use the whole guaranteed quota of its team, and no machine has capacity for it.
+  // Without the dependency, it would use the whole guaranteed quota of its team and fit on no machine.
   harness.submit(
     jobSpec("j-2", { awaits: ["j-1"], shape: "gang", tasks: 6, need: { cpu: 4000, gpu: 0, ram: 1000 } }),
   );
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -5,7 +5,7 @@
 import { jobSpec } from "./support/controller-harness.js";
 import { electNextLeader, leaderWithRunningTask } from "./support/leaders.js";
 
-test("a leader whose leader lease has expired starts nothing, and replies to heartbeats only within the grace period", () => {
+test("a leader whose leader lease has expired accepts no jobs, and replies to heartbeats only within the grace period", () => {
   const { harness, attempt } = leaderWithRunningTask();
   const token = harness.controller.election.lease?.fencingToken;
   harness.storeRule = () => ({ kind: "unavailable", reason: "outage" });
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -20,19 +20,20 @@
   return harness.now - electedAt;
 }
 
-test("before a new leader restarts tasks of a machine that sends no heartbeats, it waits for the previous leader's grace period and the agent lease", () => {
+test("before a new leader restarts tasks of a machine that sends no heartbeats, it waits for the previous leader's lease and grace period and for the agent lease", () => {
   const { harness } = newLeaderAwaitingAgent();
   harness.cloudRule = () => ({ kind: "unavailable", reason: "down" });
   const electedAt = harness.controller.leaderTerm?.lease.electedAt ?? 0;
-  const boundMs = harness.controller.election.gracePeriodMs + 3000 + 12_000;
-  const heartbeatFromB = () => harness.sendHeartbeat("B", [], { zone: "b" });
-  while (harness.now < electedAt + boundMs) {
-    heartbeatFromB();
+  // The leader lease is 3 s, the agent lease 12 s.
+  const minDelayMs = harness.controller.election.gracePeriodMs + 3000 + 12_000;
+  const sendHeartbeatFromB = () => harness.sendHeartbeat("B", [], { zone: "b" });
+  while (harness.now < electedAt + minDelayMs) {
+    sendHeartbeatFromB();
     harness.advance(1000);
-    if (harness.now < electedAt + boundMs) assert.deepEqual(harness.startCommands("j-1"), []);
+    if (harness.now < electedAt + minDelayMs) assert.deepEqual(harness.startCommands("j-1"), []);
   }
   for (let i = 0; i < 4; i++) {
-    heartbeatFromB();
+    sendHeartbeatFromB();
     harness.advance(1000);
   }
 
--- a/test/feasible-machines.test.ts
+++ b/test/feasible-machines.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness, jobSpec, type TaskStatus } from "./support/controller-harness.js";
 import { executeCommands, liveTasks } from "./support/scripted-agents.js";
 
-test("a service with spread places at most half of its replicas, rounded up, in one zone", () => {
+test("at most half of the replicas of a service with spread, rounded up, are placed in one zone", () => {
   const harness = new ControllerHarness().becomeLeader();
   const tasksByMachine = new Map<string, TaskStatus[]>([["A", []]]);
   harness.sendHeartbeat("A");
--- a/test/fleet-size.test.ts
+++ b/test/fleet-size.test.ts
@@ -5,8 +5,8 @@
 
 /**
  * Simulates a scenario with the largest fleet: a cold start, a failover, a restart of all controllers and a network
- * partition of a zone that outlasts the agent leases. `npm run test:size` uses 6,000 machines with 100,000 tasks, CI an
- * eighth of that.
+ * partition of a zone that outlasts the agent leases. `npm run test:size` uses 6,000 machines with 100,000 tasks, CI
+ * about an eighth of that.
  */
 const MACHINES = Number(process.env.FLEET_MACHINES ?? 800);
 /** The simulated deployment has eight machines at scale 1. */
@@ -43,14 +43,14 @@
   return cluster.now - startedAt;
 }
 
-function leaderOf(cluster: ModelCluster): number {
+function leaderIndexOf(cluster: ModelCluster): number {
   const index = cluster.nodes.findIndex((node) => node.core?.leaderTerm?.agents.areRecordsLoaded);
   assert.ok(index >= 0, "there is a leader that has loaded its records");
   return index;
 }
 
 function countUnfenced(cluster: ModelCluster): number {
-  const machines = cluster.nodes[leaderOf(cluster)]?.core?.leaderTerm?.cluster.machines.values() ?? [];
+  const machines = cluster.nodes[leaderIndexOf(cluster)]?.core?.leaderTerm?.cluster.machines.values() ?? [];
   // The agent of a recently provisioned machine may not have sent a heartbeat yet.
   const isUp = (name: string) => {
     const machine = cluster.machines.get(name);
@@ -69,7 +69,7 @@
   assert.equal(cluster.runningTasks.size, tasks, `tasks running after ${placedMs} ms`);
   assert.deepEqual(cluster.agents.leases.expired, [], "no agent lease expires during the cold start");
 
-  cluster.controllers.crash(leaderOf(cluster), 4000);
+  cluster.controllers.crash(leaderIndexOf(cluster), 4000);
   cluster.run(cluster.now + 2 * LEASE_MS);
   assert.equal(countUnfenced(cluster), 0, "all agents are fenced after the failover");
   for (const node of cluster.nodes) cluster.controllers.crash(node.index, 3000 + 500 * node.index);
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -7,7 +7,7 @@
 
 const GPU_MACHINE = { type: "gpu" } as const;
 
-test("all tasks of a gang start together, in one zone and as one attempt, or none of them starts", () => {
+test("all tasks of a gang start together, in one zone and with the same attempt number, or none of them starts", () => {
   const harness = new ControllerHarness().becomeLeader();
   const spec = { shape: "gang", priority: 2, tasks: 2, types: ["gpu"], oneZone: true } as const;
   const tasksByMachine = new Map<string, TaskStatus[]>([
--- a/test/heartbeat-router.test.ts
+++ b/test/heartbeat-router.test.ts
@@ -5,7 +5,7 @@
 import { ControllerHarness } from "./support/controller-harness.js";
 import { leaderWithRunningTask } from "./support/leaders.js";
 
-test("a follower forwards heartbeats to a leader that it receives heartbeats from, otherwise redirects agents to the leader, and never replies itself", () => {
+test("a follower forwards agent heartbeats, without replying itself, while it receives heartbeats from the leader; otherwise it redirects agents to the leader", () => {
   const { harness: leader } = leaderWithRunningTask();
   const follower = new ControllerHarness("n1", leader.store);
   follower.now = leader.now;
--- a/test/interner.test.ts
+++ b/test/interner.test.ts
@@ -22,10 +22,10 @@
   assert.equal(names.nameOf(indexOfA), "d");
 });
 
-// Guards against a process crash: a heartbeat contains a name that is not used elsewhere, and names are reclaimed in
-// the same batch before the heartbeat is handled. The data kept from the heartbeat then contained an index without a
-// name, and the reply to it threw an exception.
-test("a name interned in the current batch is not reclaimed before that batch is handled", () => {
+// Guards against a process crash: a heartbeat contained a name that was not used elsewhere, and names were reclaimed in
+// the same batch before the heartbeat was handled. The data kept from the heartbeat then contained an index without a
+// name, and the reply to the heartbeat threw an exception.
+test("a name interned while a batch is decoded is not reclaimed in that batch", () => {
   const names = new Interner();
   names.beginBatch();
   const indexOfA = names.intern("a");
@@ -38,7 +38,7 @@
   assert.equal(names.nameOf(indexOfA), "a");
   assert.equal(names.intern("a"), indexOfA);
 
-  // A name that no later command contains is reclaimed like any other.
+  // A name that no later batch contains is reclaimed like any other.
   names.beginBatch();
   names.beginBatch();
   names.reclaim(new Set());
--- a/test/job-lookup.test.ts
+++ b/test/job-lookup.test.ts
@@ -1,4 +1,4 @@
-/** Polls: which are answered from memory, and which require a comparison with the store first (I8). */
+/** Which polls are answered from memory, and which require a comparison with the store first (I8). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -73,7 +73,7 @@
   assert.equal(phaseOf(otherNode.userResponse(902)), "queued");
 });
 
-test("polls of dependent jobs stay within the operations limit of the store's transactions and re-read only the keys whose comparison failed", () => {
+test("the compare-only transactions for polls of dependent jobs stay within the store's limit of conditions per transaction", () => {
   const harness = new ControllerHarness("n0", new FakeStore(), "n0-1", {
     txnOps: 4,
     nextStoreLimits: null,
@@ -90,6 +90,7 @@
   };
 
   for (let i = 1; i <= 30; i++) assert.equal(phaseOf(harness.poll(`j-${i}`)), "queued", `j-${i}`);
+  // The store allows four conditions per change that a transaction may contain.
   assert.ok(conditionCounts.length > 0 && Math.max(...conditionCounts) <= 16, String(conditionCounts));
   assert.equal(harness.store.invalidTransactions, 0);
 });
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -21,7 +21,7 @@
   return { passed: code === 0, printed: stdout };
 }
 
-test("CI tolerates only listed failures, prints them, and fails if the list is wrong", () => {
+test("CI tolerates only listed failures and prints them; it fails if the list is invalid, no tests ran or the run failed for another reason", () => {
   assert.equal(runCheck(GREEN, 0, null).passed, true);
   assert.equal(runCheck(GREEN, 0, "").passed, true);
   assert.equal(runCheck(RED, 1, null).passed, false);
--- a/test/lease-renewal-policy.test.ts
+++ b/test/lease-renewal-policy.test.ts
@@ -79,7 +79,7 @@
   assert.notEqual(reply?.kind, "commands");
 });
 
-test("a leader partitioned from the store and its peers stops renewing agent leases after two lease periods, and is not ready", () => {
+test("a leader partitioned from the store and its peers stops renewing agent leases two lease periods after its leader lease has expired, and is not ready", () => {
   for (const isIsolated of [true, false]) {
     const { harness } = leaderWithRunningTask();
     const advanceSeconds = (seconds: number) => {
