--- a/test/admission-policy.test.ts
+++ b/test/admission-policy.test.ts
@@ -18,6 +18,7 @@
       ["blue", 5],
     ],
   );
+  // The store will allow 70 writes per second, of which a job is budgeted 8.
   assert.equal(ratePerS, 70 / 8);
   assert.equal(policyOf({ ...defaultOperatorSettings, admission_rate: 3 }, deployment("n0")).ratePerS, 3);
 });
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -129,7 +129,7 @@
         worker.once("error", reject);
       });
       assert.equal(result.disconnects, 1, `the link is closed once: ${JSON.stringify(result)}`);
-      // The process buffers 2 KiB for each of 256 connections and the message being encoded, the kernel buffers the rest.
+      // The process buffers 2 KiB for each of 256 connections and the message being encoded. The kernel holds the rest.
       assert.ok(result.peakBytes < 8 * MB, JSON.stringify(result));
     } finally {
       await worker.terminate();
--- a/test/fleet-size.test.ts
+++ b/test/fleet-size.test.ts
@@ -65,6 +65,7 @@
   cluster.run(5000);
   const tasks = submitAll(cluster);
   // One record of 2 KiB holds 32 tasks; records are written at four fifths of the limit of 100 changes per second.
+  // The time limit is twice as long as that takes, plus 30 s.
   const placedMs = runUntilPlaced(cluster, tasks, 30_000 + (tasks / 32) * 25);
   assert.equal(cluster.runningTasks.size, tasks, `tasks running after ${placedMs} ms`);
   assert.deepEqual(cluster.agents.leases.expired, [], "no agent lease expires during the cold start");
