--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -20,7 +20,7 @@
 const DEMAND_DECAY = 0.8;
 
 /** The result of an admission check. */
-export type Decision =
+export type AdmissionDecision =
   /** Admitted. `permitSpent` is false if no permit of this node was spent. */
   | { readonly kind: "admit"; readonly permitSpent: boolean }
   /** Rejected; the client may retry after this many seconds. */
@@ -103,7 +103,7 @@
    * Decides whether to admit a submission of a job that this node does not know to be accepted. Spends a permit if one
    * is needed.
    */
-  decide(uid: string, team: string): Decision {
+  decide(uid: string, team: string): AdmissionDecision {
     const { now } = this.#ctx;
     const counts = this.#countsOf(team);
     counts.submitted++;
@@ -128,7 +128,7 @@
       : RETRY_AFTER_WITHOUT_RATE_S;
   }
 
-  /** The rate at which this node can make reservations; 0 if capacity becomes free only when other jobs end. */
+  /** Returns the rate at which reservations can be made; 0 if capacity becomes free only when other jobs end. */
   #ratePerS(team: string): number {
     if (this.#permits.isValid(this.#ctx.now)) return this.#permits.ratePerS(team);
     return this.#policy.teams.find(({ name }) => name === team)?.minimumRatePerS ?? 0;
@@ -205,7 +205,7 @@
     };
   }
 
-  /** The admission message for the next heartbeat to a peer. */
+  /** Returns the admission message for the next heartbeat to a peer. */
   messageFor(peer: string): AdmissionMessage {
     return { report: this.#report, lease: this.#leases.get(peer) };
   }
@@ -230,7 +230,7 @@
     if (reportedAt !== undefined) this.#permits.apply(lease, reportedAt);
   }
 
-  /** The admission section of the node's status. */
+  /** Returns the admission section of the node's status. */
   status(): Record<string, unknown> {
     const { mode, ratePerS, maxOpenJobs, teams } = this.snapshot();
     const rounded = Math.round(ratePerS * 100) / 100;
@@ -242,7 +242,7 @@
     };
   }
 
-  /** The current admission state for metrics and status. */
+  /** Returns the current admission state for metrics and status. */
   snapshot(): AdmissionStatus {
     const { now } = this.#ctx;
     const policy = this.#policy;
--- a/src/admission/messages.ts
+++ b/src/admission/messages.ts
@@ -1,6 +1,6 @@
 /**
  * Admission messages between nodes, sent as an optional part of peer heartbeats that the previous version ignores.
- * Times are durations, so clocks need not be synchronised. src/protocol/admission.ts defines the wire form.
+ * Times are durations, so clocks need not be synchronized. src/protocol/admission.ts defines the wire form.
  */
 
 /** Sent by a node to all peers. Only the leader uses demand and permits; every node uses the reservations. */
@@ -24,7 +24,7 @@
   readonly team: string;
   /** Decaying maximum of submissions between two reports. */
   readonly peakDemand: number;
-  /** Unspent permits; negative if the node honoured more reservations than it held permits for. */
+  /** Unspent permits; negative if the node honored more reservations than it held permits for. */
   readonly held: number;
   /** Outstanding reservations made by this node. It earmarks a permit for each shortly before it is due. */
   readonly reserved: number;
--- a/src/admission/permit-holder.ts
+++ b/src/admission/permit-holder.ts
@@ -20,7 +20,7 @@
   /** When all permits issued to the node by any leader have expired, by the leader's clock and by the node's. */
   #expiresAt: number;
 
-  /** `expiresAt` is when permits that the node may hold from a previous leader have expired. */
+  /** `expiresAt` is when permits that the node may hold from an earlier leader have expired. */
   constructor(report: AdmissionReport, now: number, expiresAt: number) {
     this.report = report;
     this.#reportedAt = now;
@@ -40,7 +40,7 @@
     return spent;
   }
 
-  /** Whether the node may be issued permits: it reports and acknowledges its leases. */
+  /** True if the node may be issued permits: it reports and acknowledges its leases. */
   isEligible(now: number): boolean {
     return now - this.#reportedAt <= MAX_REPORT_AGE_MS && this.#unacknowledged.length < MAX_UNACKNOWLEDGED;
   }
@@ -56,7 +56,7 @@
     this.#unacknowledged = this.#unacknowledged.filter(({ expiresAt }) => now < expiresAt);
   }
 
-  /** Permits of a team that the node holds or that are in unacknowledged leases. */
+  /** Returns the permits of a team that the node holds or that are in unacknowledged leases. */
   outstanding(team: string, now: number): number {
     if (now >= this.#expiresAt) return 0;
     let sum = Math.max(0, teamReport(this.report, team)?.held ?? 0);
@@ -64,12 +64,12 @@
     return sum;
   }
 
-  /** The node's retry reservations for a team. The node honours them even without permits. */
+  /** Returns the number of the node's retry reservations for a team. The node honors them even without permits. */
   reserved(team: string, now: number): number {
     return now >= this.#expiresAt ? 0 : (teamReport(this.report, team)?.reserved ?? 0);
   }
 
-  /** Decaying maximum of a team's submissions at the node between two reports. */
+  /** Returns the decaying maximum of a team's submissions at the node between two reports. */
   demand(team: string): number {
     return teamReport(this.report, team)?.peakDemand ?? 0;
   }
--- a/src/admission/permit-issuer.ts
+++ b/src/admission/permit-issuer.ts
@@ -21,7 +21,7 @@
 /** A demand larger than any real one, to compute each team's full share of the capacity for reservations. */
 const UNLIMITED_DEMAND = 1e9;
 
-/** The maximum number of permits that a node should hold for its demand; it releases any excess. */
+/** Returns the maximum number of permits that a node should hold for its demand; it releases any excess. */
 export function targetPermits(demand: number): number {
   return BASE_PERMITS + DEMAND_FACTOR * demand;
 }
@@ -77,7 +77,7 @@
   #round = 0;
 
   /**
-   * Permits issued by a previous leader may still be spent, so the bucket starts with one second's permits rather than
+   * Permits issued by an earlier leader may still be spent, so the bucket starts with one second's permits rather than
    * the full burst (A3).
    */
   constructor(fencingToken: number, policy: AdmissionPolicy, now: number) {
@@ -185,7 +185,8 @@
 }
 
 /**
- * The part of a team's allocation that goes to one node. Its expected rate is proportional to its share of the demand.
+ * Returns the part of a team's allocation that goes to one node. Its expected rate is proportional to its share of
+ * the demand.
  */
 function permitsOfNode(allocation: TeamAllocation, node: number): TeamPermits {
   const { name, demand, permits, ratePerS, remainingJobs } = allocation;
@@ -200,8 +201,8 @@
 }
 
 /**
- * The unused part of each team's share of a capacity. A team's demand is what it uses plus the permits that its nodes
- * lack plus `extraDemand`.
+ * Returns the unused part of each team's share of a capacity. A team's demand is what it uses plus the permits that
+ * its nodes lack plus `extraDemand`.
  */
 function remainingShares(teams: readonly TeamDemand[], capacity: number, extraDemand = 0): number[] {
   const claims = teams.map(({ weight, used, wanted }) => ({
@@ -217,7 +218,7 @@
   return Math.max(1, demand);
 }
 
-/** The expected admission rate of each team, given its demand. */
+/** Returns the expected admission rate of each team, given its demand. */
 function expectedRates(ratePerS: number, teams: readonly TeamDemand[]): number[] {
   const claims = teams.map(({ weight, demand }) => {
     return { weight, demand: sum(demand.map(expectedDemand)) * FRACTIONS_PER_PERMIT };
@@ -236,7 +237,7 @@
   return counts;
 }
 
-/** The limit on unfinished jobs of the policy's teams, less the jobs of teams that are no longer configured. */
+/** Returns the limit on unfinished jobs of the policy's teams, less the jobs of teams that are no longer configured. */
 function openJobCapacity(
   { maxOpenJobs, teams }: AdmissionPolicy,
   openJobs: ReadonlyMap<string, number>,
--- a/src/admission/permit-pool.ts
+++ b/src/admission/permit-pool.ts
@@ -70,13 +70,13 @@
     return now < this.#expiresAt;
   }
 
-  /** Number of jobs of a team that may be accepted now. */
+  /** Returns the number of jobs of a team that may be accepted now. */
   available(team: string, now: number): number {
     const { held, accruedMinimum } = this.#pool(team);
     return Math.floor(this.isValid(now) ? held : accruedMinimum);
   }
 
-  /** Spends a permit. The balance may become negative, because reservations are honoured in any case. */
+  /** Spends a permit. The balance may become negative, because reservations are honored in any case. */
   spend(team: string, now: number): void {
     const pool = this.#pool(team);
     pool.spent++;
@@ -91,17 +91,17 @@
     else pool.accruedMinimum++;
   }
 
-  /** Admissions per second of a team that the leader expects at this node; 0 if it cannot predict them. */
+  /** Returns a team's admissions per second that the leader expects at this node; 0 if it cannot predict them. */
   ratePerS(team: string): number {
     return this.#pool(team).ratePerS;
   }
 
-  /** Unspent leased permits of a team; negative if more reservations were honoured than permits were held. */
+  /** Returns a team's unspent leased permits; negative if more reservations were honored than permits were held. */
   held(team: string): number {
     return this.#pool(team).held;
   }
 
-  /** Permits of a team spent since the start of this node. */
+  /** Returns the permits of a team spent since the start of this node. */
   spent(team: string): number {
     return this.#pool(team).spent;
   }
--- a/src/admission/policy.ts
+++ b/src/admission/policy.ts
@@ -2,7 +2,7 @@
 import type { Deployment } from "../core/model/deployment.js";
 
 /**
- * Store writes budgeted per job. A job takes about six: the submission, a start, its done marker, its final record and
+ * Store writes budgeted per job. A job takes about six: the submission, a start, its done mark, its final record and
  * the removal of two keys. The rest is headroom, so that task starts do not wait for the record writes of other jobs.
  */
 const WRITES_PER_JOB = 8;
--- a/src/admission/retry-reservations.ts
+++ b/src/admission/retry-reservations.ts
@@ -2,7 +2,7 @@
 
 /** The longest Retry-After. It is sent when no reservation could be made. */
 export const MAX_RETRY_AFTER_S = 30;
-/** How far in the future a reservation may be due. The queue of a team is full beyond this. */
+/** How far in the future a reservation may be due. The retry queue of a team is full beyond this. */
 export const MAX_RESERVATION_S = MAX_RETRY_AFTER_S - 1;
 const MIN_RETRY_AFTER_S = 1;
 /** Retry-After is in whole seconds, so a retry may come this long before its reservation is due, or this long after. */
@@ -24,12 +24,13 @@
 }
 
 /**
- * Tracks when rejected submissions may be retried. Each has a slot in its team's queue at the node that rejected it.
- * Shortly before the slot is due, that node earmarks a permit for the submission. When it is due, any node accepts it.
+ * Tracks when rejected submissions may be retried. Each has a slot in its team's retry queue at the node that rejected
+ * it. Shortly before the slot is due, that node earmarks a permit for the submission. When it is due, any node accepts
+ * it.
  */
 export class RetryReservations {
   readonly #byUid = new Map<string, Reservation>();
-  /** When the next free slot in each team's queue is due. */
+  /** When the next free slot in each team's retry queue is due. */
   readonly #nextDueAt = new Map<string, number>();
   readonly #unannounced: string[] = [];
   readonly #redeemedPeerReservations: string[] = [];
@@ -70,7 +71,7 @@
     return this.#redeemedPeerReservations.splice(0, MAX_NOTICES);
   }
 
-  /** Permits of a team that are earmarked for reservations that are due or will be due soon. */
+  /** Returns the permits of a team that are earmarked for reservations that are due or will be due soon. */
   earmarkedPermits(team: string, now: number): number {
     const known = this.#earmarkedCounts.get(team);
     if (known && now - known.countedAt < COUNT_MAX_AGE_MS) return known.count;
@@ -84,7 +85,7 @@
 
   /**
    * Makes a reservation for a rejected submission and returns its Retry-After in seconds. `ratePerS` must be positive.
-   * A submission that is retried early keeps its reservation. If the queue is full, no reservation is made.
+   * A submission that is retried early keeps its reservation. If the retry queue is full, no reservation is made.
    */
   reserve(uid: string, team: string, ratePerS: number, now: number): number {
     const known = this.#byUid.get(uid);
@@ -121,7 +122,7 @@
     for (const [uid, { dueAt }] of this.#byUid) if (now > dueAt + LATE_TOLERANCE_MS) this.#byUid.delete(uid);
   }
 
-  /** Number of reservations for a team that were made by this node and have not been redeemed. */
+  /** Returns the number of reservations for a team that were made by this node and have not been redeemed. */
   countOwn(team: string): number {
     let count = 0;
     for (const reservation of this.#byUid.values())
--- a/src/admission/shares.ts
+++ b/src/admission/shares.ts
@@ -72,7 +72,7 @@
   return left;
 }
 
-/** The claimant that gets the next unit. */
+/** Returns the claimant that gets the next unit. */
 function nextClaimant(
   claims: readonly Claim[],
   claimants: readonly number[],
@@ -84,7 +84,7 @@
   return next;
 }
 
-/** The D'Hondt quotient: the weight divided by the share plus one unit. */
+/** Returns the D'Hondt quotient: the weight divided by the share plus one unit. */
 function quotient(claims: readonly Claim[], shares: readonly number[], index: number): number {
   return weightOf(claims, index) / (shareOf(shares, index) + 1);
 }
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -11,24 +11,24 @@
 /** Design limit of a leader (docs/DESIGN.md, "Bounds"); the previous version does not accept more. */
 const MAX_MACHINES = 10_000;
 
-/** Schema of the stored settings. Unknown names are errors, so that misspelt ones are not ignored. */
+/** Schema of the stored settings. Unknown names are errors, so that misspelled ones are not ignored. */
 export const operatorSchema = v.strictObject({
   /**
-   * A machine is underutilized while its booked CPU share is below `move_low`. Replicas migrate only to machines whose
-   * share stays below `move_high`.
+   * A machine is underutilized while its allocated CPU share is below `move_low`. Replicas migrate only to machines
+   * whose share stays below `move_high`.
    */
   move_low: v.optional(number(0, 1), 0.3),
   move_high: v.optional(number(0, 1), 0.8),
   /**
    * Minimum interval between replica migrations, how long a machine must have been underutilized before one, and how
-   * long the old replica drains.
+   * long the old copy of the replica drains.
    */
   move_round_s: v.optional(number(1, 3600), 30),
   move_window_s: v.optional(number(0, 600), 10),
   move_drain_s: v.optional(number(0, 600), 30),
   /** TTL of the leader lease. */
   leader_grant_ms: v.optional(integer(1000, 60_000), 3000),
-  /** How long a leader that can't reach the key-value store continues to reply to heartbeats. */
+  /** How long a leader that cannot reach the key-value store continues to reply to heartbeats. */
   hold_s: v.optional(number(0, 600), 30),
   /** Time budget of one scheduling round. */
   round_budget_ms: v.optional(number(1, 1000), 20),
@@ -54,7 +54,7 @@
   admission_open_jobs: v.optional(integer(1, 1_000_000), 20_000),
   /** Weight of each team in admission, by team name; defaults to the guaranteed CPUs of the team. */
   admission_weights: v.optional(v.record(v.string(), number(0, 1_000_000)), {}),
-  /** After this time without a task start in a queue (the jobs of one class of one team), its oldest job goes first. */
+  /** After this time without a task start in a class queue (a team's jobs of one class), its oldest job goes first. */
   admission_turn_s: v.optional(number(5, 160), 60),
 });
 
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -120,7 +120,7 @@
   return { host: value.slice(0, colon), port: Number(value.slice(colon + 1)) };
 }
 
-/** Loads a settings file; throws a SettingsError if it can't be read or is invalid. */
+/** Loads a settings file; throws a SettingsError if it cannot be read or is invalid. */
 export function loadSettings(path: string): Settings {
   return parseSettings(readSource(path));
 }
@@ -249,7 +249,7 @@
   };
 }
 
-/** The announced future limits, null if there are none. Those not announced keep their current values. */
+/** Returns the announced future limits, null if there are none. Those not announced keep their current values. */
 function toNextStoreLimits(state: WireDeployment["state"]): StoreLimits | null {
   const { next } = state;
   if (!next) return null;
--- a/src/core/agent-isolation.ts
+++ b/src/core/agent-isolation.ts
@@ -12,7 +12,7 @@
  *
  * A leader may reach the key-value store but no agent. It would keep its own lease alive while all agent leases expire.
  * It resigns if a peer receives agent heartbeats, or if it receives no peer heartbeats either. If instead all agents
- * hang, the next leader finds the same; the backoff after resigning prevents leadership from flapping.
+ * hang, the next leader receives no heartbeats either; the backoff after resigning prevents leadership from flapping.
  */
 export function reasonToResign(ctx: Context, machines: Iterable<Machine>, peers: PeerTable): string | null {
   const { now, deployment } = ctx;
--- a/src/core/agents/agent-lease.ts
+++ b/src/core/agents/agent-lease.ts
@@ -16,5 +16,5 @@
   if (machine.fencedAt !== null) return Math.max(renewedAt, machine.fencedAt) + leaseMs;
   // The agent is not fenced, so an earlier leader may have replied to it until the end of its grace period. This also
   // holds if this node led the previous term: the leader before that term may still be in its grace period.
-  return Math.max(leaderLease.previousLeaderUntil, renewedAt) + leaseMs;
+  return Math.max(leaderLease.earlierLeadersUntil, renewedAt) + leaseMs;
 }
--- a/src/core/agents/agent-manager.ts
+++ b/src/core/agents/agent-manager.ts
@@ -17,7 +17,7 @@
 import { ReachabilityTracker } from "./reachability-tracker.js";
 import { Reconciler } from "./reconciler.js";
 
-/** Events that the agent manager reports to the leader's term. */
+/** Events that {@link AgentManager} reports to the leader's term. */
 export interface AgentEvents {
   /** A placement is proved to have ended and was removed from the cluster state. */
   onPlacementEnded(placement: Placement, cause: ExitReason | "lost"): void;
@@ -27,7 +27,7 @@
   onCapacityChanged(): void;
 }
 
-/** Components that the agent manager depends on. */
+/** The dependencies of {@link AgentManager}. */
 export interface AgentManagerDependencies {
   readonly ctx: Context;
   readonly election: Election;
@@ -118,21 +118,21 @@
    * Processes the reply to a command batch that was sent directly.
    *
    * @param id The number of the batch.
-   * @param status The agent's status from the reply; null if no reply arrived.
+   * @param heartbeat The heartbeat in the reply; null if no reply arrived.
    * @param executed False if the agent refused the batch.
    */
-  onCommandReply(id: number, status: Heartbeat | null, executed: boolean): void {
+  onCommandReply(id: number, heartbeat: Heartbeat | null, executed: boolean): void {
     const machine = this.#commandSender.removeInFlight(id);
     if (!machine) return;
-    if (!status || status.machine !== machine.index) {
+    if (!heartbeat || heartbeat.machine !== machine.index) {
       this.#commandSender.delayRetry(machine);
       return;
     }
-    this.#intake.accept(status, "commandReply");
+    this.#intake.accept(heartbeat, "commandReply");
     if (!this.#isLeading) return;
     if (executed) this.#reachability.markReachable(machine);
     // Refused because of an outdated incarnation. The current one is known now, so the fencing token is sent again.
-    else if (machine.fencedAt === null && status.incarnation === machine.incarnation)
+    else if (machine.fencedAt === null && heartbeat.incarnation === machine.incarnation)
       this.queueFencing(machine);
   }
 
--- a/src/core/agents/command-planner.ts
+++ b/src/core/agents/command-planner.ts
@@ -17,7 +17,7 @@
  */
 const CANCELLATION_KNOWLEDGE_MAX_AGE_MS = 6000;
 
-/** Components that the command planner depends on, and its callback. */
+/** The dependencies and the callback of {@link CommandPlanner}. */
 export interface CommandPlannerDependencies {
   readonly ctx: Context;
   readonly election: Election;
--- a/src/core/agents/command-sender.ts
+++ b/src/core/agents/command-sender.ts
@@ -9,7 +9,7 @@
 const NO_COMMANDS: readonly AgentCommand[] = [];
 
 /**
- * Sends command batches directly to agents, for commands that can't wait until the next heartbeat. At most one batch
+ * Sends command batches directly to agents, for commands that cannot wait until the next heartbeat. At most one batch
  * per machine is in flight.
  */
 export class CommandSender {
@@ -32,7 +32,7 @@
     this.#queued.add(machine);
   }
 
-  /** Sends the due commands of the queued machines. Machines with a batch in flight or in back-off stay queued. */
+  /** Sends the due commands of the queued machines. Machines with a batch in flight or in backoff stay queued. */
   sendQueued(): void {
     const { now } = this.#ctx;
     for (const machine of this.#queued) {
@@ -58,7 +58,7 @@
     return machine;
   }
 
-  /** Starts the back-off of a machine that did not reply. */
+  /** Starts the backoff of a machine that did not reply. */
   delayRetry(machine: Machine): void {
     machine.commandRetryAt = this.#ctx.now + COMMAND_RETRY_MS;
   }
--- a/src/core/agents/failure-tracking.ts
+++ b/src/core/agents/failure-tracking.ts
@@ -5,7 +5,7 @@
 const JOB_BACKOFF_MS = 2000;
 const JOB_BACKOFF_MAX_MS = 60_000;
 const JOB_BACKOFF_MAX_DOUBLINGS = 10;
-/** A job that has failed on this many machines is put into back-off. */
+/** A job that has failed on this many machines is put into backoff. */
 const JOB_BACKOFF_MIN_MACHINES = 2;
 /** A machine on which this many jobs have failed is considered faulty. */
 const FAULTY_MACHINE_MIN_JOBS = 2;
@@ -18,7 +18,7 @@
 /**
  * Counts a failed task for its job and its machine. Most failures are caused by the machine, so a machine on which
  * different jobs fail is drained. A job that fails on several machines is itself likely to be faulty; exponential
- * back-off keeps it from delaying other jobs.
+ * backoff keeps it from delaying other jobs.
  */
 export function recordFailure(ctx: Context, { job, machine }: Placement): void {
   job.failures++;
--- a/src/core/agents/fencing-queue.ts
+++ b/src/core/agents/fencing-queue.ts
@@ -57,7 +57,7 @@
 
   /**
    * Sends the fencing token to the next few machines, those with the most placements first: until an agent has adopted
-   * this leader, none of its tasks can be proved absent (I3), so they can't be restarted elsewhere.
+   * this leader, none of its tasks can be proved absent (I3), so they cannot be restarted elsewhere.
    */
   tick(): void {
     const { now, deployment } = this.#ctx;
--- a/src/core/agents/heartbeat-intake.ts
+++ b/src/core/agents/heartbeat-intake.ts
@@ -8,10 +8,10 @@
 import type { ReachabilityTracker } from "./reachability-tracker.js";
 import type { Reconciler } from "./reconciler.js";
 
-/** Whether an agent's status arrived as a heartbeat or in the reply to a direct command batch. */
+/** Whether a heartbeat arrived on its own or in the reply to a direct command batch. */
 export type HeartbeatSource = "heartbeat" | "commandReply";
 
-/** Components that the intake depends on, and its callback. */
+/** The dependencies and the callback of {@link HeartbeatIntake}. */
 export interface HeartbeatIntakeDependencies {
   readonly ctx: Context;
   readonly election: Election;
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Not called for replies to direct commands: an agent that can't reach any controller must not get tasks, and its
+   * Not called for replies to direct commands: an agent that cannot reach any controller must not get tasks, and its
    * lease must expire (I7).
    */
   #recordHeartbeatTime(machine: Machine): void {
--- a/src/core/agents/heartbeat-router.ts
+++ b/src/core/agents/heartbeat-router.ts
@@ -6,13 +6,13 @@
 /** Agents whose last heartbeat arrived within this time count as active. */
 const ACTIVE_AGENT_WINDOW_MS = 3500;
 
-/** The router's access to the election and the peers. */
+/** Queries from {@link HeartbeatRouter} about the election and the peers. */
 export interface HeartbeatRouterCallbacks {
   /** Returns the reply if this node leads and may reply, else null. */
   replyAsLeader(heartbeat: Heartbeat): HeartbeatReply | null;
   /** True if this node leads. */
   isLeader(): boolean;
-  /** The current leader according to the key-value store; null if none is known. */
+  /** Returns the current leader according to the key-value store; null if none is known. */
   leader(): string | null;
   /** True for a peer that heartbeats can be forwarded to. */
   isReachablePeer(node: string): boolean;
@@ -90,8 +90,8 @@
     const leader = this.#callbacks.leader();
     if (leader === null || leader === this.#ctx.deployment.node) return false;
     // Every node accepts heartbeats and forwards them to the leader. Most of a heartbeat's cost is HTTP handling, and
-    // one node's share of a CPU core can't carry that for a large cluster after a failover. Agents are redirected only
-    // if this node can't forward.
+    // one node's share of a CPU core cannot carry that for a large cluster after a failover. Agents are redirected only
+    // if this node cannot forward.
     if (this.#callbacks.isReachablePeer(leader))
       this.#ctx.emit({ kind: "forwardHeartbeat", requestId, to: leader, body });
     else this.#reply(requestId, { kind: "redirect", node: leader });
@@ -114,7 +114,7 @@
     this.#ctx.emit({ kind: "replyToAgent", requestId, reply });
   }
 
-  /** Number of agents that recently sent a heartbeat to this node. */
+  /** Returns the number of agents that recently sent a heartbeat to this node. */
   countActiveAgents(): number {
     for (const [machine, lastHeartbeatAt] of this.#lastHeartbeatAt)
       if (this.#ctx.now - lastHeartbeatAt > ACTIVE_AGENT_WINDOW_MS) this.#lastHeartbeatAt.delete(machine);
--- a/src/core/agents/image-caches.ts
+++ b/src/core/agents/image-caches.ts
@@ -5,7 +5,7 @@
 /** The fetch time assumed if the fetch rate of the machine's type is not known. */
 const DEFAULT_FETCH_S = 30;
 
-/** Records that a machine starts to fetch a job's image now, and evicts images from the modelled cache if needed. */
+/** Records that a machine starts to fetch a job's image now, and evicts images from the modeled cache if needed. */
 export function recordImageFetch(ctx: Context, machine: Machine, job: Job): void {
   const { now } = ctx;
   const { image, imageGb } = job.spec;
--- a/src/core/agents/reconciler.ts
+++ b/src/core/agents/reconciler.ts
@@ -10,7 +10,7 @@
 import { recordImageCached, recordImageFetch } from "./image-caches.js";
 import type { ReachabilityTracker } from "./reachability-tracker.js";
 
-/** Events that reconciliation reports. */
+/** Events that {@link Reconciler} reports to the agent manager. */
 export interface ReconcilerEvents {
   /** A placement is proved to have ended and must be removed from the cluster state. */
   onPlacementEnded(placement: Placement, cause: ExitReason | "lost"): void;
@@ -109,7 +109,7 @@
     else if (!machine.images.has(job.spec.image)) recordImageFetch(this.#ctx, machine, job);
   }
 
-  /** Resources of reported tasks without a placement here, which are in use until the tasks are reported as ended. */
+  /** Returns the resources of reported tasks without a placement here; they are in use until reported as ended. */
   #usedByUnknownTasks(machine: Machine, { tasks }: Heartbeat): Resources {
     let used = NO_RESOURCES;
     for (const { job: jobIndex, task, attempt, state } of tasks) {
--- a/src/core/agents/task-outcome.ts
+++ b/src/core/agents/task-outcome.ts
@@ -4,9 +4,9 @@
 import type { RecordWriter } from "../store/record-writer.js";
 import { recordFailure } from "./failure-tracking.js";
 
-/** Back-off of a machine that refused a start because of missing capacity or an earlier attempt of the task. */
+/** Backoff of a machine that refused a start because of missing capacity or an earlier attempt of the task. */
 const REFUSED_START_BACKOFF_MS = 2000;
-/** Back-off of a job that is unknown to an agent. */
+/** Backoff of a job that is unknown to an agent. */
 const UNKNOWN_JOB_BACKOFF_MS = 1000;
 
 /** Updates the state of the job and the machine according to how a placement ended. */
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -21,11 +21,11 @@
 /** Minimum interval between log lines about exceeding `max_machines`. */
 const EXCESS_LOG_INTERVAL_MS = 60_000;
 
-/** Callbacks for events found in the cloud's responses. */
+/** Events that {@link CloudInventory} finds in the cloud's responses. */
 export interface InventoryEvents {
-  /** Called after the cloud's catalogue has been read. */
+  /** The cloud's catalog has been read. */
   onMachineTypes(types: readonly MachineType[]): void;
-  /** Called when the cloud lists a machine as failed. */
+  /** The cloud lists a machine as failed. */
   onMachineFailed(machine: Machine): void;
 }
 
@@ -60,7 +60,7 @@
     this.#isStopped = true;
   }
 
-  /** Sends the listing and catalogue requests that are due. */
+  /** Sends the listing and catalog requests that are due. */
   tick(): void {
     const { now } = this.#ctx;
     if (this.#nextPage && now >= this.#nextPage.at) {
--- a/src/core/autoscaling/creation-requests.ts
+++ b/src/core/autoscaling/creation-requests.ts
@@ -4,7 +4,7 @@
 import type { LeaderLease } from "../model/leader-lease.js";
 import { type Offer, offerKeyOf } from "./offer.js";
 
-/** Initial back-off for an offer after a request that was not fulfilled; doubles with each repetition. */
+/** Initial backoff for an offer after a request that was not fulfilled; doubles with each repetition. */
 const OFFER_BACKOFF_MS = 8000;
 const OFFER_BACKOFF_MAX_MS = 60_000;
 /** How many times a request is sent if it gets no response. */
@@ -32,7 +32,7 @@
   readonly #inFlight = new Map<string, CreationRequest>();
   /** Requests to retry because they got no response. */
   readonly #retries: { readonly at: number; readonly request: CreationRequest }[] = [];
-  /** Current back-offs, by offer. */
+  /** Current backoffs, by offer. */
   readonly #backoffs = new Map<string, { readonly until: number; readonly waitMs: number }>();
   #requestCount = 0;
 
@@ -47,7 +47,7 @@
     return this.#inFlight.values();
   }
 
-  /** Returns whether the offer is in back-off, during which the caller must not request it. */
+  /** True if the offer is in backoff, during which the caller must not request it. */
   isBackedOff(offer: Offer): boolean {
     return (this.#backoffs.get(offerKeyOf(offer))?.until ?? 0) > this.#ctx.now;
   }
--- a/src/core/autoscaling/gpu-headroom.ts
+++ b/src/core/autoscaling/gpu-headroom.ts
@@ -89,7 +89,7 @@
   }
 
   /**
-   * Returns whether a task of a job without GPUs costs more than `dear_factor` times as much on this GPU type as on
+   * True if a task of a job without GPUs costs more than `dear_factor` times as much on this GPU type as on
    * the cheapest type without GPUs.
    */
   isTooExpensive(job: Job, type: MachineType, spot: boolean): boolean {
@@ -162,7 +162,7 @@
     return demand;
   }
 
-  /** Returns whether no GPU job has arrived for several mean interarrival times. */
+  /** True if no GPU job has arrived for several mean interarrival times. */
   #hasDemandCeased({ lastArrivalAt, interarrivalMs }: GpuDemand): boolean {
     return this.#ctx.now - lastArrivalAt > Math.max(CEASED_MIN_MS, CEASED_INTERARRIVALS * interarrivalMs);
   }
@@ -183,7 +183,7 @@
     const inUse = Math.min(maxUseful, busyCount + blocked.gpuMachines);
     const retained = this.#machinesToRetain(demand, inUse, Math.min(maxUseful, inUse + headroom));
     const isWarmingUp = this.#ctx.now - this.#startedAt < this.#ctx.settings.spare_window_s * 1000;
-    // Don't terminate what the provisioner would recreate for blocked jobs, at the cost of another minimum charge.
+    // Do not terminate what the provisioner would recreate for blocked jobs, at the cost of another minimum charge.
     const surplus = blocked.isWantedOnDemand || isWarmingUp ? 0 : machines.length - retained;
     this.#ctx.log("debug", "gpu headroom", {
       type: type.name,
@@ -248,7 +248,7 @@
   );
 }
 
-/** Returns whether any GPU of the machine is in use. */
+/** True if any GPU of the machine is in use. */
 function runsGpuTasks({ used }: Machine): boolean {
   return used.gpu > 0;
 }
--- a/src/core/autoscaling/offer.ts
+++ b/src/core/autoscaling/offer.ts
@@ -14,7 +14,7 @@
   return `${type.name} ${zone} ${spot ? "spot" : "on-demand"}`;
 }
 
-/** Returns whether a task of the job may run on an empty machine of the offer. */
+/** True if a task of the job may run on an empty machine of the offer. */
 export function offerSuits({ spec }: Job, { type, zone, spot }: Offer): boolean {
   return fitsMachineType(spec, type) && (spec.zone === null || spec.zone === zone) && (spec.spot || !spot);
 }
--- a/src/core/autoscaling/provisioner.ts
+++ b/src/core/autoscaling/provisioner.ts
@@ -21,7 +21,7 @@
 const SPOT_RISK_FACTOR = 1.25;
 const MAX_MACHINES_PER_REQUEST = 50;
 
-/** The dependencies of {@link Provisioner}. */
+/** The dependencies and the callback of {@link Provisioner}. */
 export interface ProvisionerDependencies {
   readonly ctx: Context;
   readonly lease: LeaderLease;
@@ -29,7 +29,7 @@
   readonly agents: AgentManager;
   readonly recordWriter: RecordWriter;
   readonly scheduler: Scheduler;
-  /** Called after the cloud's catalogue has been read. */
+  /** The cloud's catalog has been read. */
   onMachineTypes(types: readonly MachineType[]): void;
 }
 
@@ -193,7 +193,7 @@
     return cheapest;
   }
 
-  /** Returns the zones with the maximum number of tasks of a spread job; null if the job isn't spread. */
+  /** Returns the zones with the maximum number of tasks of a spread job; null if the job is not spread. */
   #zonesFullFor(job: Job): Set<string> | null {
     if (!job.spec.spread) return null;
     const maxTasks = Math.ceil(job.spec.tasks / 2);
--- a/src/core/autoscaling/termination-rules.ts
+++ b/src/core/autoscaling/termination-rules.ts
@@ -2,7 +2,7 @@
 
 /** How long the silent machines of a partitioned zone are kept. */
 const PARTITION_RETENTION_MS = 300_000;
-/** The cloud's minimum charge per machine; idle machines aren't terminated before this age. */
+/** The cloud's minimum charge per machine; idle machines are not terminated before this age. */
 const MIN_CHARGE_MS = 60_000;
 /** A machine is terminated after being silent or unreachable for this many leases. */
 const UNRESPONSIVE_LEASES = 2;
@@ -18,7 +18,7 @@
   readonly maxIdleMs: number;
   /** False while so many machines are silent that this node itself must be partitioned. */
   readonly canReceive: boolean;
-  /** False while so many machines are unreachable that this node itself can't send. */
+  /** False while so many machines are unreachable that this node itself cannot send. */
   readonly canSend: boolean;
   readonly partitionedZones: ReadonlySet<string>;
   /** The kinds of machines that some blocked job may run on; see {@link machineKindOf}. */
@@ -50,7 +50,7 @@
   return rule ? rule.reason : null;
 }
 
-/** Returns whether the time without a heartbeat is too long for a working machine. */
+/** True if the time without a heartbeat is too long for a working machine. */
 export function isSilent(silenceMs: number, silentAfterMs: number): boolean {
   return silenceMs > silentAfterMs;
 }
@@ -61,7 +61,7 @@
 }
 
 /**
- * Returns whether a machine is kept because of a partition. After it, the machines return with their image caches;
+ * True if a machine is kept because of a partition. After it, the machines return with their image caches;
  * replacing them would cost boots and image fetches, and spot machines would be presumed reclaimed first.
  */
 function isKeptDuringPartition(
@@ -97,7 +97,7 @@
   return mode === "drain" && placements.size === 0;
 }
 
-/** Returns whether this is an idle GPU machine beyond those in use and the headroom, past the minimum charge. */
+/** True if this is an idle GPU machine beyond those in use and the headroom, past the minimum charge. */
 function isSurplus(machine: Machine, { now }: ClusterHealth): boolean {
   return machine.isMarkedForScaleIn && machine.idleSince !== null && now - machine.createdAt > MIN_CHARGE_MS;
 }
--- a/src/core/cluster-recovery.ts
+++ b/src/core/cluster-recovery.ts
@@ -8,7 +8,7 @@
 import type { StoredRecords } from "./store/record-reader.js";
 import type { RecordWriter } from "./store/record-writer.js";
 
-/** The components that `ClusterRecovery` works on. */
+/** The dependencies of {@link ClusterRecovery}. */
 export interface ClusterRecoveryDependencies {
   readonly cluster: ClusterState;
   readonly agents: AgentManager;
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -29,7 +29,7 @@
   readonly random: RandomGenerator;
   readonly estimates = new RuntimeEstimates();
   readonly limits: EffectiveStoreLimits;
-  /** True if fair admission is enabled: the queue order then also takes teams in round-robin turns. */
+  /** True if fair admission is enabled: the queue order then also gives class queues round-robin turns. */
   areRoundRobinTurnsEnabled = false;
   /** When the key-value store last responded to this node. */
   storeRespondedAt = Number.NEGATIVE_INFINITY;
@@ -39,7 +39,7 @@
   #nextId = 1;
   readonly #pendingStoreCalls = new Map<number, (response: StoreResponse) => void>();
   readonly #pendingCloudCalls = new Map<number, (response: CloudResponse) => void>();
-  /** Wall time in ms when `now` is 0. */
+  /** Wall-clock time in ms when `now` is 0. */
   readonly #epochMs: number;
 
   constructor(deployment: Deployment, names: NameRegistry, random: RandomGenerator, epochMs: number) {
@@ -50,7 +50,7 @@
     this.random = random;
   }
 
-  /** Wall time in ms. Only waits, deadlines and recorded times of jobs depend on it; no safety rule does. */
+  /** Wall-clock time in ms. Only waits, deadlines and recorded times of jobs depend on it; no safety rule does. */
   get wallMs(): number {
     return this.#epochMs + this.now;
   }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -7,7 +7,7 @@
 import { HeartbeatRouter, type HeartbeatRouterCallbacks } from "./agents/heartbeat-router.js";
 import { Context, type TimeBudget } from "./context.js";
 import { Election } from "./election/election.js";
-import type { ElectionEvents } from "./election/election-events.js";
+import type { ElectionCallbacks } from "./election/election-callbacks.js";
 import { type JobRequestCallbacks, JobRequests } from "./jobs/job-requests.js";
 import { ProgressCounts } from "./jobs/progress-counts.js";
 import { leaderStatus } from "./leader-status.js";
@@ -33,16 +33,16 @@
 const UNREADY_AFTER_MS = 2500;
 
 /** The parameters that are specific to one process of a node. */
-export interface Identity {
+export interface ProcessIdentity {
   /** Unique to this process among all processes of the node. */
   readonly incarnation: string;
   /** Seed of the random number generator. */
   readonly seed: number;
-  /** Wall time in ms when `Context.now` is 0. */
+  /** Wall-clock time in ms when `Context.now` is 0. */
   readonly epochMs: number;
   /** Size limit of the standby cache in bytes; 0 or absent disables it. */
   readonly standbyBytes?: number;
-  /** Whether submissions are subject to fair admission by the teams' shares. */
+  /** True if submissions are subject to fair admission by the teams' shares. */
   readonly admission?: boolean;
 }
 
@@ -70,7 +70,7 @@
   readonly #admission: Admission | null;
   #reclaimedAt = 0;
 
-  constructor(deployment: Deployment, identity: Identity) {
+  constructor(deployment: Deployment, identity: ProcessIdentity) {
     const { incarnation, seed, epochMs, standbyBytes = 0, admission = false } = identity;
     const ctx = new Context(deployment, this.names, seededRandom(seed), epochMs);
     this.ctx = ctx;
@@ -79,7 +79,7 @@
     this.#admission = admission ? new Admission(ctx, incarnation) : null;
     this.#failover = new Failover(ctx, this.#peers, standbyBytes);
     this.config = new ConfigWatch(ctx, (key) => this.#onConfigChanged(key));
-    this.election = new Election(ctx, this.config, incarnation, this.#electionEvents());
+    this.election = new Election(ctx, this.config, incarnation, this.#electionCallbacks());
     this.#administration = new Administration(ctx, this.config, () => this.status());
     this.#heartbeatRouter = new HeartbeatRouter(ctx, this.#heartbeatRouterCallbacks());
     this.featureGate = new FeatureGate(ctx, this.config, () => this.election.lease);
@@ -101,7 +101,7 @@
     });
   }
 
-  #electionEvents(): ElectionEvents {
+  #electionCallbacks(): ElectionCallbacks {
     return {
       onElected: (lease) => this.#beginTerm(lease),
       onSteppedDown: (reason) => this.#endTerm(reason),
@@ -147,8 +147,8 @@
 
   /** For the metrics: the standby cache and the steps of this node's last failover. */
   get failover(): { readonly standby: StandbyReport | null; readonly takeover: FailoverTimeline } {
-    const { timeline: takeover } = this.#failover;
-    return { standby: this.#failover.standbyReport(this.config.revision), takeover };
+    const { timeline } = this.#failover;
+    return { standby: this.#failover.standbyReport(this.config.revision), takeover: timeline };
   }
 
   /** For the metrics; null if fair admission is disabled. */
@@ -162,7 +162,7 @@
     return this.config.leader?.value.node ?? null;
   }
 
-  /** The status page of this node. Operators' tools depend on the field names. */
+  /** Returns the status page of this node. Operators' tools depend on the field names. */
   status(): Record<string, unknown> {
     const { leaderTerm } = this;
     const admission = this.#admission?.status();
--- a/src/core/election/previous-leader-bound.ts
+++ b/src/core/election/earlier-leader-bound.ts
@@ -13,7 +13,7 @@
  * Upper bound on how long leaders of earlier terms may continue to reply to agents. With it, a new leader waits for the
  * expiry of an agent lease renewed by an earlier leader only if there may be one (I3).
  */
-export class PreviousLeaderBound {
+export class EarlierLeaderBound {
   readonly #ctx: Context;
   readonly #policy: LeaseRenewalPolicy;
   /** The last term of this process as leader; null if there was none. */
@@ -43,7 +43,7 @@
 
   /** Records the term that ends now for the next term of this process. */
   endTerm(lease: LeaderLease): void {
-    const repliesUntil = Math.max(lease.previousLeaderUntil, this.#ctx.now);
+    const repliesUntil = Math.max(lease.earlierLeadersUntil, this.#ctx.now);
     this.#ownLastTerm = { fencingToken: lease.fencingToken, repliesUntil };
   }
 
@@ -56,6 +56,6 @@
     if (fencingToken < lease.firstFencingToken || this.#acknowledgedBy.has(peer)) return;
     this.#acknowledgedBy.add(peer);
     if (this.#ctx.deployment.peers.every((name) => this.#acknowledgedBy.has(name)))
-      lease.previousLeaderUntil = Math.min(lease.previousLeaderUntil, this.#ctx.now);
+      lease.earlierLeadersUntil = Math.min(lease.earlierLeadersUntil, this.#ctx.now);
   }
 }
--- a/src/core/election/election-events.ts
+++ b/src/core/election/election-callbacks.ts
@@ -7,8 +7,8 @@
   | { readonly kind: "candidate" }
   | { readonly kind: "leader"; readonly lease: LeaderLease };
 
-/** Queries and callbacks from the election to its node. */
-export interface ElectionEvents extends RenewalInputs {
+/** Queries and callbacks from {@link Election} to its node. */
+export interface ElectionCallbacks extends RenewalInputs {
   /** This node has become the leader. */
   onElected(lease: LeaderLease): void;
   /** This node is no longer the leader. */
--- a/src/core/election/election.ts
+++ b/src/core/election/election.ts
@@ -4,10 +4,10 @@
 import type { ConfigWatch } from "../store/config-watch.js";
 import { KEYS } from "../store/records.js";
 import { type AcquiredLeadership, Campaign, type CampaignOutcome } from "./campaign.js";
-import type { ElectionEvents, ElectionState } from "./election-events.js";
+import { EarlierLeaderBound } from "./earlier-leader-bound.js";
+import type { ElectionCallbacks, ElectionState } from "./election-callbacks.js";
 import { FencingTokenAdvancer } from "./fencing-token-advancer.js";
 import { LeaseRenewalPolicy } from "./lease-renewal-policy.js";
-import { PreviousLeaderBound } from "./previous-leader-bound.js";
 import { ELECTION_CALL_TIMEOUT_MS, leaseValidUntil } from "./timing.js";
 
 /** How long a node waits after resigning before it campaigns again, so that leadership does not flap. */
@@ -28,12 +28,12 @@
 export class Election {
   readonly #ctx: Context;
   readonly #config: ConfigWatch;
-  readonly #events: ElectionEvents;
+  readonly #callbacks: ElectionCallbacks;
   readonly #incarnation: string;
   readonly #policy: LeaseRenewalPolicy;
   readonly #campaign: Campaign;
   readonly #tokenAdvancer: FencingTokenAdvancer;
-  readonly #previousLeaders: PreviousLeaderBound;
+  readonly #earlierLeaders: EarlierLeaderBound;
   /** The current role of this node. */
   state: ElectionState = { kind: "follower" };
   /** The highest fencing token that this node has seen from any source. */
@@ -44,14 +44,14 @@
   #keepAliveAt = 0;
   #tokenAdvancedAt = 0;
 
-  constructor(ctx: Context, config: ConfigWatch, incarnation: string, events: ElectionEvents) {
+  constructor(ctx: Context, config: ConfigWatch, incarnation: string, callbacks: ElectionCallbacks) {
     this.#ctx = ctx;
     this.#config = config;
     this.#incarnation = incarnation;
-    this.#events = events;
-    this.#policy = new LeaseRenewalPolicy(ctx, events);
+    this.#callbacks = callbacks;
+    this.#policy = new LeaseRenewalPolicy(ctx, callbacks);
     this.#campaign = new Campaign(ctx, config, incarnation);
-    this.#previousLeaders = new PreviousLeaderBound(ctx, this.#policy);
+    this.#earlierLeaders = new EarlierLeaderBound(ctx, this.#policy);
     this.#tokenAdvancer = new FencingTokenAdvancer(ctx, config, {
       currentLease: () => this.lease,
       onTokenAdvanced: (token) => this.#recordTokenSeen(token),
@@ -111,7 +111,7 @@
   /** Processes the fencing token reported by a peer, which may prove that no earlier leader is active. */
   observePeerToken(peer: string, token: number): void {
     const { lease } = this;
-    if (lease) this.#previousLeaders.observePeerToken(lease, peer, token);
+    if (lease) this.#earlierLeaders.observePeerToken(lease, peer, token);
   }
 
   #recordTokenSeen(token: number): void {
@@ -122,10 +122,10 @@
   stepDown(reason: string): void {
     const { lease } = this;
     if (!lease) return;
-    this.#previousLeaders.endTerm(lease);
+    this.#earlierLeaders.endTerm(lease);
     this.state = { kind: "follower" };
     this.#campaignAt = this.#ctx.now + STEPPED_DOWN_BACKOFF_MS;
-    this.#events.onSteppedDown(reason);
+    this.#callbacks.onSteppedDown(reason);
   }
 
   /** Gives up leadership: revokes the lease so that peers can campaign at once, and backs off from campaigning. */
@@ -150,9 +150,9 @@
   }
 
   #onLeaderKeyRemoved(): void {
-    this.#events.onLeaderKeyRemoved();
+    this.#callbacks.onLeaderKeyRemoved();
     if (this.state.kind !== "follower") return;
-    const delayMs = this.#events.campaignDelayMs() + randomInt(this.#ctx.random, 0, CAMPAIGN_JITTER_MS);
+    const delayMs = this.#callbacks.campaignDelayMs() + randomInt(this.#ctx.random, 0, CAMPAIGN_JITTER_MS);
     this.#campaignAt = Math.max(this.#campaignAt, this.#ctx.now + delayMs);
   }
 
@@ -201,7 +201,7 @@
       epochKeyVersion: version,
       electedAt: now,
       validUntil: leadership.leaseValidUntil,
-      previousLeaderUntil: this.#previousLeaders.beginTerm(fencingToken),
+      earlierLeadersUntil: this.#earlierLeaders.beginTerm(fencingToken),
     };
     this.state = { kind: "leader", lease };
     this.#keepAliveAt = leadership.leaseRequestedAt;
@@ -209,7 +209,7 @@
     this.#recordTokenSeen(fencingToken);
     this.#config.apply({ key: KEYS.leader, value: record, version });
     this.#config.apply({ key: KEYS.epoch, value: { token: fencingToken }, version });
-    this.#events.onElected(lease);
+    this.#callbacks.onElected(lease);
   }
 
   #onCampaignLost(reason: string): void {
@@ -240,7 +240,7 @@
   /** True if the records are loaded but the view of cancellations is too old to reply to agents (I1). */
   #areCancellationsStale(): boolean {
     return (
-      this.#events.cancellationsKnownThrough() !== null &&
+      this.#callbacks.cancellationsKnownThrough() !== null &&
       this.#ctx.now >= this.#policy.cancellationsFreshUntil
     );
   }
@@ -269,7 +269,7 @@
     if (this.#tokenAdvancer.isInFlight || !this.hasValidLease) return false;
     const ageMs = this.#ctx.now - this.#tokenAdvancedAt;
     const periodMs = this.#ctx.settings.token_raise_s * 1000;
-    return ageMs >= periodMs && (!this.#events.hasUnacknowledgedStarts() || ageMs >= 2 * periodMs);
+    return ageMs >= periodMs && (!this.#callbacks.hasUnacknowledgedStarts() || ageMs >= 2 * periodMs);
   }
 
   /**
--- a/src/core/election/fencing-token-advancer.ts
+++ b/src/core/election/fencing-token-advancer.ts
@@ -5,8 +5,8 @@
 import { KEYS } from "../store/records.js";
 import { ELECTION_CALL_TIMEOUT_MS } from "./timing.js";
 
-/** Queries and callbacks from `FencingTokenAdvancer` to the election. */
-export interface FencingTokenEvents {
+/** Queries and callbacks from {@link FencingTokenAdvancer} to the election. */
+export interface FencingTokenAdvancerCallbacks {
   /** The lease of the current term; null while this node is not the leader. */
   currentLease(): LeaderLease | null;
   /** The fencing token of the lease was advanced to this value. */
@@ -22,13 +22,13 @@
 export class FencingTokenAdvancer {
   readonly #ctx: Context;
   readonly #config: ConfigWatch;
-  readonly #events: FencingTokenEvents;
+  readonly #callbacks: FencingTokenAdvancerCallbacks;
   #isInFlight = false;
 
-  constructor(ctx: Context, config: ConfigWatch, events: FencingTokenEvents) {
+  constructor(ctx: Context, config: ConfigWatch, callbacks: FencingTokenAdvancerCallbacks) {
     this.#ctx = ctx;
     this.#config = config;
-    this.#events = events;
+    this.#callbacks = callbacks;
   }
 
   /** True from the request until its outcome is known, which may be after the end of the term. */
@@ -55,7 +55,7 @@
   }
 
   #onResponse(lease: LeaderLease, token: number, response: StoreResponse): void {
-    if (this.#events.currentLease() !== lease) {
+    if (this.#callbacks.currentLease() !== lease) {
       this.#isInFlight = false;
     } else if (response.kind === "ok") {
       this.#isInFlight = false;
@@ -70,7 +70,7 @@
   #apply(lease: LeaderLease, token: number, version: number): void {
     lease.fencingToken = token;
     lease.epochKeyVersion = version;
-    this.#events.onTokenAdvanced(token);
+    this.#callbacks.onTokenAdvanced(token);
     this.#config.apply({ key: KEYS.epoch, value: { token }, version });
   }
 
@@ -82,11 +82,11 @@
     const call = { kind: "list", prefix: KEYS.configPrefix, after: null } as const;
     this.#ctx.callStore(call, ELECTION_CALL_TIMEOUT_MS, (response) => {
       this.#isInFlight = false;
-      if (this.#events.currentLease() !== lease || response.kind !== "page") return;
+      if (this.#callbacks.currentLease() !== lease || response.kind !== "page") return;
       const leader = response.entries.find((entry) => entry.key === KEYS.leader);
       const epoch = response.entries.find((entry) => entry.key === KEYS.epoch);
       if (leader?.version !== lease.leaderKeyVersion) {
-        this.#events.onLeaderKeyReplaced();
+        this.#callbacks.onLeaderKeyReplaced();
         return;
       }
       const token = epoch && storedToken(epoch);
--- a/src/core/election/lease-renewal-policy.ts
+++ b/src/core/election/lease-renewal-policy.ts
@@ -7,7 +7,7 @@
 /** The maximum time for which a watch of the job keys waits for a change. */
 const MAX_WATCH_WAIT_MS = 2000;
 const MIN_STALENESS_BOUND_MS = 2000;
-/** Covers an agent's termination of its tasks at lease expiry, and a response that reaches its user early. */
+/** Covers the time in which an agent terminates its tasks at lease expiry, and a confirmation that arrives early. */
 const CANCEL_MARGIN_MS = 2500;
 /** The same margin in whole seconds, for the bound on the grace period. */
 const GRACE_MARGIN_S = 3;
--- a/src/core/job-lifecycle.ts
+++ b/src/core/job-lifecycle.ts
@@ -10,7 +10,7 @@
 
 const REREAD_RETRY_MS = 300;
 
-/** The components that `JobLifecycle` works on. */
+/** The dependencies of {@link JobLifecycle}. */
 export interface JobLifecycleDependencies {
   readonly cluster: ClusterState;
   readonly agents: AgentManager;
@@ -18,13 +18,13 @@
   readonly dependencies: DependencyGraph;
 }
 
-/** Queries and callbacks from `JobLifecycle` to the term. */
-export interface JobLifecycleEvents {
+/** Queries and callbacks from {@link JobLifecycle} to the leader's term. */
+export interface JobLifecycleCallbacks {
   /** True once the term has ended: late responses must have no effect. */
   hasTermEnded(): boolean;
   /** Jobs have changed in a way that a scheduling round may act on. */
   onJobsChanged(): void;
-  /** A finished job was removed from the cluster state. */
+  /** An ended job was removed from the cluster state. */
   onJobRemoved(job: Job): void;
   /** Runs a callback at the first tick after a delay, unless the term ends first. */
   runAfter(delayMs: number, run: () => void): void;
@@ -41,19 +41,19 @@
   readonly #agents: AgentManager;
   readonly #recordWriter: RecordWriter;
   readonly #dependencies: DependencyGraph;
-  readonly #events: JobLifecycleEvents;
+  readonly #callbacks: JobLifecycleCallbacks;
 
   constructor(
     ctx: Context,
     { cluster, agents, recordWriter, dependencies }: JobLifecycleDependencies,
-    events: JobLifecycleEvents,
+    callbacks: JobLifecycleCallbacks,
   ) {
     this.#ctx = ctx;
     this.#cluster = cluster;
     this.#agents = agents;
     this.#recordWriter = recordWriter;
     this.#dependencies = dependencies;
-    this.#events = events;
+    this.#callbacks = callbacks;
   }
 
   /** Applies a job record to the cluster state, unless the same or a newer version has been applied. */
@@ -78,7 +78,7 @@
     this.#dependencies.add(job);
     if (job.state === "cancelled") this.#dependencies.onJobCancelled(job);
     if (this.#agents.areRecordsLoaded) this.finalizeIfEnded(job);
-    this.#events.onJobsChanged();
+    this.#callbacks.onJobsChanged();
   }
 
   /** Stops the tasks of cancelled jobs and finalizes ended jobs, once all placements are restored. */
@@ -97,7 +97,7 @@
     this.#stopAllTasks(job);
     this.finalizeIfEnded(job);
     this.#dependencies.onJobCancelled(job);
-    this.#events.onJobsChanged();
+    this.#callbacks.onJobsChanged();
   }
 
   #stopAllTasks(job: Job): void {
@@ -117,7 +117,7 @@
   onFinalRecordWritten(job: Job): void {
     if (job.state === "active") job.state = "done";
     this.#cluster.jobs.delete(job.index);
-    this.#events.onJobRemoved(job);
+    this.#callbacks.onJobRemoved(job);
     const state = job.state === "cancelled" ? "cancelled" : "done";
     this.#dependencies.onJobEnded(job, job.endedAt === null ? { state } : { state, at: job.endedAt });
   }
@@ -125,7 +125,7 @@
   /** Reads the job's key again after a write conditioned on it has failed (I8). */
   reread(job: Job): void {
     rereadJob(this.#ctx, job.uid, (stored) => {
-      if (this.#events.hasTermEnded() || !this.#cluster.jobs.has(job.index)) return;
+      if (this.#callbacks.hasTermEnded() || !this.#cluster.jobs.has(job.index)) return;
       switch (stored.kind) {
         case "active":
           this.applyRecord(stored.entry);
@@ -135,7 +135,7 @@
           this.#onAlreadyFinalized(job, stored.state, stored.endedAt);
           break;
         case "unknown":
-          this.#events.runAfter(REREAD_RETRY_MS, () => this.reread(job));
+          this.#callbacks.runAfter(REREAD_RETRY_MS, () => this.reread(job));
           break;
       }
     });
--- a/src/core/jobs/cancellation.ts
+++ b/src/core/jobs/cancellation.ts
@@ -8,8 +8,8 @@
 const STORE_TIMEOUT_MS = 1500;
 const MAX_ATTEMPTS = 4;
 
-/** Dependencies and callback of a {@link CancellationHandler}. */
-export interface CancellationOptions {
+/** The dependencies and the callback of {@link CancellationHandler}. */
+export interface CancellationHandlerDependencies {
   readonly ctx: Context;
   readonly lookup: JobLookup;
   readonly statuses: JobStatusReader;
@@ -39,7 +39,7 @@
   readonly #statuses: JobStatusReader;
   readonly #onJobCancelled: (entry: StoreEntry) => void;
 
-  constructor({ ctx, lookup, statuses, onJobCancelled }: CancellationOptions) {
+  constructor({ ctx, lookup, statuses, onJobCancelled }: CancellationHandlerDependencies) {
     this.#ctx = ctx;
     this.#lookup = lookup;
     this.#statuses = statuses;
--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -13,7 +13,7 @@
 /** How and when a job ended, from its final record. */
 export type JobEnd = Pick<FinalRecord, "state" | "at">;
 
-/** Events that the dependency graph reports to the leader's term. */
+/** Events that {@link DependencyGraph} reports to the leader's term. */
 export interface DependencyEvents {
   /** All dependencies of the job are recorded as done. */
   onDependenciesSatisfied(job: Job): void;
@@ -33,8 +33,8 @@
   readonly #events: DependencyEvents;
   /** Unfinished dependents by the uid of the dependency, which may be unfinished, ended or not known yet. */
   readonly #dependents = new Map<string, Set<Job>>();
-  /** The unmet dependencies of each waiting job. */
-  readonly #unmet = new Map<Job, Set<string>>();
+  /** The unsatisfied dependencies of each waiting job. */
+  readonly #unsatisfied = new Map<Job, Set<string>>();
   /** Recently ended jobs by uid, oldest entry first. */
   readonly #endedJobs = new Map<string, JobEnd>();
   /** When to read the final record of each dependency that is known neither as unfinished nor as ended. */
@@ -52,7 +52,7 @@
     this.#nextReadAt.delete(job.uid);
     job.dependentCount = this.#dependents.get(job.uid)?.size ?? 0;
     const dependencies = job.spec.awaits ?? [];
-    if (dependencies.length > 0) this.#unmet.set(job, new Set(dependencies));
+    if (dependencies.length > 0) this.#unsatisfied.set(job, new Set(dependencies));
     for (const uid of dependencies) this.#addDependent(uid, job);
     this.#inheritUrgency(job);
     // Only after all edges are added: each call may satisfy the job's last dependency or cancel the job.
@@ -127,10 +127,10 @@
 
   #onDependencyDone(job: Job, uid: string, doneAt: number): void {
     job.queuedSince = Math.max(job.queuedSince, doneAt);
-    const unmet = this.#unmet.get(job);
+    const unmet = this.#unsatisfied.get(job);
     unmet?.delete(uid);
     if (!unmet || unmet.size > 0) return;
-    this.#unmet.delete(job);
+    this.#unsatisfied.delete(job);
     if (job.state !== "active") return;
     const wasWaiting = !job.dependenciesSatisfied;
     job.dependenciesSatisfied = true;
@@ -139,7 +139,7 @@
 
   /** Removes a job that no longer waits from the dependents of all its dependencies. */
   #removeDependent(job: Job): void {
-    this.#unmet.delete(job);
+    this.#unsatisfied.delete(job);
     for (const uid of job.spec.awaits ?? []) {
       const dependents = this.#dependents.get(uid);
       if (!dependents?.delete(job)) continue;
@@ -177,8 +177,8 @@
   }
 
   /** Returns the uids of the job's dependencies that are not known to be done; empty for a job that may start. */
-  unmetDependencies(job: Job): readonly string[] {
-    return [...(this.#unmet.get(job) ?? [])];
+  unsatisfiedDependencies(job: Job): readonly string[] {
+    return [...(this.#unsatisfied.get(job) ?? [])];
   }
 
   /** Reads the final records of dependencies in unknown state, a few at a time. */
--- a/src/core/jobs/job-lookup.ts
+++ b/src/core/jobs/job-lookup.ts
@@ -65,7 +65,7 @@
     this.#ctx = ctx;
   }
 
-  /** Returns whether an accepted job is a service; undefined if this node has not read it. */
+  /** True if an accepted job is a service; undefined if this node has not read it. */
   isService(uid: string): boolean | undefined {
     return this.#endedJobs.get(uid)?.service ?? this.#cachedJobs.get(uid)?.service;
   }
--- a/src/core/jobs/job-requests.ts
+++ b/src/core/jobs/job-requests.ts
@@ -11,11 +11,11 @@
 import { SubmissionHandler } from "./submission.js";
 import { SubmissionValidator } from "./submission-validator.js";
 
-/** Callbacks from {@link JobRequests} to its node. */
+/** Queries and callbacks from {@link JobRequests} to its node. */
 export interface JobRequestCallbacks {
   /** Called when this node has written a job's record, to accept or to cancel the job. */
   onJobWritten(entry: StoreEntry, cancelled: boolean): void;
-  /** True while a node may lead whose version does not support dependencies between jobs. */
+  /** True while a node of the previous version, which does not support job dependencies, may lead. */
   isOlderPeerAlive(): boolean;
   /** Returns the job's progress counts for display; null if this node has none. */
   readonly progressOf: ProgressOf;
@@ -31,7 +31,7 @@
   readonly #polls: PollHandler;
   readonly #cancellations: CancellationHandler;
 
-  /** `admission` is null if fair admission is not enabled. */
+  /** `admission` is null if fair admission is disabled. */
   constructor(
     ctx: Context,
     config: ConfigWatch,
--- a/src/core/jobs/progress-publisher.ts
+++ b/src/core/jobs/progress-publisher.ts
@@ -7,7 +7,7 @@
 
 type ProgressRow = readonly [uid: string, done: number, running: number];
 
-/** Publishes changes in the progress of jobs from the leader to its peers once a second, for display. */
+/** Publishes changes in the progress of jobs from the leader to its peers once per second, for display. */
 export class ProgressPublisher {
   readonly #ctx: Context;
   readonly #cluster: ClusterState;
--- a/src/core/jobs/rejection-batch.ts
+++ b/src/core/jobs/rejection-batch.ts
@@ -14,7 +14,7 @@
   readonly respond: (response: UserResponse) => void;
 }
 
-/** Callbacks for rejections that can't be sent unchanged. */
+/** Events that {@link RejectionBatch} reports for rejections that it cannot send unchanged. */
 export interface RejectionEvents {
   /** The job may have been accepted before, so its records must be read. */
   onPossibleDuplicate(rejection: Rejection): void;
--- a/src/core/jobs/responses.ts
+++ b/src/core/jobs/responses.ts
@@ -6,12 +6,12 @@
 /** A response that rejects a submission. */
 export type RejectionResponse = Unsatisfiable | Invalid | Unavailable | Throttled;
 
-/** The node can't decide at the moment. The user may repeat the request after `retryAfterS` seconds. */
+/** The node cannot decide at the moment. The user may repeat the request after `retryAfterS` seconds. */
 export function unavailable(error: string, retryAfterS = 1): Unavailable {
   return { kind: "unavailable", error, retryAfterS };
 }
 
-/** The store did not answer, so the state of a job can't be reported (I8). */
+/** The store did not answer, so the state of a job cannot be reported (I8). */
 export function storeUnavailable(): Unavailable {
   return unavailable("the state service does not answer");
 }
--- a/src/core/jobs/submission-validator.ts
+++ b/src/core/jobs/submission-validator.ts
@@ -7,12 +7,12 @@
 import type { JobLookup, JobLookupEntry } from "./job-lookup.js";
 import { type RejectionResponse, recordTooLarge, storeUnavailable, unavailable } from "./responses.js";
 
-/** Dependencies of a {@link SubmissionValidator}. */
-export interface SubmissionValidatorOptions {
+/** The dependencies of {@link SubmissionValidator}. */
+export interface SubmissionValidatorDependencies {
   readonly ctx: Context;
   readonly config: ConfigWatch;
   readonly lookup: JobLookup;
-  /** True while a node may lead whose version does not support dependencies between jobs. */
+  /** True while a node of the previous version, which does not support job dependencies, may lead. */
   readonly isOlderPeerAlive: () => boolean;
 }
 
@@ -23,14 +23,14 @@
   readonly #lookup: JobLookup;
   readonly #isOlderPeerAlive: () => boolean;
 
-  constructor({ ctx, config, lookup, isOlderPeerAlive }: SubmissionValidatorOptions) {
+  constructor({ ctx, config, lookup, isOlderPeerAlive }: SubmissionValidatorDependencies) {
     this.#ctx = ctx;
     this.#config = config;
     this.#lookup = lookup;
     this.#isOlderPeerAlive = isOlderPeerAlive;
   }
 
-  /** Yields the reason why a job can't be accepted or can't be validated yet; null if it can be accepted. */
+  /** Yields the reason why a job cannot be accepted or cannot be validated yet; null if it can be accepted. */
   validate(spec: JobSpec, onResult: (rejection: RejectionResponse | null) => void): void {
     const rejection = this.#validateDemand(spec);
     if (rejection || !spec.awaits) onResult(rejection);
--- a/src/core/jobs/submission.ts
+++ b/src/core/jobs/submission.ts
@@ -1,4 +1,4 @@
-import type { Admission, Decision } from "../../admission/admission.js";
+import type { Admission, AdmissionDecision } from "../../admission/admission.js";
 import type { Context } from "../context.js";
 import type { StoreEntry, StoreResponse } from "../messages/store.js";
 import type { SubmittedSpec } from "../messages/users.js";
@@ -12,26 +12,26 @@
 
 const STORE_TIMEOUT_MS = 1500;
 
-/** Dependencies and callback of a {@link SubmissionHandler}. */
-export interface SubmissionOptions {
+/** The dependencies and the callback of {@link SubmissionHandler}. */
+export interface SubmissionHandlerDependencies {
   readonly ctx: Context;
   readonly lookup: JobLookup;
   readonly statuses: JobStatusReader;
   readonly validator: SubmissionValidator;
-  /** Null if fair admission is not enabled. */
+  /** Null if fair admission is disabled. */
   readonly admission: Admission | null;
   /** Called when this node has accepted a job and written its record. */
   readonly onJobAccepted: (entry: StoreEntry) => void;
 }
 
-type AdmittedDecision = Extract<Decision, { kind: "admit" }>;
+type AdmittedDecision = Extract<AdmissionDecision, { kind: "admit" }>;
 
 /** A submission whose write is in flight. */
 interface PendingWrite {
   readonly spec: JobSpec;
   readonly record: JobRecord;
   readonly respond: Respond;
-  /** The admission decision; undefined if admission is not enabled, or for a repeated submission, which needs none. */
+  /** The admission decision; undefined if admission is disabled, or for a repeated submission, which needs none. */
   readonly admitted: AdmittedDecision | undefined;
 }
 
@@ -48,7 +48,7 @@
   readonly #onJobAccepted: (entry: StoreEntry) => void;
   readonly #rejections: RejectionBatch;
 
-  constructor({ ctx, lookup, statuses, validator, admission, onJobAccepted }: SubmissionOptions) {
+  constructor({ ctx, lookup, statuses, validator, admission, onJobAccepted }: SubmissionHandlerDependencies) {
     this.#ctx = ctx;
     this.#lookup = lookup;
     this.#statuses = statuses;
--- a/src/core/leader-status.ts
+++ b/src/core/leader-status.ts
@@ -2,7 +2,7 @@
 import type { ClusterState } from "./model/cluster-state.js";
 import type { Machine } from "./model/machine.js";
 
-/** The part of the status page that only a leader has. Operators' tools depend on the field names. */
+/** Returns the part of the status page that only a leader has. Operators' tools depend on the field names. */
 export function leaderStatus(
   leaderTerm: LeaderTerm,
   hasValidLease: boolean,
@@ -52,11 +52,11 @@
     .map((job) => ({
       job: job.uid,
       tasks: job.spec.tasks,
-      awaits: dependencies.unmetDependencies(job),
+      awaits: dependencies.unsatisfiedDependencies(job),
     }));
 }
 
-/** The longest wait of each team in seconds; the field is absent if round-robin turns are disabled. */
+/** Returns the longest wait of each team in seconds; the field is absent if round-robin turns are disabled. */
 function longestWaitStatus(leaderTerm: LeaderTerm): Record<string, unknown> {
   const waits = leaderTerm.longestWaits();
   if (!waits) return {};
--- a/src/core/leader-term.ts
+++ b/src/core/leader-term.ts
@@ -5,7 +5,7 @@
 import { ClusterRecovery } from "./cluster-recovery.js";
 import type { Context, TimeBudget } from "./context.js";
 import type { Election } from "./election/election.js";
-import { JobLifecycle, type JobLifecycleEvents } from "./job-lifecycle.js";
+import { JobLifecycle, type JobLifecycleCallbacks } from "./job-lifecycle.js";
 import { type DependencyEvents, DependencyGraph } from "./jobs/dependency-graph.js";
 import { ProgressPublisher } from "./jobs/progress-publisher.js";
 import type { Heartbeat, HeartbeatReply } from "./messages/agents.js";
@@ -23,7 +23,7 @@
 import { JobWatch } from "./store/job-watch.js";
 import { MachineTypesRecord } from "./store/machine-types-record.js";
 import type { RecordSource, StoredRecords } from "./store/record-reader.js";
-import { RecordWriter, type RecordWriterEvents } from "./store/record-writer.js";
+import { RecordWriter, type RecordWriterCallbacks } from "./store/record-writer.js";
 
 /** Minimum interval between scheduling rounds. */
 const ROUND_INTERVAL_MS = 100;
@@ -32,7 +32,7 @@
 /** Interval of the work that iterates over all machines. */
 const MACHINE_SCAN_INTERVAL_MS = 500;
 
-/** The components that a term depends on. */
+/** The dependencies of {@link LeaderTerm}. */
 export interface LeaderTermDependencies {
   readonly config: ConfigWatch;
   readonly election: Election;
@@ -85,7 +85,7 @@
       lease,
       cluster,
       migrationVersion,
-      this.#recordWriterEvents(featureGate),
+      this.#recordWriterCallbacks(featureGate),
     );
     this.recordWriter = recordWriter;
     const dependencies = new DependencyGraph(ctx, cluster, this.#dependencyEvents());
@@ -109,7 +109,7 @@
     this.#machineModes = new MachineModes(ctx, config, cluster, agents, scheduler);
     this.#machineTypesRecord = new MachineTypesRecord(ctx, config, lease);
     const sharedDependencies = { cluster, agents, recordWriter, dependencies };
-    this.#jobLifecycle = new JobLifecycle(ctx, sharedDependencies, this.#jobLifecycleEvents());
+    this.#jobLifecycle = new JobLifecycle(ctx, sharedDependencies, this.#jobLifecycleCallbacks());
     this.#recovery = new ClusterRecovery(ctx, { ...sharedDependencies, scheduler });
     this.#jobWatch = new JobWatch(
       ctx,
@@ -119,11 +119,11 @@
     this.#jobWatch.load(chooseSource, (records) => this.#onRecordsLoaded(records));
   }
 
-  #recordWriterEvents(featureGate: FeatureGate): RecordWriterEvents {
+  #recordWriterCallbacks(featureGate: FeatureGate): RecordWriterCallbacks {
     return {
       onPlacementsRecorded: (placements) => this.#sendRecordedStarts(placements),
       onJobKeyChanged: (job) => this.#jobLifecycle.reread(job),
-      onJobFinished: (job) => this.#jobLifecycle.onFinalRecordWritten(job),
+      onFinalRecordWritten: (job) => this.#jobLifecycle.onFinalRecordWritten(job),
       onLeadershipLost: (reason) => this.#election.stepDown(reason),
       onRecordTooLarge: () => featureGate.open("a record was too large"),
       layout: () => this.#config.layout,
@@ -148,7 +148,7 @@
     };
   }
 
-  #jobLifecycleEvents(): JobLifecycleEvents {
+  #jobLifecycleCallbacks(): JobLifecycleCallbacks {
     return {
       hasTermEnded: () => this.hasEnded,
       onJobsChanged: () => this.#requestRound(),
@@ -289,7 +289,7 @@
     this.#machineTypesRecord.write(types);
   }
 
-  /** Applies the machine modes set by operators. Machines cordoned for failures stay cordoned. */
+  /** Applies the machine modes set by operators. Machines drained as faulty stay drained. */
   applyMachineModes(): void {
     this.#machineModes.apply();
     this.#requestRound();
--- a/src/core/messages/peers.ts
+++ b/src/core/messages/peers.ts
@@ -23,7 +23,7 @@
   readonly leader: string | null;
   readonly storeHealthy: boolean;
   readonly agentsHeard: number;
-  /** The sender's protocol version; absent in versions that predate this field. */
+  /** The sender's protocol version; absent in heartbeats of the previous version. */
   readonly protocol?: number | undefined;
   /** Whether the sender's standby cache is ready for it to become leader; absent if the standby is disabled. */
   readonly standby?: "cold" | "warm" | undefined;
@@ -31,7 +31,7 @@
   readonly admission?: AdmissionMessage | undefined;
 }
 
-/** A job's progress, for display: its uid and the numbers of its finished and running tasks. */
+/** A job's progress, for display: its uid and the numbers of its done and running tasks. */
 export type ProgressRow = readonly [uid: string, done: number, running: number];
 
 /** A message from one node to another. */
--- a/src/core/messages/users.ts
+++ b/src/core/messages/users.ts
@@ -32,7 +32,7 @@
   readonly error: string;
 }
 
-/** The node can't process the request now; it may be retried later. */
+/** The node cannot process the request now; it may be retried later. */
 export interface Unavailable {
   readonly kind: "unavailable";
   readonly error: string;
--- a/src/core/migration/migration-planner.ts
+++ b/src/core/migration/migration-planner.ts
@@ -32,7 +32,7 @@
     this.#scheduler = scheduler;
   }
 
-  /** Tracks since when each machine has been underutilized, that is, up with a booked share below `move_low`. */
+  /** Tracks since when each machine has been underutilized: up, with an allocated CPU share below `move_low`. */
   trackUtilization(): void {
     const { now, settings } = this.#ctx;
     for (const machine of this.#cluster.machines.values()) {
@@ -124,7 +124,7 @@
     );
   }
 
-  /** Returns the booked share plus any image bonus; null if the replica doesn't fit or `move_high` would be reached. */
+  /** Returns the allocated CPU share plus any image bonus; null if the replica does not fit or reaches `move_high`. */
   #targetScore(job: Job, from: Machine, machine: Machine, plannedReplicas: number): number | null {
     const { now, settings } = this.#ctx;
     const { need, image } = job.spec;
--- a/src/core/migration/replica-migration.ts
+++ b/src/core/migration/replica-migration.ts
@@ -19,7 +19,7 @@
  *
  * - `recording`: until the migration record is committed
  * - `draining`: the old copy drains for `move_drain_s`
- * - `stopping`: until the old copy is proven to have ended
+ * - `stopping`: until the old copy is proved to have ended
  * - `starting`: until the new copy runs
  */
 export type MigrationPhase = "recording" | "draining" | "stopping" | "starting";
@@ -33,8 +33,8 @@
   phaseSince: number;
 }
 
-/** The components that the migrator uses. */
-export interface MigratorDependencies {
+/** The dependencies of {@link ReplicaMigrator}. */
+export interface ReplicaMigratorDependencies {
   readonly cluster: ClusterState;
   readonly agents: AgentManager;
   readonly recordWriter: RecordWriter;
@@ -46,9 +46,9 @@
  * for a while, provided that all of the machine's replicas fit elsewhere. At most one migration is pending at any time.
  * It is stored in the migration record, so that the next leader finishes it before starting another.
  *
- * A replica is a numbered task, which must never run on two machines at once (I3), so the new copy can't be started
+ * A replica is a numbered task, which must never run on two machines at once (I3), so the new copy cannot be started
  * before the old one is drained. Capacity on the target is reserved first, then the old copy drains, and the new copy
- * is started as soon as the old one is proven to have ended (docs/DESIGN.md).
+ * is started as soon as the old one is proved to have ended (docs/DESIGN.md).
  */
 export class ReplicaMigrator {
   readonly #ctx: Context;
@@ -64,7 +64,7 @@
   /** Number of migrations started by this leader. */
   startedMigrations = 0;
 
-  constructor(ctx: Context, { cluster, agents, recordWriter, scheduler }: MigratorDependencies) {
+  constructor(ctx: Context, { cluster, agents, recordWriter, scheduler }: ReplicaMigratorDependencies) {
     this.#ctx = ctx;
     this.#cluster = cluster;
     this.#agents = agents;
@@ -185,7 +185,7 @@
     }
   }
 
-  /** Returns why a draining migration can't continue to its target; null if it can. */
+  /** Returns why a draining migration cannot continue to its target; null if it can. */
   #targetProblem(pending: PendingMigration): string | null {
     const { to } = pending;
     // A new leader may not have received a heartbeat from the target yet. During the drain, only an expired lease or a
@@ -202,7 +202,7 @@
   }
 
   /**
-   * Must be called when a placement is proven to have ended. Returns true if the migration has placed the task on its
+   * Must be called when a placement is proved to have ended. Returns true if the migration has placed the task on its
    * target; the caller then need not check whether the job has ended.
    */
   onPlacementEnded(placement: Placement): boolean {
--- a/src/core/model/cluster-state.ts
+++ b/src/core/model/cluster-state.ts
@@ -18,7 +18,7 @@
   readonly machines = new Map<number, Machine>();
   /** Resources used by the placements of each team, by team name. */
   readonly teamUsage = new Map<string, Resources>();
-  /** The machine types of the cloud's catalogue by name. */
+  /** The machine types of the cloud's catalog by name. */
   readonly machineTypes = new Map<string, MachineType>();
   /** Incremented with every placement added or removed: results computed earlier may be stale. */
   placementChanges = 0;
@@ -44,7 +44,7 @@
     return machine;
   }
 
-  /** Updates the machine types from the cloud's catalogue. Types that it no longer lists are kept. */
+  /** Updates the machine types from the cloud's catalog. Types that it no longer lists are kept. */
   setMachineTypes(types: readonly MachineType[]): void {
     for (const type of types) this.machineTypes.set(type.name, type);
     for (const machine of this.machines.values())
--- a/src/core/model/deployment.ts
+++ b/src/core/model/deployment.ts
@@ -19,7 +19,7 @@
   readonly limit: Resources;
 }
 
-/** A machine type of the cloud's catalogue. Stored in this form, so no field may be renamed. */
+/** A machine type of the cloud's catalog. Stored in this form, so no field may be renamed. */
 export interface MachineType {
   readonly name: string;
   readonly size: Resources;
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -18,14 +18,14 @@
   readonly index: number;
   readonly uid: string;
   readonly spec: JobSpec;
-  /** Wall time of submission, in ms. */
+  /** Wall-clock time of acceptance, in ms. */
   readonly acceptedAt: number;
   /** Version of the job's key: writes of the key are conditioned on it (I5). */
   version: number;
   state: JobState = "active";
   /** After failures, no task of the job is placed before this time. */
   backoffUntil = 0;
-  /** Until this time only production jobs may preempt this job, because it waited long before it started. */
+  /** Until this time only jobs of the highest priority may preempt it, because it waited long before it started. */
   protectedUntil = 0;
   /** The pending reason as of the last scheduling round, as text for operators. */
   pendingReason: string | null = null;
@@ -47,7 +47,7 @@
   isFinalRecordQueued = false;
   /** Since when scheduling rounds have found no machine for a task of the job. */
   blockedSince: number | null = null;
-  /** True if no job of its class and team has started for some time and it is the oldest of those pending. */
+  /** True if it is the oldest job of a class queue without a task start for some time (see `RoundRobinTurns`). */
   hasRoundRobinTurn = false;
   /** Until when free capacity of machines may be reserved for the job. */
   reservationUntil = 0;
@@ -61,17 +61,17 @@
   readonly chunkVersions = new Map<string, number>();
   /** Task count of its smallest chunk. Where chunks overlap, the smaller one is correct, so this never increases. */
   chunkTasks = Number.POSITIVE_INFINITY;
-  /** Wall time of the end in ms, as in the final record. */
+  /** Wall-clock time of the end in ms, as in the final record. */
   endedAt: number | null = null;
   /** Its own priority or, if higher, that of a job that depends on it. */
   effectivePriority: Priority;
-  /** Deadline as wall time in ms, from its own deadline or that of a job that depends on it. */
+  /** Deadline as wall-clock time in ms, from its own deadline or that of a job that depends on it. */
   effectiveDeadlineAt: number | null;
   /** Number of unfinished jobs that depend on it. */
   dependentCount = 0;
   /** False while a dependency is not recorded as done: until then the job is not queued. */
   dependenciesSatisfied: boolean;
-  /** Wall time in ms from which its wait is counted: acceptance or, if later, the end of its last dependency. */
+  /** Wall-clock time in ms from which its wait is counted: acceptance or, if later, the end of its last dependency. */
   queuedSince: number;
   /** PENDING, PLACED or DONE by task number. */
   readonly #taskStates: Uint8Array;
--- a/src/core/model/leader-lease.ts
+++ b/src/core/model/leader-lease.ts
@@ -14,5 +14,5 @@
   /** Expiry of the lease by this node's clock; each keep-alive extends it. */
   validUntil: number;
   /** No leader of an earlier term replies to agents after this time. */
-  previousLeaderUntil: number;
+  earlierLeadersUntil: number;
 }
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -41,7 +41,7 @@
   /** Address of the agent; empty if not known yet. */
   address: string;
   typeName: string;
-  /** Null while the cloud's catalogue has no type of this name. */
+  /** Null while the cloud's catalog has no type of this name. */
   type: MachineType | null = null;
   zone: string;
   spot: boolean;
@@ -92,9 +92,9 @@
   isMarkedForScaleIn = false;
   /** Reservation of its free capacity for a job. */
   reservation: Reservation | null = null;
-  /** Since when its utilization is low enough for its replicas to be migrated away. */
+  /** Since when its allocated CPU share has been low enough for its replicas to be migrated away. */
   underutilizedSince: number | null = null;
-  /** After a rejected start, no task is placed here before this time. */
+  /** After a refused start, no task is placed here before this time. */
   backoffUntil = 0;
   /** Number of failed tasks since a task was last done here. */
   failures = 0;
@@ -154,13 +154,13 @@
     };
   }
 
-  /** The share of CPU in use or reserved for the pending migration; 1 if the type is not known. */
+  /** Returns the share of CPU in use or reserved for the pending migration; 1 if the type is not known. */
   allocatedCpuShare(): number {
     const cpu = this.type?.size.cpu ?? 0;
     return cpu > 0 ? (this.used.cpu + this.reservedForMigration.cpu + this.usedByUnknownTasks.cpu) / cpu : 1;
   }
 
-  /** The share of CPU used by placements of one priority; 1 if the type is not known. */
+  /** Returns the share of CPU used by placements of one priority; 1 if the type is not known. */
   allocatedCpuShareOf(priority: number): number {
     const cpu = this.type?.size.cpu ?? 0;
     return cpu > 0 ? (this.usedByPriority[priority]?.cpu ?? 0) / cpu : 1;
--- a/src/core/model/store-limits.ts
+++ b/src/core/model/store-limits.ts
@@ -38,7 +38,7 @@
     return this.txnOps * CONDITIONS_PER_CHANGE;
   }
 
-  /** Maximum number of changes per second at this time, for all nodes together. */
+  /** Returns the maximum number of changes per second at this time, for all nodes together. */
   writeRps(now: number): number {
     const { writeRps } = this.#current;
     if (now >= this.#throttledUntil) return writeRps;
--- a/src/core/peer-heartbeat-sender.ts
+++ b/src/core/peer-heartbeat-sender.ts
@@ -5,7 +5,7 @@
 import type { Election } from "./election/election.js";
 import type { PeerHeartbeat } from "./messages/peers.js";
 import type { ConfigWatch } from "./store/config-watch.js";
-import { PROTOCOL } from "./store/records.js";
+import { PROTOCOL_VERSION } from "./store/records.js";
 
 const HEARTBEAT_INTERVAL_MS = 1000;
 
@@ -58,7 +58,7 @@
       leader: isLeader ? this.#ctx.deployment.node : null,
       storeHealthy: this.#ctx.storeFailingSince === null && config.isLoaded,
       agentsHeard: heartbeatRouter.countActiveAgents(),
-      protocol: PROTOCOL,
+      protocol: PROTOCOL_VERSION,
       standby: failover.warmth,
     };
   }
--- a/src/core/peer-message-handler.ts
+++ b/src/core/peer-message-handler.ts
@@ -7,7 +7,7 @@
 import type { PeerTable } from "./peer-table.js";
 import type { FeatureGate } from "./store/feature-gate.js";
 
-/** The components that process messages from peers. */
+/** The components that {@link PeerMessageHandler} passes messages to. */
 export interface PeerMessageReceivers {
   readonly peers: PeerTable;
   readonly election: Election;
--- a/src/core/peer-table.ts
+++ b/src/core/peer-table.ts
@@ -4,12 +4,12 @@
 
 /** A peer counts as alive for this long after its last heartbeat. */
 const PEER_TIMEOUT_MS = 3500;
-/** A peer with an older protocol version counts as running for this long after its last heartbeat. */
+/** A peer of the previous version counts as running for this long after its last heartbeat. */
 const OLDER_PEER_TIMEOUT_MS = 15_000;
 
 interface Peer {
   lastHeartbeatAt: number;
-  /** Whether the peer could use the key-value store, as of its last heartbeat. */
+  /** True if the peer could use the key-value store, as of its last heartbeat. */
   storeHealthy: boolean;
   /** The number of agents whose heartbeats the peer received, as of its last heartbeat. */
   agentsHeard: number;
@@ -101,7 +101,7 @@
     });
   }
 
-  /** The field `peers` of the status page, by peer name. */
+  /** Returns the field `peers` of the status page, by peer name. */
   status(): Record<string, unknown> {
     return Object.fromEntries(
       [...this.#peers].map(([name, { isLinkUp, storeHealthy, standby }]) => [
--- a/src/core/scheduling/feasible-machines.ts
+++ b/src/core/scheduling/feasible-machines.ts
@@ -14,7 +14,7 @@
 /** Finds the machines on which a task of a job may be placed. */
 export class FeasibleMachines {
   readonly #ctx: Context;
-  readonly #clusterState: ClusterState;
+  readonly #cluster: ClusterState;
   readonly #gpuHeadroom: GpuHeadroomGuard;
   /** The schedulable machines of this round, by type. */
   #schedulableByType = new Map<string, Machine[]>();
@@ -28,9 +28,9 @@
   /** Number of machines examined in all searches, a measure of scheduling work. */
   machinesExamined = 0;
 
-  constructor(ctx: Context, clusterState: ClusterState, gpuHeadroom: GpuHeadroomGuard) {
+  constructor(ctx: Context, cluster: ClusterState, gpuHeadroom: GpuHeadroomGuard) {
     this.#ctx = ctx;
-    this.#clusterState = clusterState;
+    this.#cluster = cluster;
     this.#gpuHeadroom = gpuHeadroom;
   }
 
@@ -45,7 +45,7 @@
       ram = Math.min(ram, job.spec.need.ram);
     }
     const leastNeed = { cpu, gpu: 0, ram };
-    for (const machine of this.#clusterState.machines.values()) {
+    for (const machine of this.#cluster.machines.values()) {
       if (!this.isSchedulable(machine)) continue;
       getOrCreateList(this.#schedulableByType, machine.typeName).push(machine);
       if (machine.hasCapacityFor(leastNeed))
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Returns whether the job's constraints (types, zone, spot) allow this machine, regardless of free capacity. */
+  /** True if the job's constraints (types, zone, spot) allow this machine, regardless of free capacity. */
   mayRunOn(job: Job, machine: Machine): boolean {
     const { types, zone, spot } = job.spec;
     return (
@@ -63,7 +63,7 @@
     );
   }
 
-  /** Returns whether tasks may be placed here: the machine must send heartbeats and be reachable for commands (I7). */
+  /** True if tasks may be placed here: the machine must send heartbeats and be reachable for commands (I7). */
   isSchedulable(machine: Machine): boolean {
     const { now, deployment } = this.#ctx;
     return (
@@ -71,7 +71,7 @@
       !machine.isLeaseExpired &&
       machine.mode === "open" &&
       machine.type !== null &&
-      // A heartbeat without this term's fencing token may be a delayed copy and doesn't prove presence (I4).
+      // A heartbeat without this term's fencing token may be a delayed copy and does not prove presence (I4).
       machine.fencedAt !== null &&
       machine.unreachableSince === null &&
       machine.reclaimDueAt === null &&
@@ -116,12 +116,12 @@
     this.#gpuHeadroom.setHeadroom(type, need, machines);
   }
 
-  /** Returns whether a job without GPUs must avoid this machine; see {@link GpuHeadroomGuard.wouldWasteGpus}. */
+  /** True if a job without GPUs must avoid this machine; see {@link GpuHeadroomGuard.wouldWasteGpus}. */
   wouldWasteGpus(job: Job, machine: Machine): boolean {
     return this.#gpuHeadroom.wouldWasteGpus(job, machine);
   }
 
-  /** Returns whether a reservation excludes this job from the machine. Removes an expired reservation. */
+  /** True if a reservation excludes this job from the machine. Removes an expired reservation. */
   #isReservedForOther(job: Job, machine: Machine): boolean {
     const { reservation } = machine;
     if (reservation === null) return false;
@@ -135,14 +135,12 @@
     );
   }
 
-  /** Returns whether the job failed here. Ignored after failures on half of all machines: the job is at fault then. */
+  /** True if the job failed here. Ignored after failures on half of all machines: the job is at fault then. */
   #hasFailedOn(job: Job, machine: Machine): boolean {
-    return (
-      job.failedMachines.has(machine.index) && job.failedMachines.size < this.#clusterState.machines.size / 2
-    );
+    return job.failedMachines.has(machine.index) && job.failedMachines.size < this.#cluster.machines.size / 2;
   }
 
-  /** Returns whether this job's image fetch would compete for bandwidth with that of a higher-priority gang. */
+  /** True if this job's image fetch would compete for bandwidth with that of a higher-priority gang. */
   #wouldSlowFetch(job: Job, machine: Machine): boolean {
     if (machine.images.has(job.spec.image)) return false;
     for (const { job: other, observedState } of machine.placements) {
--- a/src/core/scheduling/gang-scheduling.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -11,7 +11,7 @@
 import type { TaskPlacer } from "./task-placer.js";
 import { maxTasksPerZone } from "./zone-spread.js";
 
-/** Safety factor on the image fetch time computed from the catalogue's rate. */
+/** Safety factor on the image fetch time computed from the catalog's rate. */
 const FETCH_TIME_FACTOR = 1.35;
 /** Cost of each feasible machine in a zone when a gang's zone is chosen, in seconds of delay. */
 const FREE_MACHINE_WEIGHT_S = 0.5;
--- a/src/core/scheduling/gpu-headroom-guard.ts
+++ b/src/core/scheduling/gpu-headroom-guard.ts
@@ -5,7 +5,7 @@
 import { add, fits, type Resources } from "../model/resources.js";
 import { isStarving } from "./queue-order.js";
 
-/** Safety factor on the boot time given in the catalogue. */
+/** Safety factor on the boot time given in the catalog. */
 const BOOT_TIME_FACTOR = 1.5;
 
 /** The capacity to keep free for GPU tasks on machines of one type. */
@@ -28,14 +28,14 @@
 /** Prevents jobs without GPUs from using the capacity of GPU machines that is kept for GPU jobs. */
 export class GpuHeadroomGuard {
   readonly #ctx: Context;
-  readonly #clusterState: ClusterState;
+  readonly #cluster: ClusterState;
   readonly #headroomByType = new Map<string, Headroom>();
   readonly #freeCountByType = new Map<string, FreeMachineCount>();
   #schedulableByType = NO_MACHINES;
 
-  constructor(ctx: Context, clusterState: ClusterState) {
+  constructor(ctx: Context, cluster: ClusterState) {
     this.#ctx = ctx;
-    this.#clusterState = clusterState;
+    this.#cluster = cluster;
   }
 
   /** Sets the schedulable machines of this round, by type. */
@@ -48,7 +48,7 @@
     this.#headroomByType.set(type, { need, machines });
   }
 
-  /** Returns whether a task of a job without GPUs would use up the last capacity for a GPU task on this machine. */
+  /** True if a task of a job without GPUs would use up the last capacity for a GPU task on this machine. */
   wouldBlockGpuTask(job: Job, machine: Machine): boolean {
     if (job.spec.need.gpu > 0 || (machine.type?.size.gpu ?? 0) === 0) return false;
     const need = this.#headroomByType.get(machine.typeName)?.need;
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Returns whether a job without GPUs must avoid this machine. It may use the capacity of a GPU task only if
+   * True if a job without GPUs must avoid this machine. It may use the capacity of a GPU task only if
    * it can checkpoint and be preempted, or if more machines than the headroom are free.
    */
   wouldWasteGpus(job: Job, machine: Machine): boolean {
@@ -66,7 +66,7 @@
     if (machine.isMarkedForScaleIn) return true;
     if (this.#isServiceAwaitingCpuMachine(job, machine)) return true;
     if (!this.wouldBlockGpuTask(job, machine)) return false;
-    // A starving job is protected from preemption after its start, so it couldn't make way for a GPU task even
+    // A starving job is protected from preemption after its start, so it could not make way for a GPU task even
     // with checkpoints.
     if (job.spec.checkpointS > 0 && !isStarving(this.#ctx, job)) return false;
     const headroom = this.#headroomByType.get(machine.typeName);
@@ -75,7 +75,7 @@
   }
 
   /**
-   * Returns whether a service should still wait for a machine without GPUs to boot. A service never ends, so
+   * True if a service should still wait for a machine without GPUs to boot. A service never ends, so
    * it would occupy the GPU machine permanently.
    */
   #isServiceAwaitingCpuMachine(job: Job, machine: Machine): boolean {
@@ -88,7 +88,7 @@
   /** Returns the shortest boot time, in seconds, of the types without GPUs that fit the job; null if none does. */
   #shortestCpuBootS({ spec }: Job): number | null {
     let shortestS: number | null = null;
-    for (const type of this.#clusterState.machineTypes.values()) {
+    for (const type of this.#cluster.machineTypes.values()) {
       if (type.size.gpu > 0 || !fitsMachineType(spec, type)) continue;
       if (shortestS === null || type.bootS < shortestS) shortestS = type.bootS;
     }
@@ -98,7 +98,7 @@
   /** Counts the machines of a type with capacity for a GPU task; cached until placements change. */
   #countFree(type: string, need: Resources): number {
     const machines = this.#schedulableByType.get(type) ?? [];
-    const { placementChanges } = this.#clusterState;
+    const { placementChanges } = this.#cluster;
     const known = this.#freeCountByType.get(type);
     if (known && known.placementChanges === placementChanges && known.machines === machines)
       return known.count;
--- a/src/core/scheduling/machine-scoring.ts
+++ b/src/core/scheduling/machine-scoring.ts
@@ -3,7 +3,7 @@
 import type { Machine } from "../model/machine.js";
 import type { GpuHeadroomGuard } from "./gpu-headroom-guard.js";
 
-/** Cost of blocking a GPU task's capacity with a job that can't checkpoint, in seconds of delay. */
+/** Cost of blocking a GPU task's capacity with a job that cannot checkpoint, in seconds of delay. */
 const GPU_WASTE_WEIGHT_S = 60;
 /** The same for a job that can checkpoint; low, so that machines without GPUs are left to jobs that need them. */
 const GPU_WASTE_WITH_CHECKPOINT_WEIGHT_S = 5;
@@ -46,7 +46,7 @@
       .map(({ machine }) => machine);
   }
 
-  /** Returns the seconds until the job's image is on the machine: 0 if cached, else by the catalogue's fetch rate. */
+  /** Returns the seconds until the job's image is on the machine: 0 if cached, else by the catalog's fetch rate. */
   imageWaitS(job: Job, machine: Machine): number {
     const image = machine.images.get(job.spec.image);
     if (image) return Math.max(0, image.readyAt - this.#ctx.now) / 1000;
--- a/src/core/scheduling/negative-fit-cache.ts
+++ b/src/core/scheduling/negative-fit-cache.ts
@@ -25,7 +25,7 @@
     this.#failedByConstraints.clear();
   }
 
-  /** Returns whether this number of the job's tasks is known not to fit. */
+  /** True if this number of the job's tasks is known not to fit. */
   has(job: Job, tasks: number): boolean {
     // A job with failures or reservations has a different set of feasible machines than the job that failed to fit.
     if (job.failedMachines.size > 0 || job.reservationUntil > this.#ctx.now) return false;
@@ -37,7 +37,7 @@
 
   /** Records that this number of the job's tasks does not fit. */
   add(job: Job, tasks: number): void {
-    // Earlier placements restrict the zones of this job only, so the result doesn't apply to other jobs.
+    // Earlier placements restrict the zones of this job only, so the result does not apply to other jobs.
     if (job.placements.size > 0 && (job.spec.spread || job.spec.oneZone)) return;
     const key = constraintsKey(job);
     const failedFit = { need: job.spec.need, tasks };
--- a/src/core/scheduling/objectives.ts
+++ b/src/core/scheduling/objectives.ts
@@ -20,7 +20,7 @@
 /** One of the values of {@link OBJECTIVE_STATUS}. */
 export type ObjectiveStatus = (typeof OBJECTIVE_STATUS)[keyof typeof OBJECTIVE_STATUS];
 
-/** Returns the wall time, in seconds, since the job's acceptance or the end of its last dependency. */
+/** Returns the wall-clock time, in seconds, since the job's acceptance or the end of its last dependency. */
 export function jobAgeS(ctx: Context, job: Job): number {
   return (ctx.wallMs - job.queuedSince) / 1000;
 }
@@ -35,7 +35,7 @@
   return shortestS;
 }
 
-/** Returns whether the job has a deadline or its class a completion objective. */
+/** True if the job has a deadline or its class a completion objective. */
 export function hasCompletionObjective(ctx: Context, job: Job): boolean {
   if (job.effectiveDeadlineAt !== null) return true;
   return ctx.deployment.objectives.some(
@@ -83,7 +83,7 @@
 }
 
 /**
- * Returns whether the job's next objective is at risk but can still be met. Unless the start objective is still
+ * True if the job's next objective is at risk but can still be met. Unless the start objective is still
  * ahead, this is true of every job with the status `prioritized`, even if it has not missed any objective.
  */
 export function isDeadlineAtRisk(ctx: Context, job: Job): boolean {
--- a/src/core/scheduling/preemption-planner.ts
+++ b/src/core/scheduling/preemption-planner.ts
@@ -7,11 +7,11 @@
 import { guaranteedStartObjectiveS, startObjectiveS } from "./objectives.js";
 import { preemptionPriority } from "./preemption-policy.js";
 
-/** Jobs of this priority may preempt protected jobs and aren't preempted for a guaranteed quota. */
+/** Jobs of this priority (production) may preempt protected jobs and are not preempted for a guaranteed quota. */
 const TOP_PRIORITY = 3;
 /** A task without checkpoints is not preempted for a guaranteed quota after running this long. */
 const RECLAIM_WITHOUT_CHECKPOINT_MS = 5000;
-/** A start counts towards an objective once the task has run this long (PROTOCOL, "How aims are counted"). */
+/** A start counts toward an objective once the task has run this long (PROTOCOL, "How aims are counted"). */
 const START_COUNTS_AFTER_S = 30;
 /** Number of CPUs that one GPU is equivalent to when lost work is computed. */
 const GPU_WEIGHT = 10;
@@ -36,13 +36,13 @@
 /** Decides which tasks a job may preempt, and selects victims by lowest priority, then least lost work. */
 export class PreemptionPlanner {
   readonly #ctx: Context;
-  readonly #clusterState: ClusterState;
+  readonly #cluster: ClusterState;
   /** The jobs within their teams' guaranteed quotas in this round. */
   #guaranteedJobs: ReadonlySet<Job> = new Set();
 
-  constructor(ctx: Context, clusterState: ClusterState) {
+  constructor(ctx: Context, cluster: ClusterState) {
     this.#ctx = ctx;
-    this.#clusterState = clusterState;
+    this.#cluster = cluster;
   }
 
   /** Sets the jobs that are within their teams' guaranteed quotas in this round. */
@@ -80,7 +80,7 @@
       );
   }
 
-  /** Returns whether this task may be preempted for the job. */
+  /** True if this task may be preempted for the job. */
   #mayPreempt(victim: Placement, job: Job, isWithinGuarantee: boolean): boolean {
     const priority = preemptionPriority(this.#ctx, job);
     if (priority < TOP_PRIORITY && victim.job.protectedUntil > this.#ctx.now) return false;
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Returns whether a job within its team's guaranteed quota may preempt this task of equal priority to
-   * reclaim capacity that another team uses beyond its guarantee. The protocol would also allow victims of
+   * True if a job within its team's guaranteed quota may preempt this task of equal priority to
+   * reclaim capacity that another team uses beyond its guarantee. PROTOCOL would also allow victims of
    * higher priority, but a small guaranteed job must not stop a whole gang of higher priority.
    */
   #mayReclaimFrom(victim: Placement, job: Job): boolean {
@@ -111,10 +111,10 @@
     return this.#isBeyondGuarantee(victim.job.spec.team);
   }
 
-  /** Returns whether the team uses more than its guaranteed quota. */
+  /** True if the team uses more than its guaranteed quota. */
   #isBeyondGuarantee(name: string): boolean {
     const team = this.#ctx.deployment.teams.find((other) => other.name === name);
-    const usage = this.#clusterState.teamUsage.get(name);
+    const usage = this.#cluster.teamUsage.get(name);
     return (
       team !== undefined &&
       usage !== undefined &&
@@ -133,14 +133,14 @@
     return ((lostS + 1) * tasks * (spec.need.cpu + spec.need.gpu * GPU_WEIGHT)) / 1000;
   }
 
-  /** Returns whether tasks of this job have a start objective. */
+  /** True if tasks of this job have a start objective. */
   #hasStartObjective(job: Job): boolean {
     if (startObjectiveS(this.#ctx, job) !== null) return true;
     return this.#guaranteedJobs.has(job) && guaranteedStartObjectiveS(this.#ctx) !== null;
   }
 }
 
-/** Returns whether the freed capacity includes a resource that is short. */
+/** True if the freed capacity includes a resource that is short. */
 function relievesShortage(need: Resources, free: Resources, freed: Resources): boolean {
   return (
     (free.cpu < need.cpu && freed.cpu > 0) ||
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -43,16 +43,11 @@
   readonly #feasibleMachines: FeasibleMachines;
   readonly #planner: PreemptionPlanner;
 
-  constructor(
-    ctx: Context,
-    clusterState: ClusterState,
-    agents: AgentManager,
-    feasibleMachines: FeasibleMachines,
-  ) {
+  constructor(ctx: Context, cluster: ClusterState, agents: AgentManager, feasibleMachines: FeasibleMachines) {
     this.#ctx = ctx;
     this.#agents = agents;
     this.#feasibleMachines = feasibleMachines;
-    this.#planner = new PreemptionPlanner(ctx, clusterState);
+    this.#planner = new PreemptionPlanner(ctx, cluster);
   }
 
   /** Sets the jobs that are within their teams' guaranteed quotas in this round. */
--- a/src/core/scheduling/queue-order.ts
+++ b/src/core/scheduling/queue-order.ts
@@ -9,7 +9,7 @@
  * must still be fetched.
  */
 const START_UNATTAINABLE_AFTER_S = 200;
-/** A job that has missed its start is no longer deferred after this wait, so that it can't starve indefinitely. */
+/** A job that has missed its start is no longer deferred after this wait, so that it cannot starve indefinitely. */
 const START_DEFERRED_UNTIL_S = 420;
 
 /** The minimum rank of a starving job: above all but new guaranteed jobs of the highest priority. */
@@ -26,16 +26,16 @@
 /** A job and its sort keys. Lower values sort first, except for the rank. */
 interface QueueEntry {
   readonly job: Job;
-  /** Computed from priority, guaranteed quota and ageing; higher sorts first. */
+  /** Computed from priority, guaranteed quota and aging; higher sorts first. */
   readonly rank: number;
   /** An `ObjectiveStatus`; for a starving job, 1 if it has missed its start, else 0. */
   readonly objectiveStatus: number;
-  /** Remaining work in seconds of task time; for a starving job, its position within its class and team. */
+  /** Remaining work in seconds of task time; for a starving job, its position in its class queue. */
   readonly workOrPosition: number;
 }
 
 /**
- * Returns whether the job is starving. Ageing bounds the wait under constant overload, where scheduling the
+ * True if the job is starving. Aging bounds the wait under constant overload, where scheduling the
  * shortest jobs first and missed objectives last would never start the largest jobs. The wait is computed from
  * recorded times, so that it survives a failover.
  */
@@ -50,7 +50,7 @@
 }
 
 /**
- * Returns whether a starving job has missed its start and is deferred, for a limited time, behind jobs that can
+ * True if a starving job has missed its start and is deferred, for a limited time, behind jobs that can
  * still start in time. With more starving jobs than capacity, first-come, first-served order would start all of
  * them too late.
  */
@@ -107,10 +107,10 @@
 }
 
 /**
- * Sorts pending jobs into scheduling order: by rank (priority, guaranteed quota and ageing), then jobs that can
+ * Sorts pending jobs into scheduling order: by rank (priority, guaranteed quota and aging), then jobs that can
  * still meet an objective, then shortest first, which completes the most jobs in time, then oldest first.
  *
- * `turnPositions` holds each job's position within its class and team; it is empty if fair admission is off.
+ * `turnPositions` holds each job's position in its class queue; it is empty if fair admission is disabled.
  */
 export function sortQueue(
   ctx: Context,
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -95,7 +95,7 @@
   }
 
   /**
-   * Returns whether the reservation blocks this job. It doesn't if it has expired, or if its holder has missed
+   * True if the reservation blocks this job. It does not if it has expired, or if its holder has missed
    * its start and this job has not.
    */
   #isBlocking(reservation: { readonly job: Job; readonly until: number }, job: Job): boolean {
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -53,7 +53,7 @@
  */
 export class Scheduler {
   readonly #ctx: Context;
-  readonly #clusterState: ClusterState;
+  readonly #cluster: ClusterState;
   readonly #negativeFits: NegativeFitCache;
   readonly #reservations: Reservations;
   readonly #placer: TaskPlacer;
@@ -68,25 +68,25 @@
   blocked: BlockedJob[] = [];
   /** Number of times that a round exceeded its time budget. */
   interruptedRounds = 0;
-  /** Null if fair admission is off. */
+  /** Null if fair admission is disabled. */
   readonly turns: RoundRobinTurns | null;
 
   constructor(
     ctx: Context,
-    leaderLease: LeaderLease,
-    clusterState: ClusterState,
+    lease: LeaderLease,
+    cluster: ClusterState,
     agents: AgentManager,
     recordWriter: RecordWriter,
   ) {
     this.#ctx = ctx;
-    this.#clusterState = clusterState;
+    this.#cluster = cluster;
     this.turns = ctx.areRoundRobinTurnsEnabled ? new RoundRobinTurns() : null;
     this.#negativeFits = new NegativeFitCache(ctx);
     this.#reservations = new Reservations(ctx);
-    const gpuHeadroom = new GpuHeadroomGuard(ctx, clusterState);
-    this.feasibleMachines = new FeasibleMachines(ctx, clusterState, gpuHeadroom);
-    this.preemption = new Preemption(ctx, clusterState, agents, this.feasibleMachines);
-    this.#placer = new TaskPlacer({ ctx, leaderLease, clusterState, recordWriter, turns: this.turns });
+    const gpuHeadroom = new GpuHeadroomGuard(ctx, cluster);
+    this.feasibleMachines = new FeasibleMachines(ctx, cluster, gpuHeadroom);
+    this.preemption = new Preemption(ctx, cluster, agents, this.feasibleMachines);
+    this.#placer = new TaskPlacer({ ctx, lease, cluster, recordWriter, turns: this.turns });
     const dependencies = {
       ctx,
       feasibleMachines: this.feasibleMachines,
@@ -128,7 +128,7 @@
     const team = this.#ctx.deployment.teams.find(({ name }) => name === job.spec.team);
     if (!team) return 0;
     const usage = add(
-      this.#clusterState.teamUsage.get(team.name) ?? NO_RESOURCES,
+      this.#cluster.teamUsage.get(team.name) ?? NO_RESOURCES,
       this.#reservations.reservedQuota(job),
     );
     const { need } = job.spec;
@@ -145,7 +145,7 @@
 
   /** Returns the jobs with pending tasks that may be placed, in queue order. */
   #buildQueue(): QueuedJob[] {
-    const unfinished = [...this.#clusterState.jobs.values()]
+    const unfinished = [...this.#cluster.jobs.values()]
       .filter((job) => job.state === "active" && job.dependenciesSatisfied && !job.isComplete)
       .sort((a, b) => a.queuedSince - b.queuedSince || (a.uid < b.uid ? -1 : 1));
     const guaranteed = findGuaranteedJobs(this.#ctx.deployment.teams, unfinished);
@@ -158,7 +158,7 @@
     }));
   }
 
-  /** Returns whether the job has pending tasks that may be placed now. */
+  /** True if the job has pending tasks that may be placed now. */
   #isEligible(job: Job): boolean {
     if (job.pendingCount === 0 || job.isFinalRecordQueued) return false;
     // Tasks in the unreadable record may still be running (I3).
@@ -173,13 +173,13 @@
     return true;
   }
 
-  /** Marks the jobs whose round-robin turn is due. Returns each job's position within its class and team. */
+  /** Marks the jobs whose round-robin turn is due. Returns each job's position in its class queue. */
   #assignTurns(pending: readonly Job[]): ReadonlyMap<Job, number> {
     if (!this.turns) return new Map();
     const { settings, wallMs } = this.#ctx;
     const due = this.turns.due(pending, settings.admission_turn_s * 1000, wallMs);
     for (const job of pending) job.hasRoundRobinTurn = due.has(job);
-    return this.turns.queuePositions(pending);
+    return this.turns.classQueuePositions(pending);
   }
 
   #scheduleJob(entry: QueuedJob): void {
@@ -193,7 +193,7 @@
   /** Schedules an array or a service: as many tasks as quota and capacity allow. */
   #scheduleTasks(entry: QueuedJob): void {
     const { job } = entry;
-    // A starving array places only part of its tasks in a round, so that it doesn't block other jobs.
+    // A starving array places only part of its tasks in a round, so that it does not block other jobs.
     const isPartial = job.spec.shape === "array" && isStarving(this.#ctx, job);
     const wanted = isPartial ? Math.ceil(job.pendingCount / STARVING_ARRAY_DIVISOR) : job.pendingCount;
     const allowed = Math.min(wanted, this.tasksWithinQuota(job));
--- a/src/core/scheduling/task-placer.ts
+++ b/src/core/scheduling/task-placer.ts
@@ -16,39 +16,39 @@
 /** The dependencies of {@link TaskPlacer}. */
 export interface TaskPlacerDependencies {
   readonly ctx: Context;
-  readonly leaderLease: LeaderLease;
-  readonly clusterState: ClusterState;
+  readonly lease: LeaderLease;
+  readonly cluster: ClusterState;
   readonly recordWriter: RecordWriter;
-  /** Null if fair admission is off. */
+  /** Null if fair admission is disabled. */
   readonly turns: RoundRobinTurns | null;
 }
 
 /** Binds tasks to machines and assigns attempt numbers. */
 export class TaskPlacer {
   readonly #ctx: Context;
-  readonly #leaderLease: LeaderLease;
-  readonly #clusterState: ClusterState;
+  readonly #lease: LeaderLease;
+  readonly #cluster: ClusterState;
   readonly #recordWriter: RecordWriter;
   readonly #turns: RoundRobinTurns | null;
   /** The counter of the last attempt number assigned under `#counterFencingToken`. */
   #attemptCounter = 0;
   #counterFencingToken = 0;
 
-  constructor({ ctx, leaderLease, clusterState, recordWriter, turns }: TaskPlacerDependencies) {
+  constructor({ ctx, lease, cluster, recordWriter, turns }: TaskPlacerDependencies) {
     this.#ctx = ctx;
-    this.#leaderLease = leaderLease;
-    this.#clusterState = clusterState;
+    this.#lease = lease;
+    this.#cluster = cluster;
     this.#recordWriter = recordWriter;
     this.#turns = turns;
   }
 
   /**
-   * Returns whether an attempt number is left under the current fencing token. Each token restarts the counter,
+   * True if an attempt number is left under the current fencing token. Each token restarts the counter,
    * so that a long term never runs out of numbers.
    */
   hasAttempts(): boolean {
-    if (this.#counterFencingToken !== this.#leaderLease.fencingToken) {
-      this.#counterFencingToken = this.#leaderLease.fencingToken;
+    if (this.#counterFencingToken !== this.#lease.fencingToken) {
+      this.#counterFencingToken = this.#lease.fencingToken;
       this.#attemptCounter = 0;
     }
     return isValidCounter(this.#attemptCounter + 1);
@@ -59,7 +59,7 @@
     if (!this.hasAttempts())
       throw new RangeError("no attempt number is left under the current fencing token");
     this.#attemptCounter++;
-    return attemptNumber(this.#leaderLease.fencingToken, this.#attemptCounter);
+    return attemptNumber(this.#lease.fencingToken, this.#attemptCounter);
   }
 
   /**
@@ -86,7 +86,7 @@
       runningSince: null,
       stop: null,
     };
-    this.#clusterState.addPlacement(placement);
+    this.#cluster.addPlacement(placement);
     this.#turns?.onStarted(job, this.#ctx.wallMs);
     job.blockedSince = null;
     const image = machine.images.get(job.spec.image);
--- a/src/core/scheduling/task-scheduling.ts
+++ b/src/core/scheduling/task-scheduling.ts
@@ -94,7 +94,7 @@
   let slots = Math.min(count, countFitting(need, machine.freeCapacity()));
   if (spread) slots = Math.min(slots, maxTasksPerZone(job.spec) - job.countInZone(machine.zone));
   if (shape === "service" && !machine.images.has(image)) {
-    // Spread the fetch over several machines, so that the replicas don't all depend on a single one.
+    // Spread the fetch over several machines, so that the replicas do not all depend on a single one.
     slots = Math.min(slots, Math.ceil(tasks / FETCHING_MACHINE_DIVISOR));
   }
   return slots;
--- a/src/core/scheduling/team-load.ts
+++ b/src/core/scheduling/team-load.ts
@@ -9,7 +9,7 @@
 }
 
 /**
- * Returns, for each team, the longest time in milliseconds for which a class of its jobs has had pending tasks
+ * Returns, for each team, the longest time in milliseconds for which one of its class queues has had pending tasks
  * without a task start; 0 if nothing is pending.
  */
 export function longestWaitMsByTeam(
--- a/src/core/store/batch-builder.ts
+++ b/src/core/store/batch-builder.ts
@@ -6,7 +6,7 @@
 import type { PendingWrites } from "./pending-writes.js";
 import type { QuarantinedKeys } from "./quarantined-keys.js";
 import { type ChunkRecord, type FinalRecord, KEYS, NO_MIGRATION } from "./records.js";
-import { type Batch, countSeparableRecords, emptyBatch } from "./write-batch.js";
+import { countSeparableRecords, emptyBatch, type WriteBatch } from "./write-batch.js";
 
 /** How long done marks are deferred, so that several share a transaction. */
 const DEFERRED_WRITE_DELAY_MS = 3000;
@@ -48,7 +48,7 @@
   readonly #quarantinedKeys: QuarantinedKeys;
   readonly #maxChanges: number;
   readonly #singleRecord: boolean;
-  readonly #batch: Batch;
+  readonly #batch: WriteBatch;
   /** Jobs with a start in the batch; the batch is conditioned on their keys. */
   readonly #startedJobs = new Set<Job>();
 
@@ -62,7 +62,7 @@
   }
 
   /** Builds the batch, which has no changes if nothing is due. Must be called only once. */
-  build(): Batch {
+  build(): WriteBatch {
     this.#addMigration();
     const { urgent, deferred } = this.#dueChunks();
     this.#addUrgentChunks(urgent);
@@ -129,7 +129,7 @@
   }
 
   /**
-   * Adds a chunk, preceded by the machine records that its placements refer to. Returns false if it doesn't fit within
+   * Adds a chunk, preceded by the machine records that its placements refer to. Returns false if it does not fit within
    * `maxChanges`; its machine records may have been added nevertheless and are then written before the chunk.
    */
   #addChunk(chunk: DirtyChunk, maxChanges: number): boolean {
@@ -159,7 +159,7 @@
     return true;
   }
 
-  #bucketsNeededBy(placements: Batch["placements"]): Set<Bucket> {
+  #bucketsNeededBy(placements: WriteBatch["placements"]): Set<Bucket> {
     const buckets = new Set<Bucket>();
     for (const { machine } of placements)
       for (const bucket of this.#pending.machineRecords.dirtyBucketsFor(machine))
--- a/src/core/store/dirty-chunks.ts
+++ b/src/core/store/dirty-chunks.ts
@@ -17,7 +17,7 @@
 export interface ChunkContent {
   /** Task, machine, incarnation and attempt of each active placement. */
   readonly active: [number, string, number, number][];
-  /** Finished tasks, ascending. */
+  /** Tasks that are done, ascending. */
   readonly done: number[];
   /** The placements listed in `active`. */
   readonly placements: Placement[];
--- a/src/core/store/feature-gate.ts
+++ b/src/core/store/feature-gate.ts
@@ -1,7 +1,7 @@
 import type { Context } from "../context.js";
 import type { LeaderLease } from "../model/leader-lease.js";
 import type { ConfigWatch } from "./config-watch.js";
-import { KEYS, PROTOCOL } from "./records.js";
+import { KEYS, PROTOCOL_VERSION } from "./records.js";
 
 const TRANSACTION_TIMEOUT_MS = 1500;
 const RETRY_DELAY_MS = 1000;
@@ -9,7 +9,7 @@
 /**
  * Decides when to start writing records in this version's layout: once every node has announced this version's
  * protocol, or once lower store limits show that the upgrade is complete. The decision is stored and irreversible,
- * because the previous version can't read records written after it.
+ * because the previous version cannot read records written after it.
  */
 export class FeatureGate {
   readonly #ctx: Context;
@@ -33,7 +33,7 @@
 
   /** True if records may be written in this version's layout. */
   get isOpen(): boolean {
-    return this.#config.layout >= PROTOCOL;
+    return this.#config.layout >= PROTOCOL_VERSION;
   }
 
   /** Records the protocol version from a peer's heartbeat; heartbeats of the previous version omit it, meaning 1. */
@@ -41,15 +41,15 @@
     this.#peerProtocols.set(node, protocol ?? 1);
   }
 
-  /** True if the peer's last heartbeat was sent by an older version. */
+  /** True if the peer's last heartbeat was sent by the previous version. */
   isOlderPeer(node: string): boolean {
-    return (this.#peerProtocols.get(node) ?? PROTOCOL) < PROTOCOL;
+    return (this.#peerProtocols.get(node) ?? PROTOCOL_VERSION) < PROTOCOL_VERSION;
   }
 
   /** Opens the gate once every peer has announced this version's protocol. */
   tick(): void {
     const { peers } = this.#ctx.deployment;
-    if (peers.every((node) => (this.#peerProtocols.get(node) ?? 0) >= PROTOCOL)) {
+    if (peers.every((node) => (this.#peerProtocols.get(node) ?? 0) >= PROTOCOL_VERSION)) {
       this.open("every node supports it");
     }
   }
@@ -62,7 +62,7 @@
     if (now < this.#retryAt || now >= lease.validUntil) return;
     this.#isWriting = true;
     this.#retryAt = now + RETRY_DELAY_MS;
-    const value = { layout: PROTOCOL };
+    const value = { layout: PROTOCOL_VERSION };
     const conditions = [
       { key: KEYS.leader, version: lease.leaderKeyVersion },
       { key: KEYS.features, version: this.#config.featuresVersion },
@@ -75,7 +75,7 @@
         if (response.kind === "conflict") this.#config.reread();
         if (response.kind !== "ok") return;
         this.#ctx.log("info", "record layout upgraded", {
-          layout: PROTOCOL,
+          layout: PROTOCOL_VERSION,
           reason,
         });
         this.#config.apply({ key: KEYS.features, value, version: response.revision });
--- a/src/core/store/job-watch.ts
+++ b/src/core/store/job-watch.ts
@@ -52,8 +52,8 @@
   /**
    * Loads all records, then starts watching.
    *
-   * @param chooseSource selects the source to load from; its argument is the one that reads everything from the store
-   * @param onLoaded applies the records; called once, unless stopped first
+   * @param chooseSource Selects the source to load from; its argument is the one that reads everything from the store.
+   * @param onLoaded Applies the records; called once, unless stopped first.
    */
   load(
     chooseSource: (fullRead: RecordSource) => RecordSource,
--- a/src/core/store/machine-records.ts
+++ b/src/core/store/machine-records.ts
@@ -36,7 +36,7 @@
     this.#maxValueBytes = maxValueBytes;
   }
 
-  /** Restores a record written by a previous leader; the bucket is not dirty afterwards. */
+  /** Restores a record written by an earlier leader; the bucket is not dirty afterwards. */
   restore(index: number, machines: readonly Machine[], version: number): void {
     for (let i = this.#buckets.length; i <= index; i++) this.#bucketAt(i);
     const bucket = this.#bucketAt(index);
--- a/src/core/store/pending-writes.ts
+++ b/src/core/store/pending-writes.ts
@@ -4,7 +4,7 @@
 import { chunkTasks } from "./chunk-layout.js";
 import { DirtyChunks } from "./dirty-chunks.js";
 import { MachineRecords } from "./machine-records.js";
-import type { Batch, MigrationWrite } from "./write-batch.js";
+import type { MigrationWrite, WriteBatch } from "./write-batch.js";
 
 /** A leader's pending writes, by kind of record. Building a batch removes its writes; a failed batch is requeued. */
 export class PendingWrites {
@@ -39,7 +39,7 @@
   }
 
   /** Requeues the records of an uncommitted batch; a migration queued in the meantime replaces the batch's. */
-  requeue(batch: Batch): void {
+  requeue(batch: WriteBatch): void {
     for (const chunk of batch.chunks) if (this.#cluster.jobs.has(chunk.job.index)) this.chunks.requeue(chunk);
     for (const job of batch.finalJobs) this.finalJobs.add(job);
     for (const key of batch.deletedKeys) this.deletions.add(key);
@@ -48,7 +48,7 @@
   }
 
   /** Drops the writes of a batch for a job whose key has changed, because the job's state must be read again first. */
-  dropJob(job: Job, batch: Batch): void {
+  dropJob(job: Job, batch: WriteBatch): void {
     this.finalJobs.delete(job);
     for (const chunk of batch.chunks) if (chunk.job === job) this.chunks.delete(chunk.key);
   }
--- a/src/core/store/record-reader.ts
+++ b/src/core/store/record-reader.ts
@@ -10,7 +10,7 @@
 const PAGE_TIMEOUTS_MS = [1000, 2000, 3000];
 const RETRY_DELAY_MS = 300;
 
-/** Records written by previous leaders. */
+/** Records written by earlier leaders. */
 export interface StoredRecords {
   readonly machines: readonly StoreEntry[];
   readonly chunks: readonly StoreEntry[];
--- a/src/core/store/record-writer.ts
+++ b/src/core/store/record-writer.ts
@@ -10,7 +10,7 @@
 import { QuarantinedKeys } from "./quarantined-keys.js";
 import { KEYS, type MigrationRecord } from "./records.js";
 import { jobsWithChangedKey, rereadVersions, staleVersions } from "./stale-versions.js";
-import { type Batch, countSeparableRecords } from "./write-batch.js";
+import { countSeparableRecords, type WriteBatch } from "./write-batch.js";
 import { WriteBudget } from "./write-budget.js";
 
 const TRANSACTION_TIMEOUT_MS = 1500;
@@ -21,14 +21,14 @@
  */
 const MIN_TRANSACTION_CHANGES = 6;
 
-/** Callbacks from the record writer to the leader's term. */
-export interface RecordWriterEvents {
+/** Queries and callbacks from {@link RecordWriter} to the leader's term. */
+export interface RecordWriterCallbacks {
   /** These placements are now recorded and may be started (I2). */
   onPlacementsRecorded(placements: readonly Placement[]): void;
   /** The job was cancelled or its key was deleted. No more of its records are written until they are queued again. */
   onJobKeyChanged(job: Job): void;
   /** The job's final record has been written. */
-  onJobFinished(job: Job): void;
+  onFinalRecordWritten(job: Job): void;
   /** A transaction failed its condition on the leader key: another leader has been elected. */
   onLeadershipLost(reason: string): void;
   /** The store rejected a transaction as invalid; the store's limits may have been lowered. */
@@ -47,7 +47,7 @@
   isStopped = false;
   readonly #ctx: Context;
   readonly #lease: LeaderLease;
-  readonly #events: RecordWriterEvents;
+  readonly #callbacks: RecordWriterCallbacks;
   readonly #pending: PendingWrites;
   readonly #quarantinedKeys: QuarantinedKeys;
   readonly #budget: WriteBudget;
@@ -62,12 +62,12 @@
     lease: LeaderLease,
     cluster: ClusterState,
     migrationVersion: number,
-    events: RecordWriterEvents,
+    callbacks: RecordWriterCallbacks,
   ) {
     this.#ctx = ctx;
     this.#lease = lease;
-    this.#events = events;
-    this.#pending = new PendingWrites(cluster, ctx.limits, migrationVersion, () => events.layout());
+    this.#callbacks = callbacks;
+    this.#pending = new PendingWrites(cluster, ctx.limits, migrationVersion, () => callbacks.layout());
     this.#budget = new WriteBudget(ctx);
     this.#quarantinedKeys = new QuarantinedKeys(ctx);
   }
@@ -129,14 +129,14 @@
     return !this.isStopped && !this.#busy && now >= this.#retryAt && now < this.#lease.validUntil;
   }
 
-  /** Maximum number of changes in a transaction now; 0 while the write budget is too small for one. */
+  /** Returns the maximum number of changes in a transaction now; 0 while the write budget is too small for one. */
   #allowedChanges(): number {
     const maxChanges = this.#ctx.limits.txnOps;
     const changes = Math.min(maxChanges, this.#budget.available());
     return changes < Math.min(MIN_TRANSACTION_CHANGES, maxChanges, this.backlog) ? 0 : changes;
   }
 
-  #send(batch: Batch): void {
+  #send(batch: WriteBatch): void {
     const { conditions, changes } = batch;
     this.#budget.spend(changes.length);
     this.#busy = true;
@@ -147,7 +147,7 @@
     });
   }
 
-  #onResponse(batch: Batch, response: StoreResponse, requestedAt: number): void {
+  #onResponse(batch: WriteBatch, response: StoreResponse, requestedAt: number): void {
     // Requeued before `inFlight` is cleared, so that no dirty task appears recorded in between (I6).
     if (response.kind !== "ok") this.#pending.requeue(batch);
     this.#pending.chunks.inFlight = [];
@@ -167,7 +167,7 @@
     }
   }
 
-  #onCommitted(batch: Batch, revision: number, requestedAt: number): void {
+  #onCommitted(batch: WriteBatch, revision: number, requestedAt: number): void {
     for (const { job, key } of batch.chunks) job.chunkVersions.set(key, revision);
     for (const bucket of batch.buckets) bucket.version = revision;
     for (const placement of batch.placements) {
@@ -177,10 +177,10 @@
     }
     if (batch.migration) this.#pending.migrationVersion = revision;
     batch.migration?.onCommitted();
-    if (batch.placements.length > 0) this.#events.onPlacementsRecorded(batch.placements);
+    if (batch.placements.length > 0) this.#callbacks.onPlacementsRecorded(batch.placements);
     for (const job of batch.finalJobs) {
       for (const key of job.chunkVersions.keys()) this.#pending.deletions.add(key);
-      this.#events.onJobFinished(job);
+      this.#callbacks.onFinalRecordWritten(job);
     }
   }
 
@@ -189,8 +189,8 @@
    * records are written one per transaction, in the layout for the updated limits; a record that is rejected on its own
    * is quarantined, so that it does not block others.
    */
-  #onInvalid(batch: Batch, reason: string): void {
-    this.#events.onRecordTooLarge();
+  #onInvalid(batch: WriteBatch, reason: string): void {
+    this.#callbacks.onRecordTooLarge();
     const records = countSeparableRecords(batch);
     this.#singleRecordsLeft = Math.max(this.#singleRecordsLeft, records);
     this.#retryAt = this.#ctx.now + RETRY_DELAY_MS;
@@ -202,14 +202,14 @@
   }
 
   /** Handles failed conditions. Sends nothing until the versions of the failed keys have been read again. */
-  #onConflict(batch: Batch, failedKeys: readonly string[]): void {
+  #onConflict(batch: WriteBatch, failedKeys: readonly string[]): void {
     if (failedKeys.includes(KEYS.leader)) {
-      this.#events.onLeadershipLost("a transaction failed its condition on the leader key");
+      this.#callbacks.onLeadershipLost("a transaction failed its condition on the leader key");
       return;
     }
     for (const job of jobsWithChangedKey(batch, failedKeys)) {
       this.#pending.dropJob(job, batch);
-      this.#events.onJobKeyChanged(job);
+      this.#callbacks.onJobKeyChanged(job);
     }
     rereadVersions(
       this.#ctx,
--- a/src/core/store/records.ts
+++ b/src/core/store/records.ts
@@ -5,11 +5,11 @@
 import { chunkKey, type TaskRange } from "./chunk-layout.js";
 
 /**
- * The keys of all durable records. Values contain names, never interned indices, because they outlive the process.
+ * The keys of all durable records. Values contain names, never interner indices, because they outlive the process.
  *
  * - `c/`: cluster configuration, watched by every node: leader, epoch, operator settings, machine types, the migration
  *   in progress, machine modes, features
- * - `j/`: unfinished jobs; `f/`: finished ones
+ * - `j/`: unfinished jobs; `f/`: ended ones
  * - `p/`: placements, in chunks of consecutive tasks (chunk-layout.ts)
  * - `m/`: machines, many per record (bucket): one record per machine would require as many writes as there are machines
  *   before anything could start
@@ -35,8 +35,8 @@
   bucket: (bucket: number) => `m/${bucket}`,
 } as const;
 
-/** The protocol version of this release. Protocol 2 adds jobs with dependencies and chunks of variable size. */
-export const PROTOCOL = 2;
+/** The protocol version of this release. Version 2 adds jobs with dependencies and chunks of variable size. */
+export const PROTOCOL_VERSION = 2;
 
 /* ---- schemas, named after the keys; fields are in the order of the stored values ---- */
 
@@ -66,8 +66,8 @@
 
 const jobRecord = v.object({
   /**
-   * "awaiting" means active, with dependencies. Versions that do not support dependencies can't decode such a record
-   * and so never start the job.
+   * "awaiting" means active, with dependencies. The previous version, which does not support dependencies, cannot
+   * decode such a record and so never starts the job.
    */
   state: v.picklist(["active", "awaiting", "cancelled"]),
   acceptedAt: v.number(),
@@ -85,7 +85,7 @@
 const chunkRecord = v.object({
   /** Active placements: task, machine, incarnation, attempt. */
   held: v.array(v.tuple([v.number(), v.string(), v.number(), v.number()])),
-  /** Finished tasks, as inclusive ranges of first and last. */
+  /** Tasks that are done, as inclusive ranges of first and last. */
   done: v.array(v.tuple([v.number(), v.number()])),
 });
 
@@ -122,7 +122,7 @@
 
 /** An unfinished job; `acceptedAt` is wall-clock time in milliseconds. */
 export type JobRecord = { state: "active" | "awaiting" | "cancelled"; acceptedAt: number; spec: JobSpec };
-/** The final record of a finished or cancelled job. */
+/** The final record of a job that is done or cancelled. */
 export type FinalRecord = v.InferOutput<typeof finalRecord>;
 /** The record layout enabled by the feature gate. */
 export type FeaturesRecord = v.InferOutput<typeof featuresRecord>;
--- a/src/core/store/reread-job.ts
+++ b/src/core/store/reread-job.ts
@@ -11,10 +11,10 @@
 }
 
 /** The job's final record exists. */
-export interface StoredFinishedJob {
+export interface StoredEndedJob {
   readonly kind: "ended";
   readonly state: "done" | "cancelled";
-  /** Wall-clock time at which the job ended, in milliseconds; null in records written by older versions. */
+  /** Wall-clock time at which the job ended, in milliseconds; null if the record does not contain it. */
   readonly endedAt: number | null;
 }
 
@@ -24,7 +24,7 @@
 }
 
 /** The stored state of a job. */
-export type StoredJobState = StoredUnfinishedJob | StoredFinishedJob | UnknownStoredJob;
+export type StoredJobState = StoredUnfinishedJob | StoredEndedJob | UnknownStoredJob;
 
 /** Reads a job's key and, if that does not exist, its final record. Calls back once; does not retry. */
 export function rereadJob(ctx: Context, uid: string, onRead: (stored: StoredJobState) => void): void {
--- a/src/core/store/stale-versions.ts
+++ b/src/core/store/stale-versions.ts
@@ -2,7 +2,7 @@
 import type { Job } from "../model/job.js";
 import type { PendingWrites } from "./pending-writes.js";
 import { KEYS } from "./records.js";
-import type { Batch } from "./write-batch.js";
+import type { WriteBatch } from "./write-batch.js";
 
 const READ_TIMEOUT_MS = 1500;
 
@@ -18,7 +18,7 @@
  * earlier transaction of its own was executed although its response was lost, and their versions must be read again.
  */
 export function staleVersions(
-  batch: Batch,
+  batch: WriteBatch,
   failedKeys: readonly string[],
   pending: PendingWrites,
 ): StaleVersion[] {
@@ -43,7 +43,7 @@
 }
 
 /** Returns the jobs of a batch whose key has changed: another node cancelled them, or they have ended. */
-export function jobsWithChangedKey(batch: Batch, failedKeys: readonly string[]): Set<Job> {
+export function jobsWithChangedKey(batch: WriteBatch, failedKeys: readonly string[]): Set<Job> {
   const jobs = new Set<Job>();
   for (const { job } of batch.chunks) if (failedKeys.includes(KEYS.job(job.uid))) jobs.add(job);
   for (const job of batch.finalJobs) if (failedKeys.includes(KEYS.job(job.uid))) jobs.add(job);
@@ -51,7 +51,7 @@
 }
 
 /**
- * Reads the stored versions of these keys and updates the last known ones. A key that can't be read keeps its last
+ * Reads the stored versions of these keys and updates the last known ones. A key that cannot be read keeps its last
  * known version, and the next transaction fails on it again. Calls back after the last response, or immediately if
  * there is nothing to read; never after being stopped.
  */
--- a/src/core/store/stored-chunks.ts
+++ b/src/core/store/stored-chunks.ts
@@ -61,7 +61,7 @@
  * - A record below the maximum size overrides one of the maximum size, regardless of their versions: a transaction that
  *   the leader sent before the change may be executed after its later ones, which do not write the same key.
  * - Of two records below the maximum size, the newer overrides the older: this size changes only when the leader
- *   changes, and a late transaction of a previous leader fails (I5).
+ *   changes, and a late transaction of an earlier leader fails (I5).
  */
 export function readChunks(entries: readonly StoreEntry[]): StoredChunks {
   const { parsed, unreadable } = parseAll(entries);
--- a/src/core/store/write-batch.ts
+++ b/src/core/store/write-batch.ts
@@ -16,7 +16,7 @@
  * One transaction and the records it contains, which are marked as written when it is committed and requeued when it is
  * not.
  */
-export interface Batch {
+export interface WriteBatch {
   readonly conditions: VersionCondition[];
   readonly changes: StoreChange[];
   /** Placement chunks that the transaction writes. */
@@ -35,12 +35,12 @@
 }
 
 /** Counts the records of a batch that could each be written in a separate transaction. */
-export function countSeparableRecords(batch: Batch): number {
+export function countSeparableRecords(batch: WriteBatch): number {
   return batch.chunks.length + batch.finalJobs.length + batch.deletedKeys.length + (batch.migration ? 1 : 0);
 }
 
 /** Creates a batch without changes, conditioned on this node still being the leader (I5). */
-export function emptyBatch(leadership: VersionCondition): Batch {
+export function emptyBatch(leadership: VersionCondition): WriteBatch {
   return {
     conditions: [leadership],
     changes: [],
--- a/src/protocol/agents.ts
+++ b/src/protocol/agents.ts
@@ -136,7 +136,7 @@
 export interface CommandReply {
   /** Null if the reply is malformed. */
   readonly heartbeat: Heartbeat | null;
-  /** Whether the batch was executed. */
+  /** True if the batch was executed. */
   readonly executed: boolean;
 }
 
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -44,7 +44,7 @@
   awaits: v.nullish(v.pipe(v.array(uid), v.maxLength(MAX_DEPENDENCIES)), null),
 });
 
-/** Whether a string is a well-formed job uid. */
+/** True if a string is a well-formed job uid. */
 export function isUid(value: string): boolean {
   return UID.test(value);
 }
--- a/src/shell/api.ts
+++ b/src/shell/api.ts
@@ -34,7 +34,7 @@
   addUserRoutes(app, handler, BODY_LIMIT_BYTES);
   addAdminRoutes(app, handler, BODY_LIMIT_BYTES);
   app.use((_req, res) => writeResponse(res, noSuchPath));
-  // Express recognises an error handler by its four parameters.
+  // Express recognizes an error handler by its four parameters.
   app.use((error: unknown, _req: Request, res: Response, _next: NextFunction) => {
     writeResponse(res, encodeFailure(error));
   });
--- a/src/shell/controller-loop.ts
+++ b/src/shell/controller-loop.ts
@@ -1,7 +1,7 @@
 import { interval } from "rxjs";
 import type { Settings } from "../config/settings.js";
 import type { TimeBudget } from "../core/context.js";
-import { Controller, type Identity } from "../core/controller.js";
+import { Controller, type ProcessIdentity } from "../core/controller.js";
 import type { AdminRequest, AdminResponse } from "../core/messages/administration.js";
 import type { Command } from "../core/messages/commands.js";
 import type { PeerMessage } from "../core/messages/peers.js";
@@ -13,7 +13,7 @@
 import { HeartbeatForwarder } from "./heartbeat-forwarder.js";
 import type { Log } from "./log.js";
 import { renderMetrics } from "./metrics.js";
-import { Peers } from "./peers.js";
+import { PeerConnections } from "./peer-connections.js";
 import { PendingRequests, RequestIds } from "./pending-requests.js";
 import type { MetricsPage, RequestHandler } from "./request-handler.js";
 import { allocateSockets } from "./sockets.js";
@@ -30,14 +30,14 @@
   readonly #controller: Controller;
   readonly #queue = new CommandQueue();
   readonly #pending: PendingClients;
-  readonly #peers: Peers;
+  readonly #peers: PeerConnections;
   readonly #forwarder: HeartbeatForwarder;
   readonly #effects: EffectRunner;
   #tickedAt = performance.now();
   #lagMs = 0;
   #batches = 0;
 
-  constructor(settings: Settings, identity: Identity, log: Log) {
+  constructor(settings: Settings, identity: ProcessIdentity, log: Log) {
     const requestIds = new RequestIds(identity.seed);
     this.#pending = {
       users: new PendingRequests(requestIds),
@@ -46,9 +46,9 @@
     };
     this.#controller = new Controller(settings.deployment, identity);
     const { names } = this.#controller;
-    this.#peers = new Peers(settings, {
-      linkChanged: (node, up) => this.#handlePeerLink(node, up),
-      messageReceived: (from, message) => this.#handlePeerMessage(from, message),
+    this.#peers = new PeerConnections(settings, {
+      onLinkChanged: (node, up) => this.#handlePeerLink(node, up),
+      onMessageReceived: (from, message) => this.#handlePeerMessage(from, message),
     });
     this.#forwarder = new HeartbeatForwarder(this.#peers, (requestId, status, body) =>
       this.#pending.agents.take(requestId)?.(status, body),
@@ -116,12 +116,12 @@
     }
   }
 
-  /** Whether this node is ready for requests. */
+  /** True if this node is ready for requests. */
   get ready(): boolean {
     return this.#controller.isReady;
   }
 
-  /** Whether to shed user requests: too many are pending, or the event loop lags too far behind. */
+  /** True if this node should shed user requests: too many are pending, or the event loop lags too far behind. */
   get overloaded(): boolean {
     return this.#pending.users.size >= MAX_PENDING_USERS || this.#lagMs > OVERLOAD_LAG_MS;
   }
--- a/src/shell/effect-runner.ts
+++ b/src/shell/effect-runner.ts
@@ -10,7 +10,7 @@
 import type { HeartbeatForwarder } from "./heartbeat-forwarder.js";
 import type { Log } from "./log.js";
 import { NodeBatches } from "./node-batches.js";
-import type { Peers } from "./peers.js";
+import type { PeerConnections } from "./peer-connections.js";
 import type { PendingRequests } from "./pending-requests.js";
 
 /** Unanswered client requests, by kind of client. */
@@ -26,7 +26,7 @@
   readonly store: StoreClient;
   readonly cloud: CloudClient;
   readonly agents: AgentClient;
-  readonly peers: Peers;
+  readonly peers: PeerConnections;
   readonly forwarder: HeartbeatForwarder;
   readonly pending: PendingClients;
   readonly log: Log;
--- a/src/shell/heartbeat-endpoint.ts
+++ b/src/shell/heartbeat-endpoint.ts
@@ -6,7 +6,7 @@
 import type { RequestHandler } from "./request-handler.js";
 import { writeJson, writeResponse } from "./write-response.js";
 
-/** Whether a request is an agent's heartbeat. */
+/** True if a request is an agent's heartbeat. */
 export function isHeartbeatRequest(req: http.IncomingMessage): boolean {
   return req.method === "POST" && req.url === HEARTBEAT_PATH;
 }
--- a/src/shell/heartbeat-forwarder.ts
+++ b/src/shell/heartbeat-forwarder.ts
@@ -10,11 +10,11 @@
  */
 const BATCHING_MS = 25;
 
-/** The methods of `Peers` that forwarding uses. */
+/** The methods of `PeerConnections` that forwarding uses. */
 export interface PeerSender {
   /** Sends a message, or drops it if the peer is not connected. */
   send(node: string, message: PeerMessage): void;
-  /** Whether the send backlog to a peer is so large that messages should wait. */
+  /** True if the send backlog to a peer is so large that messages should wait. */
   isCongested(node: string): boolean;
 }
 
--- a/src/shell/http-client.ts
+++ b/src/shell/http-client.ts
@@ -79,7 +79,7 @@
     request.end(payload);
   }
 
-  /** Returns whether a call may open a connection, closing the one that has been idle longest if needed. */
+  /** True if a call may open a connection, closing the one that has been idle longest if needed. */
   #ensureCapacity(): boolean {
     if (this.#sockets.size + this.#connecting < this.#maxTotal) return true;
     for (const [socket, isBusy] of this.#sockets) {
--- a/src/shell/metrics.ts
+++ b/src/shell/metrics.ts
@@ -73,7 +73,7 @@
 }
 
 function setFailoverGauges(gauges: GaugeSet, controller: Controller): void {
-  const { standby, takeover } = controller.failover;
+  const { standby, takeover: timeline } = controller.failover;
   if (standby) {
     gauges.set(
       "standby_warm",
@@ -87,7 +87,7 @@
     if (standby.lagS !== null)
       gauges.set("standby_lag_seconds", "Seconds since the cache was last proved complete", standby.lagS);
   }
-  for (const [phase, sinceLeaderGoneMs] of takeover.phases())
+  for (const [phase, sinceLeaderGoneMs] of timeline.phases())
     gauges.set(
       `takeover_${toSnakeCase(phase)}_ms`,
       "Last takeover of this node: from the end of the former leader's key to this step",
--- a/src/shell/peers.ts
+++ b/src/shell/peer-connections.ts
@@ -16,12 +16,12 @@
 /** Limit of inbound connections per node: a restarted peer opens new connections before its old ones are closed. */
 const INBOUND_PER_NODE = 8;
 
-/** Receives events of the peer connections. */
-export interface PeerEvents {
+/** Events that {@link PeerConnections} reports. */
+export interface PeerConnectionEvents {
   /** The outbound connection to a peer was established or lost. */
-  linkChanged(node: string, up: boolean): void;
+  onLinkChanged(node: string, up: boolean): void;
   /** A message arrived from a peer. */
-  messageReceived(from: string, message: PeerMessage): void;
+  onMessageReceived(from: string, message: PeerMessage): void;
 }
 
 interface Link {
@@ -30,16 +30,16 @@
 }
 
 /** Connections to the other nodes. A node sends on the connections that it opened and receives on those it accepted. */
-export class Peers {
+export class PeerConnections {
   readonly #settings: Settings;
-  readonly #events: PeerEvents;
+  readonly #events: PeerConnectionEvents;
   readonly #links = new Map<string, Link>();
   readonly #server: net.Server;
   readonly #packr = new Packr({ useRecords: false });
   /** The connection on which each peer last sent a hello frame. */
   readonly #accepted = new Map<string, net.Socket>();
 
-  constructor(settings: Settings, events: PeerEvents) {
+  constructor(settings: Settings, events: PeerConnectionEvents) {
     this.#settings = settings;
     this.#events = events;
     this.#server = net.createServer((socket) => this.#accept(socket));
@@ -67,7 +67,7 @@
     else link.socket.write(this.#packr.pack(encodePeerMessage(message)));
   }
 
-  /** Whether the send backlog to a peer is so large that messages that may be dropped or batched should wait. */
+  /** True if the send backlog to a peer is so large that messages that may be dropped or batched should wait. */
   isCongested(to: string): boolean {
     const link = this.#links.get(to);
     return link?.up === true && link.socket.writableLength > CONGESTED_BYTES;
@@ -82,13 +82,13 @@
       clearTimeout(timer);
       link.up = true;
       socket.write(this.#packr.pack(encodeHello(this.#settings.deployment.node)));
-      this.#events.linkChanged(node, true);
+      this.#events.onLinkChanged(node, true);
     });
     // Handled by "close", which follows every error.
     socket.on("error", () => {});
     socket.on("close", () => {
       clearTimeout(timer);
-      if (link.up) this.#events.linkChanged(node, false);
+      if (link.up) this.#events.onLinkChanged(node, false);
       link.up = false;
       setTimeout(() => this.#connect(node, endpoint), RECONNECT_MS);
     });
@@ -124,6 +124,6 @@
 
   #receive(socket: net.Socket, from: string, frame: unknown): void {
     const message = decodePeerMessage(frame);
-    if (message && this.#accepted.get(from) === socket) this.#events.messageReceived(from, message);
+    if (message && this.#accepted.get(from) === socket) this.#events.onMessageReceived(from, message);
   }
 }
--- a/src/shell/request-handler.ts
+++ b/src/shell/request-handler.ts
@@ -9,9 +9,9 @@
 
 /** The controller as seen by the HTTP routes. Each request is answered exactly once, through its callback. */
 export interface RequestHandler {
-  /** Whether this node is ready for requests. */
+  /** True if this node is ready for requests. */
   readonly ready: boolean;
-  /** Whether this node is overloaded and must shed user requests. */
+  /** True if this node is overloaded and must shed user requests. */
   readonly overloaded: boolean;
   /** Submits a job. Malformed ones are passed on too, since the controller may already know the uid. */
   submit(uid: string, submitted: SubmittedSpec, respond: (response: UserResponse) => void): void;
--- a/src/shell/serve.ts
+++ b/src/shell/serve.ts
@@ -1,7 +1,7 @@
 import { randomBytes } from "node:crypto";
 import type { Server } from "node:http";
 import { loadSettings, type Settings } from "../config/settings.js";
-import type { Identity } from "../core/controller.js";
+import type { ProcessIdentity } from "../core/controller.js";
 import { createServer } from "./api.js";
 import { ControllerLoop } from "./controller-loop.js";
 import { type Log, openLog } from "./log.js";
@@ -18,9 +18,9 @@
 export interface ServeOptions {
   /** Why the code cache was not used; null if it was. */
   readonly cacheProblem: string | null;
-  /** Whether this node keeps a standby cache of the records while another node leads. */
+  /** True if this node keeps a standby cache of the records while another node leads. */
   readonly standby: boolean;
-  /** Whether submissions are limited by the teams' shares. */
+  /** True if submissions are limited by the teams' shares. */
   readonly admission: boolean;
 }
 
@@ -48,7 +48,7 @@
 }
 
 /** Creates a new identity for each process, so that a restarted node is not mistaken for its previous process. */
-function createIdentity(settings: Settings, { standby, admission }: ServeOptions): Identity {
+function createIdentity(settings: Settings, { standby, admission }: ServeOptions): ProcessIdentity {
   const nonce = randomBytes(8);
   return {
     incarnation: nonce.toString("hex"),
--- a/src/standby/failover.ts
+++ b/src/standby/failover.ts
@@ -11,7 +11,7 @@
 
 /** Provides the standby state of this node's peers. */
 export interface PeerStandbySource {
-  /** The standby state of each peer. */
+  /** Returns the standby state of each peer. */
   standbys(): PeerStandby[];
 }
 
@@ -46,7 +46,7 @@
     this.#standby.tick(this.#isStandby);
   }
 
-  /** Starts the failover timeline; called when the leader's key has been removed. */
+  /** Starts the failover timeline; called when the leader key has been removed. */
   onLeaderKeyRemoved(): void {
     this.timeline.begin(this.#ctx.now);
   }
@@ -56,7 +56,7 @@
     this.timeline.markReached("elected", this.#ctx.now);
   }
 
-  /** How long to delay a campaign so that a node with a warm cache wins. `leader` is the previous leader. */
+  /** Returns how long to delay a campaign so that a node with a warm cache wins. `leader` is the previous leader. */
   campaignDelayMs(leader: string | null): number {
     if (!this.#standby || this.#standby.warmth === "warm") return 0;
     const isPeerWarm = this.#peers
@@ -65,17 +65,17 @@
     return isPeerWarm ? CAMPAIGN_DELAY_MS : 0;
   }
 
-  /** The record source for the term whose election has this store revision. `cold` reads the records from the store. */
-  recordSource(revision: number, cold: RecordSource): RecordSource {
+  /** Returns the record source of the term whose election has this revision. `fullRead` reads all from the store. */
+  recordSource(revision: number, fullRead: RecordSource): RecordSource {
     const onSourceChosen = (source: "warm" | "cold", reason: string | null) => {
       this.timeline.source = source;
       this.timeline.coldReason = reason;
       this.timeline.markReached("confirmed", this.#ctx.now);
     };
     this.#isStandby = false;
-    if (this.#standby) return this.#standby.recordSource(revision, cold, { onSourceChosen });
+    if (this.#standby) return this.#standby.recordSource(revision, fullRead, { onSourceChosen });
     onSourceChosen("cold", "the standby is not switched on");
-    return cold;
+    return fullRead;
   }
 
   /** Records the phases that are visible in the leader's effects. `isReady` is true once the cluster state is built. */
@@ -92,24 +92,25 @@
   }
 
   /**
-   * The state of the standby; null if it is disabled. `latestRevision` is the latest store revision known to this node.
+   * Returns the state of the standby; null if it is disabled. `latestRevision` is the latest store revision known to
+   * this node.
    */
   standbyReport(latestRevision: number): StandbyReport | null {
     return this.#standby?.report(latestRevision) ?? null;
   }
 
-  /** The standby and failover sections of the node's status. */
+  /** Returns the standby and failover sections of the node's status. */
   status(latestRevision: number): Record<string, unknown> {
-    const takeover = this.timeline.report();
+    const phases = this.timeline.report();
     const report = this.standbyReport(latestRevision);
-    if (report === null) return { takeover };
+    if (report === null) return { takeover: phases };
     const { warm, lagRevisions, lagS, ...rest } = report;
     const state = warm ? "warm" : "cold";
-    return { standby: { state, ...rest, lag_revisions: lagRevisions, lag_s: lagS }, takeover };
+    return { standby: { state, ...rest, lag_revisions: lagRevisions, lag_s: lagS }, takeover: phases };
   }
 }
 
-/** The commands that an effect sends to an agent; null if it is not addressed to an agent or rejects a heartbeat. */
+/** Returns the commands that an effect sends to an agent; null if it is not for an agent or rejects a heartbeat. */
 function commandsOf(effect: Effect): readonly AgentCommand[] | null {
   if (effect.kind === "sendAgentCommands") return effect.commands;
   if (effect.kind !== "replyToAgent" && effect.kind !== "replyToForwardedHeartbeat") return null;
--- a/src/standby/record-cache.ts
+++ b/src/standby/record-cache.ts
@@ -114,7 +114,7 @@
     section.completeThrough = through;
   }
 
-  /** All records in key order, as a range read returns them. */
+  /** Returns all records in key order, as a range read returns them. */
   records(): StoredRecords {
     const sorted = (prefix: CachedPrefix) =>
       [...this.#section(prefix).records.values()]
@@ -152,7 +152,7 @@
   return event.kind === "put" ? event.entry.version : event.version;
 }
 
-/** Estimates the memory use of a value; this is cheaper than serialising it. */
+/** Estimates the memory use of a value; this is cheaper than serializing it. */
 function estimateBytes(value: unknown): number {
   if (typeof value === "string") return CONTAINER_BYTES + value.length;
   if (typeof value !== "object" || value === null) return NUMBER_BYTES;
--- a/src/standby/role.ts
+++ b/src/standby/role.ts
@@ -11,7 +11,7 @@
 }
 
 /**
- * Whether this node is the standby: the first by name of the alive nodes that have the standby enabled and do not lead.
+ * True if this node is the standby: the first by name of the live nodes that have the standby enabled and do not lead.
  * Nodes that receive each other's heartbeats therefore agree. Nodes that do not may both be the standby, which only
  * costs extra requests.
  */
--- a/src/standby/standby.ts
+++ b/src/standby/standby.ts
@@ -13,8 +13,8 @@
 /** Delay before a cache that exceeded its memory limit is filled again. */
 const TOO_LARGE_RETRY_MS = 300_000;
 
-/** Receives the failover events of a {@link Standby}. */
-export interface FailoverEvents {
+/** Events that {@link Standby} reports to its node. */
+export interface StandbyEvents {
   /** Called when the record source of the term is known. `reason` is why the cache was not used; null if it was. */
   onSourceChosen(source: "warm" | "cold", reason: string | null): void;
 }
@@ -107,7 +107,7 @@
     return this.#coldReason() === null ? "warm" : "cold";
   }
 
-  /** Why the cache is cold; null if it is warm. */
+  /** Returns why the cache is cold; null if it is warm. */
   #coldReason(): string | null {
     const state = this.#state;
     switch (state.kind) {
@@ -124,26 +124,26 @@
   }
 
   /**
-   * The record source for the term whose election has this store revision: the cache if all records have been read into
-   * it, otherwise `cold`. The source takes over the cache; the standby continues with a new, empty one.
+   * Returns the record source of the term whose election has this store revision: the cache if all records have been
+   * read into it, otherwise `fullRead`. The source owns the cache from then on; the standby continues with a new one.
    */
-  recordSource(revision: number, cold: RecordSource, events: FailoverEvents): RecordSource {
+  recordSource(revision: number, fullRead: RecordSource, events: StandbyEvents): RecordSource {
     const state = this.#state;
     if (state.kind !== "following" || !state.feed.isComplete) {
       events.onSourceChosen("cold", this.#coldReason());
-      return cold;
+      return fullRead;
     }
     state.feed.stop();
     this.#state = { kind: "idle" };
     const cache = this.#cache;
     this.#cache = new RecordCache(this.#maxBytes);
-    return new WarmStart(this.#ctx, cache, revision, cold, {
-      confirmed: () => events.onSourceChosen("warm", null),
-      refused: (reason) => events.onSourceChosen("cold", reason),
+    return new WarmStart(this.#ctx, cache, revision, fullRead, {
+      onConfirmed: () => events.onSourceChosen("warm", null),
+      onRefused: (reason) => events.onSourceChosen("cold", reason),
     });
   }
 
-  /** The state of the standby. `latestRevision` is the latest store revision known to this node. */
+  /** Returns the state of the standby. `latestRevision` is the latest store revision known to this node. */
   report(latestRevision: number): StandbyReport {
     const lagMs = this.#state.kind === "following" ? this.#state.feed.lagMs : null;
     const reason = this.#coldReason();
--- a/src/standby/warm-start.ts
+++ b/src/standby/warm-start.ts
@@ -10,40 +10,40 @@
 /** Why the cache could not be used for a failover. */
 export type Refusal = "changes no longer kept" | "no answer" | "the state service went back";
 
-/** Receives the outcome of a {@link WarmStart}. */
+/** Events that {@link WarmStart} reports. */
 export interface WarmStartEvents {
   /** The cache has been confirmed to be up to date. */
-  confirmed(): void;
+  onConfirmed(): void;
   /** The cache could not be confirmed to be up to date, so the records are read from the store. */
-  refused(reason: Refusal): void;
+  onRefused(reason: Refusal): void;
 }
 
 /**
  * Loads the records of a term from the standby cache, once the cache is confirmed to be complete
- * (docs/design/warm-standby.md). Every write of a previous leader is conditioned on its leader key. The election
+ * (docs/design/warm-standby.md). Every write of an earlier leader is conditioned on its leader key. The election
  * replaced that key, so no such write succeeds after the election's revision. One watch per prefix that returns at once
  * yields all changes since the cached revision; a response at the election's revision or later includes every write of
- * previous leaders.
+ * earlier leaders.
  */
 export class WarmStart implements RecordSource {
   readonly #ctx: Context;
   readonly #cache: RecordCache;
   readonly #electionRevision: number;
-  readonly #cold: RecordSource;
+  readonly #fullRead: RecordSource;
   readonly #events: WarmStartEvents;
 
-  /** `cold` reads the records from the store if the cache cannot be used. */
+  /** `fullRead` reads the records from the store if the cache cannot be used. */
   constructor(
     ctx: Context,
     cache: RecordCache,
     electionRevision: number,
-    cold: RecordSource,
+    fullRead: RecordSource,
     events: WarmStartEvents,
   ) {
     this.#ctx = ctx;
     this.#cache = cache;
     this.#electionRevision = electionRevision;
-    this.#cold = cold;
+    this.#fullRead = fullRead;
     this.#events = events;
   }
 
@@ -56,7 +56,7 @@
       refusal ??= problem;
       if (--prefixesLeft > 0) return;
       if (refusal === null) {
-        this.#events.confirmed();
+        this.#events.onConfirmed();
         onLoaded({
           records: this.#cache.records(),
           revision: this.#cache.prefixCompleteThrough(KEYS.jobsPrefix),
@@ -64,8 +64,8 @@
         });
       } else {
         this.#ctx.log("info", "standby cache not used", { reason: refusal });
-        this.#events.refused(refusal);
-        this.#cold.load(onLoaded);
+        this.#events.onRefused(refusal);
+        this.#fullRead.load(onLoaded);
       }
       this.#cache.clear();
     };
--- a/test/bounded-memory.test.ts
+++ b/test/bounded-memory.test.ts
@@ -10,7 +10,7 @@
 import { parseSettings } from "../src/config/settings.js";
 import type { PeerMessage } from "../src/core/messages/peers.js";
 import { createServer, type RequestHandler } from "../src/shell/api.js";
-import { Peers } from "../src/shell/peers.js";
+import { PeerConnections } from "../src/shell/peer-connections.js";
 import { allocateSockets } from "../src/shell/sockets.js";
 import { SETTINGS } from "./support/settings.js";
 
@@ -40,14 +40,14 @@
   const address = { host: LOOPBACK, port: await listen(stalled) };
   const base = parseSettings(SETTINGS);
   const linkStates: boolean[] = [];
-  const peers = new Peers(
+  const peers = new PeerConnections(
     {
       ...base,
       maxConnections: 256,
       peerListen: { host: LOOPBACK, port: 0 },
       peers: [{ node: "n1", at: address }],
     },
-    { linkChanged: (_node, up) => linkStates.push(up), messageReceived: () => {} },
+    { onLinkChanged: (_node, up) => linkStates.push(up), onMessageReceived: () => {} },
   );
   peers.listen((error) => {
     throw error;
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -8,7 +8,7 @@
 import { isMainThread, parentPort, Worker } from "node:worker_threads";
 import { parseSettings, type Settings } from "../src/config/settings.js";
 import type { PeerMessage } from "../src/core/messages/peers.js";
-import { Peers } from "../src/shell/peers.js";
+import { PeerConnections } from "../src/shell/peer-connections.js";
 import { SETTINGS } from "./support/settings.js";
 
 const LOOPBACK = "127.0.0.1";
@@ -46,12 +46,12 @@
   let linksUp = 0;
   let onChange = () => {};
   const node = (name: string, listen: number, peer: string, peerPort: number) => {
-    const peers = new Peers(settingsOf(name, listen, peer, peerPort), {
-      linkChanged: (_to, isUp) => {
+    const peers = new PeerConnections(settingsOf(name, listen, peer, peerPort), {
+      onLinkChanged: (_to, isUp) => {
         if (isUp) linksUp++;
         onChange();
       },
-      messageReceived: (from, message) => {
+      onMessageReceived: (from, message) => {
         received.push([from, message]);
         onChange();
       },
--- a/test/record-cache.test.ts
+++ b/test/record-cache.test.ts
@@ -135,7 +135,7 @@
         const refused: string[] = [];
         const loaded: LoadedRecords[] = [];
         const coldReader = new RecordReader(replay.ctx);
-        const events = { confirmed: () => {}, refused: (why: string) => refused.push(why) };
+        const events = { onConfirmed: () => {}, onRefused: (why: string) => refused.push(why) };
         new WarmStart(replay.ctx, cache, replay.store.revision, coldReader, events).load((records) =>
           loaded.push(records),
         );
--- a/test/round-robin-turns.test.ts
+++ b/test/round-robin-turns.test.ts
@@ -53,7 +53,7 @@
               [...due].some(({ spec }) => spec.team === job.spec.team && spec.jobClass === job.spec.jobClass),
             );
         }
-        const places = turns.queuePositions(jobs);
+        const places = turns.classQueuePositions(jobs);
         for (const job of due) {
           const jobsBefore = jobs.filter(
             (other) => other !== job && (places.get(other) ?? 0) < (places.get(job) ?? 0),
