--- a/.ci/known-red.mjs
+++ b/.ci/known-red.mjs
@@ -1,7 +1,7 @@
 // Decides whether a test run passes CI: node .ci/known-red.mjs LIST OUTPUT STATUS
 // LIST has one line per test that may fail: its name, the cause and the issue, separated by " | ".
-// OUTPUT is the TAP output of the run, STATUS its exit status. Fails if a test fails that isn't listed, if more than
-// three tests are listed, and if a listed test passes or doesn't exist. If LIST doesn't exist, no failure is tolerated.
+// OUTPUT is the TAP output of the run, STATUS its exit status. Fails if a test fails that is not listed, if more than
+// three tests are listed, and if a listed test passes or does not exist. If LIST does not exist, no failure is tolerated.
 import { existsSync, readFileSync } from "node:fs";
 
 const MAX_LISTED = 3;
@@ -29,7 +29,7 @@
 const failed = [...results].filter(([, passed]) => !passed).map(([name]) => name);
 for (const name of failed) if (!listed.has(name)) problems.push(`failed: ${name}`);
 if (results.size === 0) problems.push("no tests were run");
-// The run failed for a reason other than a test, which the list can't cover.
+// The run failed for a reason other than a test, which the list cannot cover.
 if (status !== "0" && failed.length === 0) problems.push(`the test run exited with status ${status}`);
 
 for (const problem of problems) console.log(problem);
--- a/build.mjs
+++ b/build.mjs
@@ -29,7 +29,7 @@
   entryPoints: ["src/shell/serve.ts"],
   outfile: "target/server.cjs",
   format: "cjs",
-  // On Node, rxjs resolves to its CommonJS build, which can't be tree-shaken and takes 50 ms of CPU time to load.
+  // On Node, rxjs resolves to its CommonJS build, which cannot be tree-shaken and takes 50 ms of CPU time to load.
   alias: { rxjs: "./node_modules/rxjs/dist/esm/index.js" },
   // Disables msgpackr's native addon, which is optional and not needed for small messages.
   define: { "process.env.MSGPACKR_NATIVE_ACCELERATION_DISABLED": '"true"' },
--- a/src/admission/retry-reservations.ts
+++ b/src/admission/retry-reservations.ts
@@ -16,7 +16,7 @@
 /** Limit on new and on redeemed reservations per report; the rest is sent with the next reports. */
 const MAX_NOTICES = 200;
 
-interface Reservation {
+interface RetryReservation {
   readonly team: string;
   readonly dueAt: number;
   /** False for a reservation made by another node, which earmarks the permit for it. */
@@ -29,7 +29,7 @@
  * it.
  */
 export class RetryReservations {
-  readonly #byUid = new Map<string, Reservation>();
+  readonly #byUid = new Map<string, RetryReservation>();
   /** When the next free slot in each team's retry queue is due. */
   readonly #nextDueAt = new Map<string, number>();
   readonly #unannounced: string[] = [];
@@ -60,7 +60,7 @@
     return reservation.isOwn ? reservation.team : null;
   }
 
-  #remove(uid: string, { team, isOwn }: Reservation): void {
+  #remove(uid: string, { team, isOwn }: RetryReservation): void {
     this.#byUid.delete(uid);
     const earmarked = this.#earmarkedCounts.get(team);
     if (isOwn && earmarked && earmarked.count > 0) earmarked.count--;
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -18,7 +18,7 @@
 }
 
 /** Runs a command line. For errors that the user can fix, prints the message and exits with status 1. */
-export async function run(argv: readonly string[]): Promise<void> {
+export async function runCommandLine(argv: readonly string[]): Promise<void> {
   const program = new Command("hillspindle")
     .description("Cluster scheduler: runs a node, or sends requests to one.")
     .version(readVersion())
--- a/src/core/jobs/progress-publisher.ts
+++ b/src/core/jobs/progress-publisher.ts
@@ -20,7 +20,7 @@
     this.#cluster = cluster;
   }
 
-  /** Removes the counts of a job that has ended. */
+  /** Removes the published counts of a job that has ended. */
   remove({ uid }: Job): void {
     this.#published.delete(uid);
   }
--- a/src/core/store/reread-job.ts
+++ b/src/core/store/reread-job.ts
@@ -14,7 +14,7 @@
 export interface StoredEndedJob {
   readonly kind: "ended";
   readonly state: "done" | "cancelled";
-  /** Wall-clock time at which the job ended, in milliseconds; null if the record does not contain it. */
+  /** Wall-clock time at which the job ended, in milliseconds; null if an earlier version wrote the record. */
   readonly endedAt: number | null;
 }
 
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
 /** Entry point: runs the command line, whose `serve` command starts a controller. */
-import { run } from "./cli/cli.js";
+import { runCommandLine } from "./cli/cli.js";
 
-await run(process.argv);
+await runCommandLine(process.argv);
--- a/src/standby/warm-start.ts
+++ b/src/standby/warm-start.ts
@@ -8,14 +8,14 @@
 const ATTEMPT_TIMEOUTS_MS = [300, 700, 1500];
 
 /** Why the cache could not be used for a failover. */
-export type Refusal = "changes no longer kept" | "no answer" | "the state service went back";
+export type WarmStartRefusal = "changes no longer kept" | "no answer" | "the state service went back";
 
 /** Events that {@link WarmStart} reports. */
 export interface WarmStartEvents {
   /** The cache has been confirmed to be up to date. */
   onConfirmed(): void;
   /** The cache could not be confirmed to be up to date, so the records are read from the store. */
-  onRefused(reason: Refusal): void;
+  onRefused(reason: WarmStartRefusal): void;
 }
 
 /**
@@ -51,8 +51,8 @@
   load(onLoaded: (loaded: LoadedRecords) => void): void {
     const requestedAt = this.#ctx.now;
     let prefixesLeft: number = CACHED_PREFIXES.length;
-    let refusal: Refusal | null = null;
-    const onPrefixDone = (problem: Refusal | null) => {
+    let refusal: WarmStartRefusal | null = null;
+    const onPrefixDone = (problem: WarmStartRefusal | null) => {
       refusal ??= problem;
       if (--prefixesLeft > 0) return;
       if (refusal === null) {
@@ -72,7 +72,11 @@
     for (const prefix of CACHED_PREFIXES) this.#bringUpToDate(prefix, 0, onPrefixDone);
   }
 
-  #bringUpToDate(prefix: CachedPrefix, attempt: number, onDone: (refusal: Refusal | null) => void): void {
+  #bringUpToDate(
+    prefix: CachedPrefix,
+    attempt: number,
+    onDone: (refusal: WarmStartRefusal | null) => void,
+  ): void {
     const timeoutMs = ATTEMPT_TIMEOUTS_MS[attempt];
     if (timeoutMs === undefined) {
       onDone("no answer");
@@ -86,7 +90,7 @@
     });
   }
 
-  #applyResponse(response: StoreResponse, prefix: CachedPrefix, after: number): Refusal | null {
+  #applyResponse(response: StoreResponse, prefix: CachedPrefix, after: number): WarmStartRefusal | null {
     if (response.kind === "compacted") return "changes no longer kept";
     if (response.kind !== "events") return "no answer";
     // A response from before the election may lack later writes of the previous leader.
--- a/tools/loopback/nodes.ts
+++ b/tools/loopback/nodes.ts
@@ -136,7 +136,7 @@
     for (const node of NODES.keys()) this.start(node);
   }
 
-  /** Kills a node with SIGKILL, so that it can't clean up. */
+  /** Kills a node with SIGKILL, so that it cannot clean up. */
   kill(node: number): void {
     this.#children[node]?.kill("SIGKILL");
     this.#children[node] = null;
@@ -191,7 +191,7 @@
   await fetch(`http://${node?.host}:${node?.port}/admin/settings`, init);
 }
 
-/** Returns the index of the leader; null if no node has a confirmed leader lease. */
+/** Returns the index of the leader; null if no node has a valid leader lease. */
 export async function findLeader(): Promise<number | null> {
   for (const node of NODES.keys()) {
     const status = await callNode(node, "/admin/status");
--- a/tools/loopback/store-server.ts
+++ b/tools/loopback/store-server.ts
@@ -121,7 +121,7 @@
       case "throttled":
         return [429, {}];
       case "unavailable":
-      // The fake store returns none of these for a call.
+      // The fake store returns none of the following for a call.
       case "compacted":
       case "events":
       case "timeout":
--- a/tools/loopback/user.ts
+++ b/tools/loopback/user.ts
@@ -3,7 +3,7 @@
 const ANSWER_TIMEOUT_MS = 5000;
 const MIN_PAUSE_MS = 1000;
 const MAX_PAUSE_MS = 30_000;
-/** A 429 with a `Retry-After` of at least this long reserves no permit. */
+/** A 429 with a `Retry-After` of at least this long comes without a retry reservation. */
 const MIN_UNRESERVED_RETRY_AFTER_S = 30;
 const SUBMIT_TIMEOUT_MS = 60_000;
 const POLL_INTERVAL_MS = 5000;
@@ -21,8 +21,9 @@
   acceptedAt: number | null;
   /** Number of responses with status 429. */
   throttled: number;
-  /** Number of retries at the time reserved by a 429 that were accepted, and that were throttled again. */
+  /** Number of retries at a reserved time that were accepted. */
   honoredReservations: number;
+  /** Number of retries at a reserved time that were throttled again. */
   brokenReservations: number;
   /** Number of attempts that got another error status or no response. */
   failed: number;
@@ -42,7 +43,7 @@
 
 /**
  * Submits a job as the protocol requires of users: each attempt goes to any node, and retries wait for `Retry-After`.
- * Gives up after a minute. Returns whether the job was accepted.
+ * Gives up after a minute. Returns true if the job was accepted.
  */
 export async function submit(submission: Submission, body: object, anyNode: () => Address): Promise<boolean> {
   let isReserved = false;
--- a/tools/measure-fleet.ts
+++ b/tools/measure-fleet.ts
@@ -18,7 +18,7 @@
 const POLL_MS = 500;
 const MAX_POLLS = 240;
 const USER_INTERVAL_MS = 250;
-/** User load starts after this delay, by which the remaining node should have been elected. */
+/** User load starts after this delay, within which the remaining node should be elected. */
 const ELECTION_MS = 15_000;
 const LAST_NODE_SAMPLES = 9;
 
--- a/tools/measure-takeover.ts
+++ b/tools/measure-takeover.ts
@@ -4,7 +4,7 @@
 
 /**
  * Runs three real controllers on loopback under load and repeatedly kills the leader. Measures failover times by phase,
- * from the kill and from the expiry of the leader's key, and duplicated placements over the history of all agents.
+ * from the kill and from the removal of the leader key, and duplicated placements over the history of all agents.
  *   DEPLOY_FILE=deploy/standby.toml node target/test/tools/measure-takeover.js [KILLS] [MACHINES] [LEASE_TTL_MS]
  */
 const kills = Number(process.argv[2] ?? 50);
@@ -83,8 +83,8 @@
 }
 
 /**
- * Kills the leader and waits for the first task start with a higher fencing token; the new leader did not command
- * starts with an earlier token.
+ * Kills the leader and waits for the first task start with a higher fencing token, which only the new leader can have
+ * commanded.
  */
 async function killAndObserve(killed: number, fencingToken: number): Promise<Failover> {
   const leaderKeyVersion = store.store.entries.get(LEADER_KEY)?.version;
