--- a/test/round-robin-turns.test.ts
+++ b/test/round-robin-turns.test.ts
@@ -1,4 +1,4 @@
-/** Round-robin turns between lines of waiting jobs (a line is a team and a job class). */
+/** Round-robin turns between class queues (a class queue has the waiting jobs of one class of one team). */
 
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -21,15 +21,15 @@
   return { uid, spec: { team, jobClass }, queuedSince };
 }
 
-test("property: at most one job of each other line precedes the oldest job of a line that is due, for any contents of the lines", () => {
-  const line = fc.record({
+test("property: at most one job of each other class queue precedes the oldest job of a class queue that is due, for any contents of the queues", () => {
+  const jobFields = fc.record({
     team: fc.constantFrom("a", "b", "c"),
     jobClass: fc.constantFrom("x", "y"),
     queuedSince: fc.integer({ min: 0, max: 200_000 }),
   });
   fc.assert(
     fc.property(
-      fc.array(line, { minLength: 1, maxLength: 60 }),
+      fc.array(jobFields, { minLength: 1, maxLength: 60 }),
       fc.integer({ min: 0, max: 300_000 }),
       (list, now) => {
         const jobs = list.map(({ team, jobClass, queuedSince }, index) =>
@@ -37,9 +37,9 @@
         );
         const turns = new RoundRobinTurns();
         const due = turns.due(jobs, TURN_MS, now);
-        const dueLines = new Set([...due].map(({ spec }) => `${spec.team} ${spec.jobClass}`));
+        const dueClassQueues = new Set([...due].map(({ spec }) => `${spec.team} ${spec.jobClass}`));
 
-        assert.equal(dueLines.size, due.size, "one job of each line is due");
+        assert.equal(dueClassQueues.size, due.size, "one job of each class queue is due");
 
         for (const job of jobs) {
           const olderJobs = jobs.filter(
@@ -66,7 +66,7 @@
   );
 });
 
-test("a line is due for a round-robin turn once none of its jobs has started for the turn period, until one starts", () => {
+test("a class queue is due for a round-robin turn once none of its jobs has started for the turn period, until one starts", () => {
   const turns = new RoundRobinTurns();
   const smallJobs = Array.from({ length: 1000 }, (_, i) => waitingJob(i, "a", "x", i));
   const hugeJob = waitingJob(9999, "b", "y", 500);
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -14,7 +14,7 @@
 
   assert.equal(queue.find((entry) => entry.job === "j-1")?.why, "no machine has room");
 
-  // Guards against logging it in every round: 6,000 such lines made up most of the log of one simulated day.
+  // Guards against logging it in every round: 6,000 such lines made up most of the log of one scenario.
   for (let i = 0; i < 200; i++) {
     harness.sendHeartbeat("A");
     harness.advance(1000);
--- a/test/standby-world.test.ts
+++ b/test/standby-world.test.ts
@@ -15,7 +15,7 @@
   return cluster;
 }
 
-function leaderOf(cluster: ModelCluster): number {
+function leaderIndexOf(cluster: ModelCluster): number {
   const { leader } = cluster.controllers;
   assert.ok(leader, "a node is leader");
   return leader.index;
@@ -42,7 +42,7 @@
 
 /** Crashes the leader and runs the simulation until its lease has expired. */
 function crashLeader(cluster: ModelCluster, downMs: number): void {
-  cluster.controllers.crash(leaderOf(cluster), downMs);
+  cluster.controllers.crash(leaderIndexOf(cluster), downMs);
   runUntilVacant(cluster);
 }
 
@@ -65,7 +65,7 @@
     cluster.run(cluster.now + afterMs);
     cluster.controllers.crash(standby, 20_000);
     cluster.run(cluster.now + 8000);
-    const next = leaderOf(cluster);
+    const next = leaderIndexOf(cluster);
     assert.notEqual(next, standby);
     cluster.run(cluster.now + 60_000);
     assertAllDone(cluster);
@@ -75,7 +75,7 @@
 test("two followers partitioned from each other are both warm standbys; one of them becomes leader, and no task runs twice", () => {
   for (let seed = 1; seed <= 4; seed++) {
     const cluster = busyCluster(seed);
-    const leader = leaderOf(cluster);
+    const leader = leaderIndexOf(cluster);
     const followers = cluster.nodes.filter(({ index }) => index !== leader);
     for (const node of followers) node.peersPartitionedUntil = cluster.now + 60_000;
     cluster.run(cluster.now + 12_000);
@@ -95,7 +95,7 @@
 test("if a leader is paused for 20 s while it places tasks, the standby replaces it, and the previous leader's late effects change nothing", () => {
   for (let seed = 1; seed <= 6; seed++) {
     const cluster = busyCluster(seed);
-    const previous = leaderOf(cluster);
+    const previous = leaderIndexOf(cluster);
     for (let i = 20; i < 30; i++) cluster.users.submit(jobSpec(`j-${i}`, { tasks: 4, estimateS: 5 }));
     // The leader is paused between a decision and its write, and sends the effects when it resumes.
     cluster.controllers.pause(previous, 20_000);
