--- a/tools/loopback/user.ts
+++ b/tools/loopback/user.ts
@@ -25,7 +25,7 @@
   honoredReservations: number;
   /** Number of retries at a reserved time that were throttled again. */
   brokenReservations: number;
-  /** Number of attempts that got another error status or no response. */
+  /** Number of attempts that got another error status, such as 503, or no response. */
   failed: number;
   startedAt: number | null;
   doneAt: number | null;
